--- a/packages/relay/tests/test_accounts.c
+++ b/packages/relay/tests/test_accounts.c
@@ -1,6 +1,6 @@
 /*
- * Client accounts: whose connection a statement runs on, whose key is good, and
- * how much of an account's operations run.
+ * Client accounts: statements run on connections of their own account, keys are
+ * checked, and each account's rate of operations is limited.
  */
 #include "limit_internal.h"
 #include "support_history.h"
@@ -64,7 +64,10 @@
 	fake_at(f, -1, fake_random(f, 1, 100) * MS, next_event, s, NULL);
 }
 
-/* A caller's next step; one that was refused or left comes again. */
+/*
+ * Starts the caller's next operation. A caller whose session was ended, or that
+ * leaves, opens another one 300 ms later.
+ */
 static void next_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
@@ -113,7 +116,10 @@
 	}
 }
 
-/* Faults overlap; keys that were taken away stay so for a while. */
+/*
+ * Runs callers under faults that overlap. fake_heal() doesn't give revoked keys
+ * back, and each proxy reaches the store again with a probability of 0.7.
+ */
 static void day(struct fake *f)
 {
 	uint64_t end_us = f->now_us + DAY_US;
@@ -140,7 +146,10 @@
 	return value ? (unsigned)strtoul(value, NULL, 10) : SEEDS;
 }
 
-/* No account uses another's connection, a lost key, or more than its limit. */
+/*
+ * Guards against statements that run on another account's connection, with a
+ * revoked key or above the account's limit, when faults overlap.
+ */
 START_TEST(days_keep_accounts_apart)
 {
 	unsigned seed, ran = 0;
@@ -166,7 +175,10 @@
 	offsetof(struct relay_guards, limit_accounts),
 };
 
-/* Guards against a checker that sees nothing. */
+/*
+ * Guards against a checker that misses violations: with one guard off, it must
+ * report one for at least one seed.
+ */
 START_TEST(days_notice_a_missing_guard)
 {
 	bool caught = false;
@@ -183,7 +195,7 @@
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
-	ck_assert_msg(caught, "guard %d is not missed", _i);
+	ck_assert_msg(caught, "checker missed violations without guard %d", _i);
 }
 END_TEST
 
@@ -199,7 +211,10 @@
 	return answer.code;
 }
 
-/* Guards against a stranger that learns which databases there are. */
+/*
+ * Guards against a caller without a valid key that learns from the error code
+ * which databases exist.
+ */
 START_TEST(the_key_is_asked_for_first)
 {
 	struct fake *f = fake_create_accounts(1, 1, 1);
@@ -214,7 +229,10 @@
 }
 END_TEST
 
-/* Guards against a configuration that can't be read and admits lost keys. */
+/*
+ * Guards against revoked keys that stay valid because the newest configuration
+ * can't be read.
+ */
 START_TEST(unreadable_accounts_refuse_every_key)
 {
 	struct fake *f = fake_create_accounts(1, 1, 1);
@@ -229,7 +247,10 @@
 }
 END_TEST
 
-/* Guards against a transaction that goes on, or is kept, without its key. */
+/*
+ * Guards against a transaction that continues or commits after its account's
+ * key was revoked.
+ */
 START_TEST(a_transaction_ends_with_its_key)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
@@ -250,7 +271,11 @@
 }
 END_TEST
 
-/* Guards against callers who are held to a silent store's old news for ever. */
+/*
+ * Guards against callers who are judged by outdated keys for ever while the
+ * store doesn't answer. Keys older than FAKE_KEY_AGE_US are refused; they are
+ * valid again as soon as the store answers.
+ */
 START_TEST(keys_are_good_again_with_the_store)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
@@ -275,7 +300,10 @@
 		hist_start(f, s, RELAY_READ, "", "1");
 }
 
-/* Guards against a limit that a share of each proxy makes too small. */
+/*
+ * Guards against a limit that is split among the proxies: an account whose
+ * callers all use one proxy would only get that proxy's share.
+ */
 START_TEST(one_proxy_gets_an_account_its_whole_rate)
 {
 	struct fake *f = fake_create_accounts(1, RELAYS, 1);
@@ -299,12 +327,12 @@
 }
 END_TEST
 
-#define RETURNS 60 /* callers of one account, at once */
+#define RETURNS 60 /* callers of one account that read at once */
 
-/* What callers at a limit got when they came back as they were told. */
+/* Callers at their account's limit that retry when they were told to. */
 struct returns {
-	unsigned refused; /* the first time */
-	unsigned again; /* of these, when they came back */
+	unsigned refused; /* callers that were refused at first */
+	unsigned again; /* of these, those whose retry was refused, too */
 };
 
 static struct returns returns;
@@ -314,7 +342,7 @@
 	hist_start(f, data, RELAY_READ, "", "1");
 }
 
-/* left: the caller has not come back yet. */
+/* s->left is 1 until the caller has been refused once. */
 static void turned_away_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
@@ -334,7 +362,10 @@
 		come_back_event, s, NULL);
 }
 
-/* Guards against a time to come back that is the same for all. */
+/*
+ * Guards against telling all refused callers the same retry time: they would
+ * retry at once, and most would be refused again.
+ */
 START_TEST(callers_at_a_limit_come_back_one_after_the_other)
 {
 	struct fake *f = fake_create_accounts((uint32_t)_i, RELAYS, 1);
@@ -360,7 +391,10 @@
 }
 END_TEST
 
-/* Whether a relay that starts before a server half full takes a third one. */
+/*
+ * Whether a relay that has just started may open a third connection to a server
+ * that has more than half of its connections in use.
+ */
 static bool takes_a_third(struct fake *f)
 {
 	struct relay *r = f->relays[0].relay;
@@ -376,7 +410,8 @@
 
 /*
  * Guards against a restarted fleet whose first proxies take all connections
- * that servers have left, an account each, and refuse at the others.
+ * that servers have left, one for each account, so that the other proxies have
+ * to refuse their callers.
  */
 START_TEST(a_start_leaves_connections_to_the_others)
 {
@@ -390,7 +425,10 @@
 }
 END_TEST
 
-/* Tells the first relay of a list that lacks one of them, or none (-1). */
+/*
+ * Gives the first relay a list of proxies without the one of index `missing`;
+ * -1: a complete list.
+ */
 static void list_without(struct fake *f, int missing)
 {
 	struct relay_server_info infos[RELAYS] = { 0 };
@@ -411,7 +449,10 @@
 	return rgr_grant(l, 1, &given, &wait_us, f->now_us) && given;
 }
 
-/* Guards against a fifth grantor beside four that don't know of it yet. */
+/*
+ * Guards against exceeding the limit through a fifth grantor, one that was just
+ * listed, beside four that don't know of it yet.
+ */
 START_TEST(a_proxy_that_is_new_waits_before_it_grants)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
@@ -441,7 +482,10 @@
 	return false;
 }
 
-/* Guards against the same in place of one that left and may not know it. */
+/*
+ * Guards against exceeding the limit through a grantor that replaces one which
+ * left the list and may not know that yet.
+ */
 START_TEST(a_proxy_that_left_counts_on_for_a_while)
 {
 	struct fake *f = fake_create_accounts(1, RELAYS, 1);
@@ -459,7 +503,10 @@
 }
 END_TEST
 
-/* Guards against a ranking that waits for an ask, while one always waits. */
+/*
+ * Guards against a ranking that is only updated when no request for tokens is
+ * in flight: under load there always is one.
+ */
 START_TEST(a_ranking_waits_for_no_answer)
 {
 	struct fake *f = fake_create_accounts(1, RELAYS, 1);
@@ -480,7 +527,10 @@
 }
 END_TEST
 
-/* Guards against tokens by a list that may have been replaced. */
+/*
+ * Guards against a grantor without the store that grants tokens by a list of
+ * proxies that may have been replaced.
+ */
 START_TEST(a_grantor_that_hears_nothing_stops)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
@@ -495,7 +545,10 @@
 }
 END_TEST
 
-/* Guards against a key that two accounts have, which opens one of them. */
+/*
+ * Guards against a key that is listed for two accounts and admits callers to
+ * one of them.
+ */
 START_TEST(a_key_of_two_accounts_is_nobodys)
 {
 	struct relay_catalog *c = relay_catalog_create(1, 0);
--- a/packages/relay/tests/test_feed_source.c
+++ b/packages/relay/tests/test_feed_source.c
@@ -5,6 +5,7 @@
 
 #define ZONES 4
 #define MS USEC_PER_MSEC
+/* Ages of an answer that a follower accepts, and that it doesn't. */
 #define AGE_OK_US (1000 * MS)
 #define AGE_OLD_US (4000 * MS)
 
@@ -12,7 +13,9 @@
 static char names[400][16];
 static char zones[ZONES][8];
 
-/* n proxies over four data centres; the first of each has the widest link. */
+/*
+ * Lists n proxies in four data centres; the first of each has the widest link.
+ */
 static void list(unsigned n)
 {
 	unsigned i;
@@ -40,12 +43,14 @@
 	return f;
 }
 
+/* The proxy that is asked next; NULL: the store is. */
 static const struct relay_server_info *proxy_of(struct feed_source *f,
 						uint64_t now_us)
 {
 	return feed_source_plan(f, false, now_us).proxy;
 }
 
+/* In a fleet of up to 16, every proxy asks the store itself. */
 START_TEST(a_small_fleet_asks_the_store)
 {
 	struct feed_source *f;
@@ -58,7 +63,10 @@
 }
 END_TEST
 
-/* Of 73 proxies, four ask the store; all others ask the one near them. */
+/*
+ * Of 73 proxies, four ask the store; each other one asks the watcher of its
+ * data centre.
+ */
 START_TEST(a_few_watch_for_a_large_one)
 {
 	unsigned i, n_watchers = 0;
@@ -70,7 +78,7 @@
 
 		n_watchers += feed_source_is_watcher(f);
 		ck_assert_int_eq(feed_source_is_watcher(f), p == NULL);
-		/* Others rely on what it hears: it may not wait for long. */
+		/* Followers rely on its answers: no call waits long. */
 		ck_assert_uint_le(feed_source_plan(f, false, 0).wait_ms, 800);
 		if (p) {
 			ck_assert_str_eq(p->zone, infos[i].zone);
@@ -96,7 +104,10 @@
 	return n_watchers;
 }
 
-/* One watcher more for each 64, so that none is asked by all. */
+/*
+ * Each data centre has one more watcher for each 64 of its proxies, so that no
+ * watcher is asked by all.
+ */
 START_TEST(watchers_grow_with_the_fleet)
 {
 	ck_assert_uint_eq(count_watchers(128), ZONES);
@@ -104,7 +115,7 @@
 }
 END_TEST
 
-/* Fails when a proxy's place in the list decides whether it watches. */
+/* Fails when a proxy's position in the list decides whether it is a watcher. */
 START_TEST(the_order_of_a_list_does_not_matter)
 {
 	unsigned i;
@@ -126,8 +137,9 @@
 END_TEST
 
 /*
- * Three hundred proxies that each watch the store made most of all calls to
- * the platform. The first watcher of a hall is the one with the widest link.
+ * Guards against a fleet of 300 proxies that each watch the store: their calls
+ * were most of all calls to the platform. The first watcher of a data centre is
+ * the proxy with the widest link.
  */
 START_TEST(a_very_large_fleet_shares_a_few_watchers)
 {
@@ -149,9 +161,10 @@
 END_TEST
 
 /*
- * A configuration of 17 KB was read at the store by each of 294 followers, and
- * those whom the store didn't answer went without it. A wide link carries it
- * to all of a hall; a narrow one must not be filled with it for seconds.
+ * Guards against a configuration of 17 KB that each of 294 followers reads from
+ * the store; followers that got no answer went without it. A watcher with a
+ * wide link sends it to all of its data centre; a narrow link must not be
+ * saturated with it for seconds.
  */
 START_TEST(what_is_sent_goes_by_the_link)
 {
@@ -171,7 +184,10 @@
 }
 END_TEST
 
-/* Fails when a whole fleet reads a large configuration at the store at once. */
+/*
+ * Guards against a whole fleet that reads a large configuration from the store
+ * at once, though its watchers have links wide enough to send it.
+ */
 START_TEST(a_store_is_spared_where_watchers_are_wider)
 {
 	static const struct {
@@ -196,8 +212,9 @@
 END_TEST
 
 /*
- * The operators drop a route. The watcher of this hall is cut off from the
- * store, and every proxy that asks it would serve the route on and on.
+ * The operators drop a route while the watcher of this data centre is cut off
+ * from the store. Guards against followers that stay with that watcher and so
+ * keep serving the route.
  */
 START_TEST(a_watcher_that_is_behind_is_left)
 {
@@ -211,7 +228,7 @@
 	feed_source_on_answer(f, p->id, true, AGE_OK_US, 0);
 	ck_assert_ptr_eq(proxy_of(f, 0), p);
 	feed_source_on_answer(f, p->id, true, AGE_OLD_US, 0);
-	/* The store itself first: it has what was missed. */
+	/* The store is asked first: it has what was missed. */
 	ck_assert_ptr_null(proxy_of(f, 0));
 	p = proxy_of(f, 1100 * MS);
 	ck_assert_ptr_nonnull(p);
@@ -223,7 +240,7 @@
 }
 END_TEST
 
-/* What a watcher doesn't send comes from the store, by one call. */
+/* A value that a watcher doesn't send is read from the store, by one call. */
 START_TEST(what_is_missing_is_asked_for_once)
 {
 	const struct relay_server_info *p;
@@ -245,8 +262,8 @@
 }
 
 /*
- * The store gives one call no answer. Were the next one to wait for its limit,
- * the store's return would be noticed that much later.
+ * A call to the store gets no answer. Guards against a next call that waits for
+ * its whole timeout, so that the store's return is noticed that much later.
  */
 START_TEST(a_silent_store_is_asked_again_and_again)
 {
@@ -269,7 +286,10 @@
 }
 END_TEST
 
-/* The watcher is behind, and the store is silent for this one, too. */
+/*
+ * A proxy whose watcher is behind, and which gets no answer from the store
+ * either.
+ */
 static struct feed_source *start_in_silence(void)
 {
 	struct feed_source *f;
@@ -282,8 +302,9 @@
 }
 
 /*
- * The store is silent for a fleet of 73. Each that follows a watcher left it
- * and asked the store on and on, and the store met them all when it was back.
+ * The store doesn't answer a fleet of 73. Guards against followers that leave
+ * their watchers and call the store without a pause, so that it gets the calls
+ * of all of them when it is back.
  */
 START_TEST(followers_ask_a_silent_store_rarely)
 {
@@ -308,9 +329,10 @@
 END_TEST
 
 /*
- * The store answers one hall's watcher again and not this hall's. Who went on
- * with its own watcher would hear of the return with it. The one that was left
- * stays out, or each return to it would cost a call to the store.
+ * The store answers the watcher of one data centre again and not that of this
+ * one. Guards against a follower that only asks its own watcher, and learns of
+ * the store's return no sooner than that. The watcher that was left is not
+ * asked meanwhile, since each return to it would cost a call to the store.
  */
 START_TEST(each_watcher_is_heard_in_a_silence)
 {
@@ -329,7 +351,7 @@
 	ck_assert_uint_eq(g_hash_table_size(asked), ZONES - 1);
 	p = proxy_of(f, 1);
 	ck_assert(feed_source_on_answer(f, p->id, true, AGE_OK_US, 1));
-	/* Others may not have noticed yet. */
+	/* The other watchers may not have noticed yet. */
 	ck_assert_ptr_eq(proxy_of(f, 2), p);
 	ck_assert_str_eq(proxy_of(f, 11000 * MS)->id, "p1");
 	g_hash_table_destroy(asked);
@@ -338,8 +360,8 @@
 END_TEST
 
 /*
- * A hall has one watcher, which is behind, and the store is silent for all.
- * Those that follow it must not all ask the store for that.
+ * The only watcher is behind, and the store answers nobody. Guards against
+ * followers that all ask the store for that reason.
  */
 START_TEST(the_only_watcher_is_asked_in_a_silence)
 {
@@ -361,7 +383,7 @@
 }
 END_TEST
 
-/* All watchers are dead at once: the store is still there. */
+/* All watchers are dead at the same time; the store is asked instead. */
 START_TEST(without_a_watcher_the_store_is_asked)
 {
 	const struct relay_server_info *p;
@@ -382,7 +404,7 @@
 }
 END_TEST
 
-/* Proxies of an older release have no feed: nobody asks them for one. */
+/* Proxies of an older release have no feed and must not be asked for one. */
 START_TEST(who_has_no_feed_is_not_asked)
 {
 	const struct relay_server_info *p;
