--- a/packages/relay/tests/test_histories.c
+++ b/packages/relay/tests/test_histories.c
@@ -75,7 +75,10 @@
 	return s;
 }
 
-/* A caller's next step; some leave in the middle and come again. */
+/*
+ * Starts the caller's next operation. Some callers leave, also in the middle of
+ * a transaction, and open another session.
+ */
 static void next_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
@@ -128,8 +131,8 @@
 }
 
 /*
- * Faults come one or two at a time and end after some seconds. A server that
- * crashed is away for at least two seconds.
+ * Runs callers under faults, one or two at a time, that end after some seconds.
+ * A server that crashed is down for at least two seconds.
  */
 static void day(struct fake *f)
 {
@@ -161,9 +164,9 @@
 }
 
 /*
- * Days of callers who write, read and roam through transactions while servers
- * die, fall silent or lag, and proxies are cut off or suspended. Whatever the
- * order of events, no caller may be told what isn't so.
+ * Callers write, read and run transactions while servers crash, stop answering
+ * or lag, and proxies are cut off or suspended. Whatever the order of events,
+ * no caller may get an answer that is not true.
  */
 START_TEST(test_days_keep_their_promises)
 {
@@ -186,14 +189,13 @@
 END_TEST
 
 /*
- * Each guard in turn, by its place in struct relay_guards. The first and the
+ * Names of the guards, by their index in struct relay_guards. The first and the
  * last fifteen have tests of their own: confirm_writes, fresh_claim and
  * resume_under_duty in test_change; doubt_reborn in test_reborn;
  * claim_after_fence, doubt_unpaused, doubt_newcomers and check_list_age in
- * test_newcomers;
- * avoid_outliers, limit_in_flight, leave_when_cut_off and renew_at_once, which
- * no promise rests on, in test_routing, test_overload and test_homes; the four
- * of accounts in test_accounts.
+ * test_newcomers; avoid_outliers, limit_in_flight, leave_when_cut_off and
+ * renew_at_once, on which no checked rule depends, in test_routing,
+ * test_overload and test_homes; the four of accounts in test_accounts.
  */
 static const char *const guards[] = {
 	"confirm_writes",     "hold_before_promote", "fence",
@@ -207,7 +209,10 @@
 
 #define GUARD_SEEDS 400
 
-/* Without the guard some day shows what it is for. */
+/*
+ * Guards against a checker that misses violations: with one guard off, it must
+ * report one for at least one seed.
+ */
 START_TEST(test_days_notice_a_missing_guard)
 {
 	unsigned seed, i;
@@ -225,7 +230,8 @@
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
-	ck_assert_msg(caught, "%s is not missed", guards[_i]);
+	ck_assert_msg(caught, "checker missed violations without %s",
+		      guards[_i]);
 }
 END_TEST
 
--- a/packages/relay/tests/test_metrics.c
+++ b/packages/relay/tests/test_metrics.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A family as a scraper sees it. */
+/* A metric family as a scraper reads it. */
 struct family {
 	char *name;
 	char *type;
-	bool closed; /* another one began */
-	uint64_t last_bucket;
-	char *bucket_labels; /* of the series whose buckets are read */
-	uint64_t inf;
+	bool closed; /* another family began after it */
+	uint64_t last_bucket; /* count of the last bucket so far */
+	char *bucket_labels; /* of the histogram being read, without le */
+	uint64_t inf; /* the same; at the end that of le=+Inf */
 };
 
 static GHashTable *families;
@@ -43,8 +43,8 @@
 static void begin_family(const char *name)
 {
 	ck_assert_msg(is_name(name, strlen(name)), "bad name: %s", name);
-	ck_assert_msg(!g_hash_table_contains(families, name), "%s: told twice",
-		      name);
+	ck_assert_msg(!g_hash_table_contains(families, name),
+		      "family %s occurs twice", name);
 	if (current)
 		current->closed = true;
 	current = g_new0(struct family, 1);
@@ -69,7 +69,7 @@
 	g_strfreev(words);
 }
 
-/* name="value",...; without escapes, since our labels need none. */
+/* Labels are name="value",... without escapes, which ours don't need. */
 static void check_labels(const char *labels)
 {
 	char **list = g_strsplit(labels, ",", -1);
@@ -88,7 +88,7 @@
 	g_strfreev(list);
 }
 
-/* Buckets grow, and the last one is all of them. */
+/* Bucket counts never decrease, and the last one equals the total count. */
 static void check_histogram(const char *suffix, const char *labels,
 			    const char *value)
 {
@@ -137,7 +137,7 @@
 	ck_assert_str_eq(suffix, "");
 	if (!strcmp(current->type, "counter"))
 		ck_assert_msg(g_str_has_suffix(name, "_total"),
-			      "%s is a counter", name);
+			      "counter %s lacks the suffix _total", name);
 	else
 		ck_assert_str_eq(current->type, "gauge");
 }
@@ -155,7 +155,8 @@
 	labels = g_strndup(open + 1, (gsize)(close - open - 1));
 	key = g_strndup(line, (gsize)(close - line + 1));
 	check_sample(name, labels, close + 2);
-	ck_assert_msg(!g_hash_table_contains(series, key), "%s: twice", key);
+	ck_assert_msg(!g_hash_table_contains(series, key),
+		      "series %s occurs twice", key);
 	g_hash_table_insert(series, key, g_strdup(close + 2));
 	g_free(labels);
 	g_free(name);
@@ -190,7 +191,7 @@
 {
 	const char *text = g_hash_table_lookup(series, key);
 
-	ck_assert_msg(text != NULL, "no %s", key);
+	ck_assert_msg(text != NULL, "no series %s", key);
 	return g_ascii_strtoull(text, NULL, 10);
 }
 
@@ -210,8 +211,9 @@
 	      "outcome=\"" outcome "\"}")
 
 /*
- * Operators look at a graph of refused statements to see whether an incident
- * is over. It must show what callers got, and a scraper must take the page.
+ * Operators look at a graph of refused statements to see whether an incident is
+ * over. Guards against metrics that don't show what callers got, and against a
+ * page that a scraper rejects.
  */
 START_TEST(test_metrics_show_what_callers_got)
 {
@@ -264,9 +266,10 @@
 }
 
 /*
- * A server is listed while the others are paused, and has to be paused too. An
- * operator sees that changes are delayed by servers that come, and that a
- * server which never takes its pause is told again and again.
+ * A server is listed while the others are paused, and has to be paused too.
+ * Operators must see that changes of primary are delayed by servers that are
+ * added, and that a server which never takes its pause is sent it again and
+ * again.
  */
 START_TEST(test_metrics_show_pauses_and_fences)
 {
--- a/packages/relay/tests/test_overload.c
+++ b/packages/relay/tests/test_overload.c
@@ -4,15 +4,15 @@
 
 #define RELAYS 4
 #define CALLERS 40
-#define CONNECTIONS 80 /* of the primary; more than queue up */
-#define WORK_US (30 * MS)
-#define QUEUE_US (300 * MS)
+#define CONNECTIONS 80 /* of the primary; more than wait in its queue */
+#define WORK_US (30 * MS) /* for which a statement occupies a slot */
+#define QUEUE_US (300 * MS) /* longest wait for a slot before it is shed */
 #define LOAD_US (10 * USEC_PER_SEC)
-/* What the primary's slots can run in that time. */
+/* Statements that the primary's slots can run in LOAD_US. */
 #define CAPACITY (FAKE_SLOTS * LOAD_US / WORK_US)
 
-static unsigned n_in_time;
-static uint64_t rest_us; /* of a caller between two statements */
+static unsigned n_in_time; /* statements that succeeded within FAKE_AIM_US */
+static uint64_t rest_us; /* mean pause of a caller between two statements */
 
 static void next_event(struct fake *f, void *data);
 
@@ -81,9 +81,9 @@
 }
 
 /*
- * All replicas are behind, and plumbers, members and advisers ask for twice
- * what the primary alone can run. Everybody waited in its queue for as long as
- * an answer may take, so that hardly anybody was served in time.
+ * All replicas are behind, and callers ask for twice what the primary alone can
+ * run. Guards against statements that all wait in its queue for as long as an
+ * answer may take, so that hardly any is served in time.
  */
 START_TEST(test_an_overloaded_primary_serves_what_it_can)
 {
@@ -95,7 +95,10 @@
 }
 END_TEST
 
-/* The load is over: nobody is refused for what was before. */
+/*
+ * Guards against callers that are refused after an overload is over because the
+ * limit on statements in flight stays.
+ */
 START_TEST(test_a_limit_goes_when_the_load_does)
 {
 	struct fake *f = start((uint32_t)_i, true);
