--- a/packages/relay/tests/test_homes.c
+++ b/packages/relay/tests/test_homes.c
@@ -2,7 +2,7 @@
 
 #include <celeryquay/suite.h>
 
-#define RELAYS 7 /* more than the servers' connections are for: 4 homes */
+#define RELAYS 7 /* more than servers have connections for: 4 homes */
 #define CALLERS 12
 
 static struct hist_session *callers[CALLERS];
@@ -36,7 +36,10 @@
 	return is_home_of(f, relay, "group0");
 }
 
-/* The n-th relay that is a home, or is none. */
+/*
+ * The index of the n-th relay that is a home, or that isn't if `home` is false;
+ * counted from 0. n_relays: there is none.
+ */
 static unsigned nth(struct fake *f, bool home, unsigned n)
 {
 	unsigned i = 0;
@@ -64,7 +67,9 @@
 	s->left = s->state == 'T' && fake_chance(f, 0.5);
 }
 
-/* Callers at all relays, of all kinds; each writes, reads and commits. */
+/*
+ * Starts callers at all relays, of all kinds; each writes, reads and commits.
+ */
 static void come(struct fake *f)
 {
 	unsigned i;
@@ -77,7 +82,7 @@
 	}
 }
 
-/* Every caller that is left is served. */
+/* Checks that each caller with an open session is served. */
 static void check_all_served(struct fake *f)
 {
 	unsigned seen[CALLERS], i;
@@ -90,7 +95,7 @@
 			ck_assert_uint_gt(callers[i]->attempt, seen[i] + 5);
 }
 
-/* The relay's process ends, its connections on either side with it. */
+/* Ends the relay's process, and its connections to and from others with it. */
 static void kill_relay(struct fake *f, unsigned relay)
 {
 	GHashTableIter iter;
@@ -110,8 +115,9 @@
 }
 
 /*
- * A fleet outgrew its servers' connections, and most callers were refused.
- * Only homes may connect; plumbers behind all proxies see what they wrote.
+ * Guards against a fleet that outgrows its servers' connections, so that most
+ * callers are refused. Only homes may connect to servers; callers of all
+ * proxies see their own writes.
  */
 START_TEST(test_only_homes_connect)
 {
@@ -130,13 +136,15 @@
 		ck_assert(c->peer || is_home(f, c->relay));
 	}
 	ck_assert_uint_le(f->servers[0].n_conns, f->max_connections);
-	ck_assert_uint_lt(nth(f, false, 2), RELAYS); /* three are none */
+	ck_assert_uint_lt(nth(f, false, 2), RELAYS); /* three aren't homes */
 	ck_assert_uint_eq(f->n_codes[RELAY_IN_DOUBT], 0);
 	end(f);
 }
 END_TEST
 
-/* Fails when a statement waits for the next tick before a home is called. */
+/*
+ * Fails when a statement waits for the next tick before a home is connected to.
+ */
 START_TEST(homes_are_connected_to_when_they_are_asked_for)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
@@ -155,7 +163,9 @@
 }
 END_TEST
 
-/* Fails when connections to homes are kept for databases at rest. */
+/*
+ * Fails when connections to homes are kept for databases that are not in use.
+ */
 START_TEST(homes_that_nobody_asks_for_are_let_go)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
@@ -187,12 +197,13 @@
 }
 
 /*
- * Servers take many connections, and of eighty proxies 34 became homes. Each
- * probed each server, and together they asked more of a server than it has
- * slots and queue for.
+ * Guards against too many homes where servers take many connections: of eighty
+ * proxies 34 became homes, each of which probed each server, and the probes
+ * together were more than a server has slots and queue for.
  */
 START_TEST(test_homes_are_few_before_wide_servers)
 {
+	/* Connections that a server takes, homes of its service. */
 	static const unsigned limits[][2] = { { 35, 7 },
 					      { 10, 4 },
 					      { 170, 16 } };
@@ -220,8 +231,9 @@
 END_TEST
 
 /*
- * Two agents behind other proxies share a home's connection. One would read
- * lists in the other's language, or run the other's statement of that name.
+ * Callers of other proxies share a home's connection to a server. Guards
+ * against a caller that reads in another's language, or runs another's prepared
+ * statement of the same name.
  */
 START_TEST(test_callers_do_not_mix_at_a_home)
 {
@@ -251,8 +263,9 @@
 END_TEST
 
 /*
- * A plumber saves a trip; an agent reads next on that connection to a home.
- * The plumber's floor stuck to it, and all reads went to the primary.
+ * A caller writes, and another one reads next on the same connection to a home.
+ * Guards against a floor, the position in the log that a session's reads must
+ * see, that stays with the connection: all reads went to the primary.
  */
 START_TEST(test_floor_does_not_stick)
 {
@@ -278,8 +291,9 @@
 END_TEST
 
 /*
- * A home dies with writes of others' callers in it. None is stored twice or
- * told as refused when it may be stored; callers go on through other homes.
+ * A home dies with writes of other proxies' callers in flight. Guards against a
+ * write that is stored twice, or is reported as refused when it may be stored;
+ * callers go on through other homes.
  */
 START_TEST(test_dead_home_is_passed_by)
 {
@@ -303,8 +317,9 @@
 END_TEST
 
 /*
- * A home is taken away, and another becomes one. It took the primary that it
- * didn't know for missing and paused the replicas; all writes stopped.
+ * A home stops, and another proxy becomes one. Guards against a new home that
+ * takes the primary, which it doesn't know yet, for missing, and pauses the
+ * replicas, so that all writes stop.
  */
 START_TEST(test_home_that_stops_is_not_noticed)
 {
@@ -329,13 +344,13 @@
 	ck_assert_uint_eq(f->n_codes[RELAY_IN_DOUBT], 0);
 	ck_assert_uint_eq(f->n_promotions, 0);
 	ck_assert_uint_eq(f->n_codes[RELAY_ABORTED], 0);
-	/* The new one may be full at first. */
+	/* The new home may be full at first. */
 	ck_assert_uint_le(f->n_codes[RELAY_BUSY], before + 9);
 	end(f);
 }
 END_TEST
 
-/* A caller at each relay that is no home. */
+/* Starts callers at the relays that aren't homes. */
 static void come_to_others(struct fake *f)
 {
 	unsigned i;
@@ -348,7 +363,10 @@
 	}
 }
 
-/* First statements that are refused, of three, with two homes cut off. */
+/*
+ * How many of three callers' first statements are refused when two homes are
+ * cut off from the primary.
+ */
 static unsigned refused_by_cut_homes(uint32_t seed)
 {
 	struct fake *f = start(seed, RELAYS);
@@ -372,9 +390,10 @@
 }
 
 /*
- * Two homes of four are cut off from a primary that the others reach. Brands
- * whose proxy asks one of the two for the first time, a second later, were
- * refused after a queue's turn, fourteen of eighteen.
+ * Two homes of four are cut off from a primary that the others reach. Guards
+ * against refusals by proxies that ask one of the two for the first time, a
+ * second later: fourteen of eighteen callers were refused after waiting for the
+ * queue timeout.
  */
 START_TEST(test_a_home_that_is_cut_off_is_left)
 {
@@ -388,8 +407,9 @@
 END_TEST
 
 /*
- * All homes that a proxy knows die. It knew three of four, and its callers were
- * refused until the list of proxies said so, a minute later.
+ * All homes that a proxy knows die. Guards against a proxy that knows three
+ * homes of four and refuses its callers until the list of proxies no longer
+ * names the dead ones, a minute later.
  */
 START_TEST(test_another_home_is_found)
 {
@@ -414,8 +434,9 @@
 END_TEST
 
 /*
- * A proxy is cut off from all others. The balancer went on sending callers to
- * it, and those that were there stayed, refused all the while.
+ * A proxy is cut off from all others. Guards against such a proxy that stays
+ * ready, so that the load balancer keeps sending callers to it, and against
+ * sessions that stay open there though each statement is refused.
  */
 START_TEST(test_an_isolated_proxy_turns_red)
 {
@@ -439,9 +460,10 @@
 END_TEST
 
 /*
- * A network partition leaves all homes of a database on the other side from
- * three proxies, which still reach its servers. Their callers were refused for
- * as long as it lasted; proxies next in rank must stand in, and no longer.
+ * A network partition separates three proxies from all homes of a database,
+ * though they still reach its servers. Guards against callers that are refused
+ * for as long as it lasts: the proxies next in rank must serve as homes, and
+ * only until it is over.
  */
 START_TEST(test_spares_stand_in_for_homes)
 {
@@ -451,12 +473,12 @@
 
 	for (i = 0; i < RELAYS; i++)
 		was_home[i] = is_home(f, i);
-	f->max_connections += 2 * RELAYS; /* three more proxies find room */
+	f->max_connections += 2 * RELAYS; /* room for three more homes */
 	come(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < RELAYS; i++)
 		f->side[i] = was_home[i];
-	/* Each of four homes may keep a statement for its whole limit. */
+	/* Each of four homes may hold a statement until its timeout. */
 	fake_run(f, 4 * FAKE_LIMIT_US);
 	for (i = 0; i < CALLERS; i++)
 		ck_assert(callers[i]->open);
@@ -472,8 +494,9 @@
 END_TEST
 
 /*
- * One database of two has no home in reach of a proxy, nor a spare. Its
- * callers stayed there and were refused, while other proxies reach its homes.
+ * One database of two has no home in reach of a proxy, nor a spare. Guards
+ * against its callers' sessions that stay there and are refused, while other
+ * proxies reach its homes.
  */
 START_TEST(test_a_session_leaves_where_its_database_has_no_home)
 {
@@ -512,7 +535,7 @@
 }
 END_TEST
 
-/* The configuration without any database, at every relay. */
+/* Gives every relay a configuration without any database. */
 static void remove_databases(struct fake *f)
 {
 	struct relay_catalog *c = catalog_of(f->max_connections);
@@ -523,7 +546,7 @@
 	relay_catalog_unref(c);
 }
 
-/* Each connection between relays ends at the far end. */
+/* Closes each connection between relays at the end that accepted it. */
 static void break_peer_conns(struct fake *f)
 {
 	GHashTableIter iter;
@@ -539,9 +562,10 @@
 }
 
 /*
- * Operators retire a market's databases. Proxies that had used them went on
- * connecting to their homes six times a second each, were told each time that
- * there is no such database, and the homes had that much less for callers.
+ * Operators remove databases. Guards against proxies that had used them and
+ * keep connecting to their homes, six times a second each: they are told each
+ * time that there is no such database, and the homes have less capacity for
+ * callers.
  */
 START_TEST(test_homes_of_a_removed_database_are_left_alone)
 {
@@ -565,9 +589,10 @@
 END_TEST
 
 /*
- * One proxy (0) or two of three (1) are cut off from a primary that serves
- * the rest. A change would stop all writes for a second; two that ask each
- * other would pass a write to and fro.
+ * One proxy of three (_i % 2 is 0) or two (it is 1) are cut off from a primary
+ * that serves the rest. Guards against a change of primary, which would stop
+ * all writes for a second, and against two proxies that ask each other and pass
+ * a write back and forth.
  */
 START_TEST(test_way_round_a_cut)
 {
@@ -587,9 +612,9 @@
 END_TEST
 
 /*
- * A proxy is cut off from a primary that is overloaded for the rest. It asked
- * one proxy after the other, each of which waited in vain, and callers were
- * refused so late that they could not come back in time.
+ * A proxy is cut off from a primary that is overloaded for the rest. Guards
+ * against a proxy that asks the others one by one, each of which waits in vain,
+ * and refuses callers too late for them to come back in time.
  */
 START_TEST(test_the_way_round_ends_in_time)
 {
@@ -597,7 +622,7 @@
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
 	unsigned i;
 
-	/* Others write all the while, so the primary is left in its place. */
+	/* Others write all the while, so the primary isn't replaced. */
 	come(f);
 	fake_run(f, USEC_PER_SEC);
 	fake_cut(f, 0, 0, true);
@@ -607,7 +632,7 @@
 		uint64_t from_us = f->now_us;
 		enum relay_code code = hist_run(f, s, RELAY_READ, "", "1");
 
-		/* The fake looks at the timers of each once a tick. */
+		/* The fake runs each relay's timers once a tick. */
 		if (code == RELAY_BUSY)
 			ck_assert_uint_le(f->now_us - from_us,
 					  FAKE_AIM_US / 4 + 2 * TICK_US);
@@ -620,7 +645,10 @@
 }
 END_TEST
 
-/* Proxies 0 and 1 are left with the primary, 2 and 3 with its replicas. */
+/*
+ * A partition with proxies 0 and 1 and the primary on one side, proxies 2 and
+ * 3, the replicas and the store on the other.
+ */
 static void split(struct fake *f)
 {
 	unsigned i;
@@ -634,7 +662,7 @@
 	}
 }
 
-/* Writes in vain for so long, or until the session is ended. */
+/* Sends writes for that time or until the session is closed. */
 static void write_in_vain(struct fake *f, struct hist_session *s, uint64_t us)
 {
 	uint64_t end_us = f->now_us + us;
@@ -648,8 +676,8 @@
 
 /*
  * A partition leaves two proxies of four with a primary that they may not rely
- * on, and without the store. Installers who came to them were refused, and
- * stayed there with each retry, while the other two had codes for them.
+ * on, and without the store. Guards against callers that stay at these proxies
+ * and are refused with each retry, while the other two could serve them.
  */
 START_TEST(test_callers_leave_the_wrong_side_of_a_partition)
 {
@@ -675,9 +703,9 @@
 END_TEST
 
 /*
- * The store is out, and a primary crashes meanwhile: nobody may replace it.
- * If every proxy turned its callers away for that, the whole fleet would be
- * without, though its other databases serve.
+ * A primary crashes during an outage of the store, so nobody may replace it.
+ * Guards against proxies that all turn their callers away for that: no proxy
+ * would be left for callers, though the other databases are served.
  */
 START_TEST(test_no_proxy_leaves_for_an_outage_of_the_store)
 {
@@ -699,9 +727,9 @@
 END_TEST
 
 /*
- * The store was out for a while and the leases ran out. For a moment its list
- * names hardly any proxy, and each of seven took itself for one of few: all
- * connected to every server, and callers found these full.
+ * The leases ran out in an outage of the store, and for a moment its list names
+ * hardly any proxy. Guards against proxies that each take themselves for one of
+ * few: all seven connected to every server, and callers found the servers full.
  */
 START_TEST(test_a_lapsed_list_makes_no_homes)
 {
@@ -717,7 +745,7 @@
 	for (i = 0; i < RELAYS; i++)
 		now += is_home(f, i);
 	ck_assert_uint_eq(now, homes);
-	/* A list that stays so is believed. */
+	/* A short list that doesn't change is accepted. */
 	fake_run(f, 10 * USEC_PER_SEC);
 	ck_assert(is_home(f, 0));
 	end(f);
--- a/packages/relay/tests/test_rank.c
+++ b/packages/relay/tests/test_rank.c
@@ -1,6 +1,4 @@
-/*
- * Who the homes of a service are, while proxies come and go.
- */
+/* Which proxies are the homes of a service, while proxies join and leave. */
 #include "support_history.h"
 
 #include <celeryquay/core/homes.h>
@@ -10,7 +8,7 @@
 #define PROXIES 200
 #define CHANGES 60
 #define SELF 0
-#define WIDE_LIMIT 80 /* connections at a server: 16 homes */
+#define WIDE_LIMIT 80 /* connections that a server takes: 16 homes */
 
 static char names[PROXIES][16];
 
@@ -30,7 +28,7 @@
 		g_snprintf(names[i], sizeof(names[i]), "other-%u", i);
 }
 
-/* The service group0, and others beside it. */
+/* Configures n_services services; the first one is group0. */
 static void configure(struct fake *f, unsigned n_services)
 {
 	struct relay_catalog *c = relay_catalog_create(99, 0);
@@ -58,7 +56,10 @@
 	relay_on_peers(f->relays[0].relay, infos, n, f->now_us);
 }
 
-/* The first of those that are listed, as the product ranks them. */
+/*
+ * Ranks this proxy and the listed ones with homes_rank(); writes the first
+ * `max` names, best first, and returns how many.
+ */
 static unsigned rank_all(const bool *listed, const char **first, unsigned max)
 {
 	struct database_conf db = { .service = (char *)"group0",
@@ -106,7 +107,10 @@
 	check_names(rrl_spares(v), expected + 16, 4);
 }
 
-/* Fails when proxies disagree on homes after a list that changed in parts. */
+/*
+ * Guards against proxies that disagree on homes after partial changes of the
+ * list: the result must be the same as of ranking the whole list.
+ */
 START_TEST(homes_follow_each_change_of_the_list)
 {
 	struct fake *f = fake_create((uint32_t)_i, 1, 1);
@@ -132,7 +136,10 @@
 }
 END_TEST
 
-/* Fails when each of many restarts is a list for every proxy of a fleet. */
+/*
+ * Guards against many restarts in a large fleet that make every proxy process a
+ * list each time.
+ */
 START_TEST(small_changes_of_a_large_fleet_are_taken_together)
 {
 	struct fake *f = fake_create(1, 1, 1);
@@ -162,7 +169,7 @@
 	return v->is_home;
 }
 
-/* Tells the first n proxies, with or without this one, and lets 200 ms pass. */
+/* Lists the first n proxies, with or without this one, and lets 200 ms pass. */
 static void tell_first(struct fake *f, unsigned n, bool self)
 {
 	bool listed[PROXIES] = { false };
@@ -177,7 +184,10 @@
 	relay_tick(f->relays[0].relay, f->now_us);
 }
 
-/* Fails when a proxy of a fleet that starts takes itself for one of few. */
+/*
+ * Guards against a proxy of a starting fleet that takes itself for one of few,
+ * and so for a home, as the list doesn't name all yet.
+ */
 START_TEST(a_proxy_waits_for_a_list_that_is_whole)
 {
 	struct fake *f = fake_create((uint32_t)_i, 1, 1);
@@ -201,7 +211,10 @@
 }
 END_TEST
 
-/* Fails when a process that starts again is away for longer than it must. */
+/*
+ * Guards against a restarted proxy, listed already, that waits before it
+ * serves.
+ */
 START_TEST(a_proxy_that_is_listed_waits_for_nothing)
 {
 	struct fake *f = fake_create(1, 1, 1);
@@ -214,7 +227,7 @@
 }
 END_TEST
 
-/* Fails when a proxy that can't list itself never serves. */
+/* Guards against a proxy that can't list itself and so never serves. */
 START_TEST(a_proxy_does_not_wait_for_ever)
 {
 	struct fake *f = fake_create(1, 1, 1);
@@ -230,7 +243,7 @@
 }
 END_TEST
 
-/* Fails when a proxy goes on to an address that another one has left. */
+/* Guards against a proxy that keeps connecting to another one's old address. */
 START_TEST(a_proxy_is_found_at_its_new_address)
 {
 	struct fake *f = fake_create(1, 1, 1);
@@ -251,7 +264,10 @@
 }
 END_TEST
 
-/* Fails when each of many services has homes for the load of all of them. */
+/*
+ * Guards against a fleet with many services in which each has as many homes as
+ * the load of all of them needs.
+ */
 START_TEST(homes_follow_a_services_share_of_the_fleet)
 {
 	static const unsigned homes[][2] = {
