--- a/packages/relay/tests/test_returns.c
+++ b/packages/relay/tests/test_returns.c
@@ -3,8 +3,8 @@
 #include <celeryquay/suite.h>
 
 /*
- * Servers that come back, to the list or to life, and proxies that are back or
- * late, while another proxy's change is under way.
+ * Servers that are listed again or restart, and proxies that resume or are
+ * late, while another proxy's change of primary is under way.
  */
 
 #define FREEZE_US (6 * USEC_PER_SEC)
@@ -18,7 +18,7 @@
 	return f;
 }
 
-/* Another proxy than that one is in its fence, or past it. */
+/* Whether a proxy other than `but` makes its fence or has just completed it. */
 static bool any_other_fences(const struct fake *f, int but)
 {
 	int i;
@@ -53,9 +53,9 @@
 }
 
 /*
- * The changer alone is cut off from the primary and from a replica that has
- * left the list; that is listed again once the fence is whole, and the others
- * hear of both a little later.
+ * Only the proxy that replaces the primary is cut off from it and from a
+ * replica that has left the list. The replica is listed again once the fence is
+ * complete, and the other proxies hear of both a little later.
  */
 static char *replica_that_is_listed_again(uint32_t seed)
 {
@@ -118,9 +118,9 @@
 }
 
 /*
- * A proxy has a promotion under way and is suspended. Another claims the duty,
- * pauses the replicas anew, sees the old primary come back, and ends what it
- * takes for its own pauses at once.
+ * A proxy is suspended while its promotion is under way. Another one claims the
+ * duty, pauses the replicas anew and sees the old primary come back. Guards
+ * against that proxy ending at once the pauses that it takes for its own.
  */
 START_TEST(test_an_own_pause_beside_anothers_promotion)
 {
@@ -129,9 +129,9 @@
 END_TEST
 
 /*
- * A replica's entry lapses while it runs. A change gives it up, and it is
- * listed again before other proxies have given it up: to them it was there all
- * the time.
+ * A replica's entry in the list lapses while it runs. A change of primary goes
+ * on without it, and it is listed again before other proxies have dropped it:
+ * to them it was there all the time.
  */
 START_TEST(test_a_replica_that_is_listed_again)
 {
@@ -140,9 +140,9 @@
 END_TEST
 
 /*
- * Both replicas are gone, and a proxy rightly relies on the primary alone. It
- * loses the store, a replica comes back, and others, which can't reach the
- * primary, have that one promoted.
+ * Both replicas are gone, and a proxy rightly relies on the primary alone. That
+ * proxy loses the store, a replica comes back, and other proxies, which can't
+ * reach the primary, have the replica promoted.
  */
 START_TEST(test_a_lone_primary_without_the_store)
 {
@@ -151,8 +151,8 @@
 END_TEST
 
 /*
- * The server that is promoted starts again under its id before that takes
- * effect, and confirms the old primary, which is back, too.
+ * The server that is being promoted restarts under its id before the promotion
+ * takes effect, and confirms the old primary, which is also back.
  */
 START_TEST(test_a_target_that_starts_anew)
 {
--- a/packages/relay/tests/test_routing.c
+++ b/packages/relay/tests/test_routing.c
@@ -23,7 +23,10 @@
 	return counter_value(f->relays[0].relay->n_reads_replica);
 }
 
-/* Reads and writes in turn; how many of the reads replicas ran. */
+/*
+ * Runs 60 reads, with a write after the first of each six; returns how many of
+ * the reads ran at replicas.
+ */
 static uint64_t reads_at_replicas(struct fake *f, enum relay_kind kind)
 {
 	struct hist_session *s = hist_open(f, 0, 0, kind);
@@ -40,6 +43,10 @@
 	return replica_reads(f) - before;
 }
 
+/*
+ * Sessions of the kind `primary` read at the primary only; those of the other
+ * kinds read at replicas as well.
+ */
 START_TEST(test_kind_decides_where_reads_run)
 {
 	struct fake *f = start();
@@ -52,8 +59,8 @@
 END_TEST
 
 /*
- * A plumber saves a trip and looks at the summary at once, while all replicas
- * trail by a second. The trip would be missing from it.
+ * A caller writes and reads at once while all replicas lag by a second. Guards
+ * against a read at a replica, which would miss the write.
  */
 START_TEST(test_own_writes_are_seen_with_lag)
 {
@@ -72,8 +79,9 @@
 END_TEST
 
 /*
- * Brands submit codes at another proxy all the while. With replicas further
- * behind than the profile allows, agents would try retired codes.
+ * A caller of another proxy writes all the while. Guards against reads at
+ * replicas that lag by more than the profile allows, which would return data
+ * that was replaced.
  */
 START_TEST(test_stale_replicas_are_passed_over)
 {
@@ -94,8 +102,9 @@
 END_TEST
 
 /*
- * One proxy alone is cut off from the primary. Agents behind it still read
- * what replicas have, as far as that is fresh enough, and nothing older.
+ * Only one proxy is cut off from the primary. Its callers still read at
+ * replicas as far as their data is fresh enough for the profile, and nothing
+ * older.
  */
 START_TEST(test_reads_without_the_primary_stay_fresh)
 {
@@ -117,7 +126,7 @@
 
 /*
  * The servers take fewer connections than there are callers at once. Callers
- * wait their turn; nobody is turned away at once, and nothing is lost.
+ * wait their turn; none is refused at once, and no write is lost.
  */
 START_TEST(test_callers_share_few_connections)
 {
@@ -137,8 +146,8 @@
 END_TEST
 
 /*
- * The primary died a moment ago. Agents read on at the replicas, which have
- * what their profile asks for; they were refused while a change ran.
+ * The primary has just crashed, and the replicas have what the profile asks
+ * for. Guards against reads that are refused while a change of primary runs.
  */
 START_TEST(test_reads_go_on_without_a_primary)
 {
@@ -159,8 +168,9 @@
 END_TEST
 
 /*
- * There is no primary. A caller that is held can't come back in time; it is
- * refused within a quarter of its aim and told when to come.
+ * There is no primary. A caller whose statement is held can't come back in
+ * time; it is refused within a quarter of its latency target and told when to
+ * come back.
  */
 START_TEST(test_refused_early_with_a_time)
 {
@@ -184,9 +194,9 @@
 }
 
 /*
- * An adviser's long transaction holds the nearest replica's only connection,
- * and a new one never comes up. The other replica stands idle and costs a few
- * ms more; members' log views waited at the first until they were refused.
+ * A long transaction holds the nearest replica's only connection, and a new one
+ * is never established. Guards against reads that wait at that replica until
+ * they are refused, though the other one is idle and costs only a few ms more.
  */
 START_TEST(test_an_idle_server_is_not_passed_by)
 {
@@ -216,7 +226,10 @@
 		hist_start(f, s, RELAY_READ, "", "1");
 }
 
-/* How many statements server 1 got of all while it failed a half of them. */
+/*
+ * The share of all statements that server 1 got while it failed half of its
+ * own: by dropping answers, or else by refusals.
+ */
 static double share_of_outlier(bool mutes, bool guard)
 {
 	struct fake *f = start();
@@ -246,9 +259,9 @@
 }
 
 /*
- * One of three servers sheds (0) or swallows (1) half of what it is asked,
- * and its health is good. Agents wait for second tries all day, since it looks
- * as quick as the others.
+ * One of three servers refuses (_i is 0) or never answers (_i is 1) half of its
+ * statements, though its health checks pass. Guards against callers that keep
+ * waiting for second tries because that server looks as fast as the others.
  */
 START_TEST(test_a_server_that_fails_in_part_gets_less)
 {
@@ -260,7 +273,7 @@
 }
 END_TEST
 
-/* All shed alike in an overload: none is avoided, and reads go on. */
+/* In an overload all servers refuse alike: none is avoided, and reads go on. */
 START_TEST(test_an_overload_makes_no_outlier)
 {
 	struct fake *f = start();
@@ -277,7 +290,10 @@
 }
 END_TEST
 
-/* The list as it is, with one server's entry overwritten by another writer. */
+/*
+ * Gives the first relay the list of servers with the entry of server `bad`
+ * overwritten by another writer; GROUP_SIZE: of none.
+ */
 static void list_with_a_bad_entry(struct fake *f, unsigned bad)
 {
 	struct relay_server_list *list = relay_server_list_create(false);
@@ -306,9 +322,10 @@
 }
 
 /*
- * A replica's entry is overwritten with what no server writes. It went on
- * getting reads for five seconds, as one whose entry had only lapsed; it must
- * get none until its own entry is back, and the others serve meanwhile.
+ * A replica's entry in the list is overwritten with something that no server
+ * writes. Guards against a replica that gets reads for five more seconds, as if
+ * its entry had only lapsed: it must get none until its own entry is back, and
+ * the others serve meanwhile.
  */
 START_TEST(test_a_server_whose_entry_turned_bad)
 {
@@ -331,7 +348,7 @@
 }
 END_TEST
 
-/* A server of a service that no configuration names is never called. */
+/* A server of a service that the configuration lacks is never connected to. */
 START_TEST(test_a_service_that_is_not_configured)
 {
 	struct fake *f = start();
@@ -355,7 +372,10 @@
 }
 END_TEST
 
-/* Version 2 of the configuration: one profile, with this latency target. */
+/*
+ * Gives the first relay version 2 of the configuration, which has one profile,
+ * with this latency target.
+ */
 static void set_target(struct fake *f, uint64_t target_us)
 {
 	struct relay_catalog *c = relay_catalog_create(2, 0);
@@ -381,9 +401,10 @@
 }
 
 /*
- * A dispatcher's booking has a latency target of 100 ms. The primary is full
- * for 40 ms; the booking was refused after 15 and told to come back in 100,
- * which is late whatever happens then. It must wait while it can be in time.
+ * A statement has a latency target of 100 ms, and the primary is full for 40
+ * ms. Guards against a refusal after 15 ms that tells the caller to come back
+ * in 100 ms, which is too late in any case. The statement must wait for as long
+ * as it can be served in time.
  */
 START_TEST(test_a_short_target_is_waited_for)
 {
@@ -403,8 +424,8 @@
 END_TEST
 
 /*
- * The same with a target of 200 ms: a caller that is refused after a quarter
- * of it still comes back in time, so it isn't held.
+ * The same with a target of 200 ms: a caller that is refused after a quarter of
+ * it can still come back in time, so its statement isn't held.
  */
 START_TEST(test_a_longer_target_is_refused_early)
 {
--- a/packages/relay/tests/test_sessions.c
+++ b/packages/relay/tests/test_sessions.c
@@ -17,8 +17,9 @@
 }
 
 /*
- * Two agents share a server connection, one in another language. The second
- * gets its lists in the first one's language when values stay behind.
+ * Two callers with different languages share a server connection. Guards
+ * against a session's values that stay on the connection: the second caller
+ * would read in the first one's language.
  */
 START_TEST(test_values_stay_with_their_session)
 {
@@ -37,8 +38,8 @@
 END_TEST
 
 /*
- * Two programs prepare different statements under one name. One of them would
- * run the other's when the name alone decided.
+ * Two callers prepare different statements under one name. Guards against a
+ * choice by the name alone, with which one would run the other's statement.
  */
 START_TEST(test_prepared_names_collide)
 {
@@ -64,8 +65,9 @@
 END_TEST
 
 /*
- * A plumber drives off in the middle of a correction. The next caller on that
- * connection would write into the open transaction, or commit it.
+ * A caller disconnects in the middle of a transaction. Guards against a
+ * transaction that stays open on the server connection: the next caller would
+ * write into it, or commit it.
  */
 START_TEST(test_left_transaction_is_rolled_back)
 {
@@ -88,8 +90,8 @@
 END_TEST
 
 /*
- * A caller's transaction rests until its time is over, then its caller asks
- * for the commit. Nothing may be stored, and it must be told so.
+ * A transaction is idle until its time is over, then its caller asks for the
+ * commit. Nothing may be stored, and the caller must be told so.
  */
 START_TEST(test_rested_transaction_is_refused)
 {
@@ -108,8 +110,9 @@
 END_TEST
 
 /*
- * The answer to a brand's submission is lost. Sent again it is stored twice;
- * told as refused, the brand sends it again itself.
+ * The answer to a write is lost. Guards against sending the write again, which
+ * stores it twice, and against reporting it as refused, after which the caller
+ * sends it again.
  */
 START_TEST(test_lost_answer_is_in_doubt)
 {
@@ -127,8 +130,9 @@
 END_TEST
 
 /*
- * A proxy stops as planned while one caller is idle and another is in a
- * transaction. The first is sent away, the second may end what it began.
+ * A proxy shuts down as planned while one caller is idle and another is in a
+ * transaction. The first one's session is closed; the second one may complete
+ * its transaction.
  */
 START_TEST(test_stop_lets_transactions_end)
 {
@@ -159,8 +163,9 @@
 }
 
 /*
- * A proxy stops while one caller asks all the time and another's transaction
- * is open. The first may not lose a question, the second not its work.
+ * A proxy shuts down while one caller sends one statement after another and
+ * another's transaction is open. Guards against a statement of the first that
+ * is never answered, and against the loss of the second one's transaction.
  */
 START_TEST(test_stop_ends_between_statements)
 {
@@ -185,8 +190,9 @@
 END_TEST
 
 /*
- * The list names the same servers each time. Their keys were freed, and each
- * list left connections behind until a server was full.
+ * The list names the same servers each time. Guards against keys of the table
+ * of servers that are freed with a list: each list left connections behind
+ * until a server was full.
  */
 START_TEST(test_list_again_keeps_connections)
 {
@@ -203,7 +209,7 @@
 }
 END_TEST
 
-/* Only version and one profile; a later version has another database. */
+/* A configuration with nothing but a version and a profile of the database. */
 static struct relay_catalog *catalog(uint64_t version, const char *database)
 {
 	struct relay_catalog *c = relay_catalog_create(version, 0);
@@ -228,9 +234,9 @@
 }
 
 /*
- * Operators drop a database. An answer of the store that was under way for
- * long still has it, and comes after the newer one: callers would be served
- * by rules that were replaced.
+ * Operators drop a database. Guards against a delayed answer of the store that
+ * still has it and comes after the newer one: callers would be served by a
+ * configuration that was replaced.
  */
 START_TEST(test_older_configuration_changes_nothing)
 {
