--- a/packages/relay/tests/test_accounts.c
+++ b/packages/relay/tests/test_accounts.c
@@ -14,11 +14,11 @@
 #define RELAYS 5
 #define GROUPS 2
 #define SESSIONS 24
-#define DAY_US (30 * USEC_PER_SEC)
+#define WORKLOAD_US (30 * USEC_PER_SEC)
 
-static void next_event(struct fake *f, void *data);
+static void next_operation_event(struct fake *f, void *data);
 
-static void begin_something(struct fake *f, struct hist_session *s)
+static void start_operation(struct fake *f, struct hist_session *s)
 {
 	switch (fake_random(f, 0, 8)) {
 	case 0:
@@ -41,7 +41,7 @@
 	s->left = (unsigned)fake_random(f, 0, 4);
 }
 
-static void go_on(struct fake *f, struct hist_session *s)
+static void continue_transaction(struct fake *f, struct hist_session *s)
 {
 	if (s->state == 'E') {
 		hist_start(f, s, RELAY_ROLLBACK, "", "");
@@ -53,22 +53,23 @@
 	}
 }
 
-static void come_event(struct fake *f, void *data)
+static void connect_event(struct fake *f, void *data)
 {
 	unsigned relay = GPOINTER_TO_UINT(data);
 	struct hist_session *s =
 		hist_open(f, relay, (unsigned)fake_random(f, 0, GROUPS),
 			  (enum relay_kind)fake_random(f, 0, 3));
 
-	s->next = next_event;
-	fake_at(f, -1, fake_random(f, 1, 100) * MS, next_event, s, NULL);
+	s->next = next_operation_event;
+	fake_at(f, -1, fake_random(f, 1, 100) * MS, next_operation_event, s,
+		NULL);
 }
 
 /*
  * Starts the caller's next operation. A caller whose session was ended, or that
  * leaves, opens another one 300 ms later.
  */
-static void next_event(struct fake *f, void *data)
+static void next_operation_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -77,16 +78,16 @@
 	if (!s->open || fake_chance(f, 0.01)) {
 		hist_close(f, s);
 		s->next = NULL;
-		fake_at(f, -1, 300 * MS, come_event, GUINT_TO_POINTER(s->relay),
-			NULL);
+		fake_at(f, -1, 300 * MS, connect_event,
+			GUINT_TO_POINTER(s->relay), NULL);
 	} else if (s->state == 'I') {
-		begin_something(f, s);
+		start_operation(f, s);
 	} else {
-		go_on(f, s);
+		continue_transaction(f, s);
 	}
 }
 
-static void fault(struct fake *f)
+static void inject_fault(struct fake *f)
 {
 	unsigned relay = (unsigned)fake_random(f, 0, RELAYS);
 	unsigned account = (unsigned)fake_random(f, 0, FAKE_ACCOUNTS);
@@ -120,17 +121,17 @@
  * Runs callers under faults that overlap. fake_heal() doesn't give revoked keys
  * back, and each proxy reaches the store again with a probability of 0.7.
  */
-static void day(struct fake *f)
+static void run_workload(struct fake *f)
 {
-	uint64_t end_us = f->now_us + DAY_US;
+	uint64_t end_us = f->now_us + WORKLOAD_US;
 	unsigned i;
 
 	for (i = 0; i < SESSIONS; i++)
-		come_event(f, GUINT_TO_POINTER(i % RELAYS));
+		connect_event(f, GUINT_TO_POINTER(i % RELAYS));
 	while (f->now_us < end_us) {
 		fake_run(f, fake_random(f, 100, 1500) * MS);
-		fault(f);
-		fault(f);
+		inject_fault(f);
+		inject_fault(f);
 		fake_run(f, fake_random(f, 2000, 9000) * MS);
 		fake_heal(f);
 		for (i = 0; i < RELAYS; i++)
@@ -150,7 +151,7 @@
  * Guards against statements that run on another account's connection, with a
  * revoked key or above the account's limit, when faults overlap.
  */
-START_TEST(days_keep_accounts_apart)
+START_TEST(accounts_stay_separate_under_faults)
 {
 	unsigned seed, ran = 0;
 
@@ -158,7 +159,7 @@
 		struct fake *f = fake_create_accounts(seed, RELAYS, GROUPS);
 
 		fake_run(f, 6 * USEC_PER_SEC);
-		day(f);
+		run_workload(f);
 		ck_assert_msg(!*hist_check(f), "seed %u:\n%s", seed,
 			      hist_check(f));
 		ran += hist_ran_in_all(f);
@@ -179,7 +180,7 @@
  * Guards against a checker that misses violations: with one guard off, it must
  * report one for at least one seed.
  */
-START_TEST(days_notice_a_missing_guard)
+START_TEST(checker_reports_a_disabled_guard)
 {
 	bool caught = false;
 	unsigned seed, i;
@@ -191,7 +192,7 @@
 			((bool *)relay_guards_of(
 				f->relays[i].relay))[guards[_i]] = false;
 		fake_run(f, 6 * USEC_PER_SEC);
-		day(f);
+		run_workload(f);
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
@@ -215,7 +216,7 @@
  * Guards against a caller without a valid key that learns from the error code
  * which databases exist.
  */
-START_TEST(the_key_is_asked_for_first)
+START_TEST(keys_are_checked_before_databases)
 {
 	struct fake *f = fake_create_accounts(1, 1, 1);
 
@@ -233,7 +234,7 @@
  * Guards against revoked keys that stay valid because the newest configuration
  * can't be read.
  */
-START_TEST(unreadable_accounts_refuse_every_key)
+START_TEST(unreadable_configuration_refuses_every_key)
 {
 	struct fake *f = fake_create_accounts(1, 1, 1);
 
@@ -251,7 +252,7 @@
  * Guards against a transaction that continues or commits after its account's
  * key was revoked.
  */
-START_TEST(a_transaction_ends_with_its_key)
+START_TEST(a_transaction_ends_when_its_key_is_revoked)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
 	struct hist_session *s;
@@ -276,7 +277,7 @@
  * store doesn't answer. Keys older than FAKE_KEY_AGE_US are refused; they are
  * valid again as soon as the store answers.
  */
-START_TEST(keys_are_good_again_with_the_store)
+START_TEST(keys_are_valid_again_once_the_store_answers)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
 
@@ -292,7 +293,7 @@
 }
 END_TEST
 
-static void press_event(struct fake *f, void *data)
+static void read_again_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -304,7 +305,7 @@
  * Guards against a limit that is split among the proxies: an account whose
  * callers all use one proxy would only get that proxy's share.
  */
-START_TEST(one_proxy_gets_an_account_its_whole_rate)
+START_TEST(an_account_gets_its_whole_rate_at_one_proxy)
 {
 	struct fake *f = fake_create_accounts(1, RELAYS, 1);
 	uint64_t us = 10 * USEC_PER_SEC;
@@ -316,8 +317,8 @@
 		s = hist_open(f, 0, 0, RELAY_KIND_BOUNDED);
 		if (s->account)
 			continue;
-		s->next = press_event;
-		press_event(f, s);
+		s->next = read_again_event;
+		read_again_event(f, s);
 	}
 	fake_run(f, us);
 	ck_assert_uint_ge(hist_ran_in_all(f),
@@ -327,23 +328,23 @@
 }
 END_TEST
 
-#define RETURNS 60 /* callers of one account that read at once */
+#define LIMITED_CALLERS 60 /* callers of one account that read at once */
 
 /* Callers at their account's limit that retry when they were told to. */
-struct returns {
+struct retry_counts {
 	unsigned refused; /* callers that were refused at first */
-	unsigned again; /* of these, those whose retry was refused, too */
+	unsigned refused_again; /* of these, on their retry */
 };
 
-static struct returns returns;
+static struct retry_counts retry_counts;
 
-static void come_back_event(struct fake *f, void *data)
+static void retry_event(struct fake *f, void *data)
 {
 	hist_start(f, data, RELAY_READ, "", "1");
 }
 
 /* s->left is 1 until the caller has been refused once. */
-static void turned_away_event(struct fake *f, void *data)
+static void count_refusal_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 	const char *at = strstr(s->said, "come back in ");
@@ -351,41 +352,41 @@
 	if (s->told == RELAY_OK)
 		return;
 	if (!s->left) {
-		returns.again++;
+		retry_counts.refused_again++;
 		return;
 	}
 	s->left = 0;
-	returns.refused++;
+	retry_counts.refused++;
 	ck_assert_ptr_nonnull(at);
 	fake_at(f, -1,
 		g_ascii_strtoull(at + strlen("come back in "), NULL, 10) * MS,
-		come_back_event, s, NULL);
+		retry_event, s, NULL);
 }
 
 /*
  * Guards against telling all refused callers the same retry time: they would
  * retry at once, and most would be refused again.
  */
-START_TEST(callers_at_a_limit_come_back_one_after_the_other)
+START_TEST(refused_callers_get_staggered_retry_times)
 {
 	struct fake *f = fake_create_accounts((uint32_t)_i, RELAYS, 1);
 	unsigned i, n;
 
-	returns = (struct returns){ 0 };
+	retry_counts = (struct retry_counts){ 0 };
 	fake_run(f, 6 * USEC_PER_SEC);
-	for (i = 0, n = 0; n < RETURNS; i++) {
+	for (i = 0, n = 0; n < LIMITED_CALLERS; i++) {
 		struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_BOUNDED);
 
 		if (s->account)
 			continue;
-		s->next = turned_away_event;
+		s->next = count_refusal_event;
 		s->left = 1;
-		come_back_event(f, s);
+		retry_event(f, s);
 		n++;
 	}
 	fake_run(f, 20 * USEC_PER_SEC);
-	ck_assert_uint_gt(returns.refused, RETURNS / 3);
-	ck_assert_uint_lt(returns.again, returns.refused / 5);
+	ck_assert_uint_gt(retry_counts.refused, LIMITED_CALLERS / 3);
+	ck_assert_uint_lt(retry_counts.refused_again, retry_counts.refused / 5);
 	ck_assert_str_eq(hist_check(f), "");
 	fake_destroy(f);
 }
@@ -395,7 +396,7 @@
  * Whether a relay that has just started may open a third connection to a server
  * that has more than half of its connections in use.
  */
-static bool takes_a_third(struct fake *f)
+static bool may_open_third_connection(struct fake *f)
 {
 	struct relay *r = f->relays[0].relay;
 	struct rserver *s;
@@ -413,13 +414,13 @@
  * that servers have left, one for each account, so that the other proxies have
  * to refuse their callers.
  */
-START_TEST(a_start_leaves_connections_to_the_others)
+START_TEST(a_starting_proxy_leaves_connections_to_others)
 {
 	struct fake *f = fake_create_accounts(1, 5, 1);
 	struct fake *without = fake_create(1, 5, 1);
 
-	ck_assert(!takes_a_third(f));
-	ck_assert(takes_a_third(without));
+	ck_assert(!may_open_third_connection(f));
+	ck_assert(may_open_third_connection(without));
 	fake_destroy(f);
 	fake_destroy(without);
 }
@@ -429,7 +430,7 @@
  * Gives the first relay a list of proxies without the one of index `missing`;
  * -1: a complete list.
  */
-static void list_without(struct fake *f, int missing)
+static void give_list_without(struct fake *f, int missing)
 {
 	struct relay_server_info infos[RELAYS] = { 0 };
 	unsigned i, n = 0;
@@ -440,7 +441,7 @@
 	rgr_on_peers(f->relays[0].relay, infos, n, f->now_us);
 }
 
-static bool grants(struct fake *f)
+static bool grants_token(struct fake *f)
 {
 	struct rlimit *l = rlm_find(f->relays[0].relay, "account0");
 	uint64_t wait_us;
@@ -453,25 +454,25 @@
  * Guards against exceeding the limit through a fifth grantor, one that was just
  * listed, beside four that don't know of it yet.
  */
-START_TEST(a_proxy_that_is_new_waits_before_it_grants)
+START_TEST(a_new_proxy_waits_before_it_grants_tokens)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
 
 	fake_run(f, 6 * USEC_PER_SEC);
-	ck_assert(grants(f));
-	list_without(f, 0);
-	ck_assert(!grants(f));
-	list_without(f, -1);
-	ck_assert(!grants(f));
+	ck_assert(grants_token(f));
+	give_list_without(f, 0);
+	ck_assert(!grants_token(f));
+	give_list_without(f, -1);
+	ck_assert(!grants_token(f));
 	fake_run(f, FAKE_KEY_AGE_US - 100 * MS);
-	ck_assert(!grants(f));
+	ck_assert(!grants_token(f));
 	fake_run(f, 200 * MS);
-	ck_assert(grants(f));
+	ck_assert(grants_token(f));
 	fake_destroy(f);
 }
 END_TEST
 
-static bool is_ranked(struct fake *f, const char *name)
+static bool is_known_as_grantor(struct fake *f, const char *name)
 {
 	const struct rlimit *l = rlm_find(f->relays[0].relay, "account0");
 	unsigned i;
@@ -486,19 +487,19 @@
  * Guards against exceeding the limit through a grantor that replaces one which
  * left the list and may not know that yet.
  */
-START_TEST(a_proxy_that_left_counts_on_for_a_while)
+START_TEST(a_delisted_grantor_is_kept_for_a_while)
 {
 	struct fake *f = fake_create_accounts(1, RELAYS, 1);
 	unsigned left = 1;
 
 	fake_run(f, 6 * USEC_PER_SEC);
-	while (!is_ranked(f, f->relays[left].name))
+	while (!is_known_as_grantor(f, f->relays[left].name))
 		left++;
-	list_without(f, (int)left);
+	give_list_without(f, (int)left);
 	fake_run(f, FAKE_KEY_AGE_US - 100 * MS);
-	ck_assert(is_ranked(f, f->relays[left].name));
+	ck_assert(is_known_as_grantor(f, f->relays[left].name));
 	fake_run(f, 200 * MS);
-	ck_assert(!is_ranked(f, f->relays[left].name));
+	ck_assert(!is_known_as_grantor(f, f->relays[left].name));
 	fake_destroy(f);
 }
 END_TEST
@@ -507,7 +508,7 @@
  * Guards against a ranking that is only updated when no request for tokens is
  * in flight: under load there always is one.
  */
-START_TEST(a_ranking_waits_for_no_answer)
+START_TEST(ranking_does_not_wait_for_a_request_in_flight)
 {
 	struct fake *f = fake_create_accounts(1, RELAYS, 1);
 	struct rconn in_flight = { 0 };
@@ -515,13 +516,13 @@
 	unsigned left = 1;
 
 	fake_run(f, 6 * USEC_PER_SEC);
-	while (!is_ranked(f, f->relays[left].name))
+	while (!is_known_as_grantor(f, f->relays[left].name))
 		left++;
 	l = rlm_find(f->relays[0].relay, "account0");
-	list_without(f, (int)left);
+	give_list_without(f, (int)left);
 	fake_run(f, FAKE_KEY_AGE_US + 100 * MS);
 	l->ask = &in_flight;
-	ck_assert(!is_ranked(f, f->relays[left].name));
+	ck_assert(!is_known_as_grantor(f, f->relays[left].name));
 	l->ask = NULL;
 	fake_destroy(f);
 }
@@ -531,16 +532,16 @@
  * Guards against a grantor without the store that grants tokens by a list of
  * proxies that may have been replaced.
  */
-START_TEST(a_grantor_that_hears_nothing_stops)
+START_TEST(a_grantor_without_the_store_stops)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
 
 	fake_run(f, 6 * USEC_PER_SEC);
 	fake_store(f, 0, false);
 	fake_run(f, FAKE_KEY_AGE_US - USEC_PER_SEC);
-	ck_assert(grants(f));
+	ck_assert(grants_token(f));
 	fake_run(f, USEC_PER_SEC + 200 * MS);
-	ck_assert(!grants(f));
+	ck_assert(!grants_token(f));
 	fake_destroy(f);
 }
 END_TEST
@@ -549,7 +550,7 @@
  * Guards against a key that is listed for two accounts and admits callers to
  * one of them.
  */
-START_TEST(a_key_of_two_accounts_is_nobodys)
+START_TEST(a_key_of_two_accounts_admits_nobody)
 {
 	struct relay_catalog *c = relay_catalog_create(1, 0);
 	struct relay_account a = { .name = "a" }, b = { .name = "b" };
@@ -571,8 +572,9 @@
 }
 END_TEST
 
-static GLogWriterOutput no_log(GLogLevelFlags level, const GLogField *fields,
-			       gsize n_fields, gpointer data)
+static GLogWriterOutput discard_log(GLogLevelFlags level,
+				    const GLogField *fields, gsize n_fields,
+				    gpointer data)
 {
 	(void)level;
 	(void)fields;
@@ -585,22 +587,22 @@
 {
 	TCase *tc = tcase_create("accounts");
 
-	g_log_set_writer_func(no_log, NULL, NULL);
-	tcase_add_test(tc, the_key_is_asked_for_first);
-	tcase_add_test(tc, unreadable_accounts_refuse_every_key);
-	tcase_add_test(tc, a_transaction_ends_with_its_key);
-	tcase_add_test(tc, keys_are_good_again_with_the_store);
-	tcase_add_test(tc, one_proxy_gets_an_account_its_whole_rate);
-	tcase_add_loop_test(
-		tc, callers_at_a_limit_come_back_one_after_the_other, 1, 6);
-	tcase_add_test(tc, a_start_leaves_connections_to_the_others);
-	tcase_add_test(tc, a_proxy_that_is_new_waits_before_it_grants);
-	tcase_add_test(tc, a_proxy_that_left_counts_on_for_a_while);
-	tcase_add_test(tc, a_ranking_waits_for_no_answer);
-	tcase_add_test(tc, a_grantor_that_hears_nothing_stops);
-	tcase_add_test(tc, a_key_of_two_accounts_is_nobodys);
-	tcase_add_test(tc, days_keep_accounts_apart);
-	tcase_add_loop_test(tc, days_notice_a_missing_guard, 0,
+	g_log_set_writer_func(discard_log, NULL, NULL);
+	tcase_add_test(tc, keys_are_checked_before_databases);
+	tcase_add_test(tc, unreadable_configuration_refuses_every_key);
+	tcase_add_test(tc, a_transaction_ends_when_its_key_is_revoked);
+	tcase_add_test(tc, keys_are_valid_again_once_the_store_answers);
+	tcase_add_test(tc, an_account_gets_its_whole_rate_at_one_proxy);
+	tcase_add_loop_test(tc, refused_callers_get_staggered_retry_times, 1,
+			    6);
+	tcase_add_test(tc, a_starting_proxy_leaves_connections_to_others);
+	tcase_add_test(tc, a_new_proxy_waits_before_it_grants_tokens);
+	tcase_add_test(tc, a_delisted_grantor_is_kept_for_a_while);
+	tcase_add_test(tc, ranking_does_not_wait_for_a_request_in_flight);
+	tcase_add_test(tc, a_grantor_without_the_store_stops);
+	tcase_add_test(tc, a_key_of_two_accounts_admits_nobody);
+	tcase_add_test(tc, accounts_stay_separate_under_faults);
+	tcase_add_loop_test(tc, checker_reports_a_disabled_guard, 0,
 			    G_N_ELEMENTS(guards));
 	return suite_main("accounts", tc);
 }
