--- a/packages/relay/tests/test_histories.c
+++ b/packages/relay/tests/test_histories.c
@@ -7,13 +7,13 @@
 #define RELAYS 3
 #define GROUPS 2
 #define SESSIONS 6
-#define DAY_US (25 * USEC_PER_SEC)
+#define WORKLOAD_US (25 * USEC_PER_SEC)
 
 static const char *const names[] = { "a", "b", "c" };
 
-static void next_event(struct fake *f, void *data);
+static void next_operation_event(struct fake *f, void *data);
 
-static void begin_something(struct fake *f, struct hist_session *s)
+static void start_operation(struct fake *f, struct hist_session *s)
 {
 	const char *name = names[fake_random(f, 0, 3)];
 	char text[16];
@@ -51,7 +51,7 @@
 	s->left = (unsigned)fake_random(f, 0, 4);
 }
 
-static void go_on(struct fake *f, struct hist_session *s)
+static void continue_transaction(struct fake *f, struct hist_session *s)
 {
 	if (s->state == 'E' || (!s->left && fake_chance(f, 0.2))) {
 		hist_start(f, s, RELAY_ROLLBACK, "", "");
@@ -64,14 +64,14 @@
 	}
 }
 
-static struct hist_session *come(struct fake *f, unsigned relay)
+static struct hist_session *open_session(struct fake *f, unsigned relay)
 {
 	struct hist_session *s =
 		hist_open(f, relay, (unsigned)fake_random(f, 0, GROUPS),
 			  (enum relay_kind)fake_random(f, 0, 3));
 
-	s->next = next_event;
-	fake_at(f, -1, MS, next_event, s, NULL);
+	s->next = next_operation_event;
+	fake_at(f, -1, MS, next_operation_event, s, NULL);
 	return s;
 }
 
@@ -79,7 +79,7 @@
  * Starts the caller's next operation. Some callers leave, also in the middle of
  * a transaction, and open another session.
  */
-static void next_event(struct fake *f, void *data)
+static void next_operation_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -87,15 +87,15 @@
 		return;
 	if (fake_chance(f, 0.01)) {
 		hist_close(f, s);
-		come(f, s->relay);
+		open_session(f, s->relay);
 	} else if (s->state == 'I') {
-		begin_something(f, s);
+		start_operation(f, s);
 	} else {
-		go_on(f, s);
+		continue_transaction(f, s);
 	}
 }
 
-static void fault(struct fake *f)
+static void inject_fault(struct fake *f)
 {
 	unsigned server = (unsigned)fake_random(f, 0, GROUPS * GROUP_SIZE);
 	unsigned relay = (unsigned)fake_random(f, 0, RELAYS);
@@ -134,21 +134,21 @@
  * Runs callers under faults, one or two at a time, that end after some seconds.
  * A server that crashed is down for at least two seconds.
  */
-static void day(struct fake *f)
+static void run_workload(struct fake *f)
 {
-	uint64_t end_us = f->now_us + DAY_US;
+	uint64_t end_us = f->now_us + WORKLOAD_US;
 	unsigned i;
 
 	for (i = 0; i < SESSIONS; i++)
-		come(f, i % RELAYS);
+		open_session(f, i % RELAYS);
 	f->busy = 0.01;
 	f->promote_us = fake_random(f, 400, 1001) * MS;
 	while (f->now_us < end_us) {
 		fake_run(f, fake_random(f, 100, 1500) * MS);
-		fault(f);
+		inject_fault(f);
 		if (fake_chance(f, 0.5)) {
 			fake_run(f, fake_random(f, 1, 400) * MS);
-			fault(f);
+			inject_fault(f);
 		}
 		fake_run(f, fake_random(f, 2000, 4500) * MS);
 		fake_heal(f);
@@ -168,7 +168,7 @@
  * or lag, and proxies are cut off or suspended. Whatever the order of events,
  * no caller may get an answer that is not true.
  */
-START_TEST(test_days_keep_their_promises)
+START_TEST(test_answers_are_true_under_faults)
 {
 	unsigned seed, promotions = 0, acked = 0;
 
@@ -176,7 +176,7 @@
 		struct fake *f = fake_create(seed, RELAYS, GROUPS);
 
 		fake_run(f, USEC_PER_SEC);
-		day(f);
+		run_workload(f);
 		ck_assert_msg(!*hist_check(f), "seed %u:\n%s", seed,
 			      hist_check(f));
 		promotions += f->n_promotions;
@@ -213,7 +213,7 @@
  * Guards against a checker that misses violations: with one guard off, it must
  * report one for at least one seed.
  */
-START_TEST(test_days_notice_a_missing_guard)
+START_TEST(test_checker_reports_a_disabled_guard)
 {
 	unsigned seed, i;
 	bool caught = false;
@@ -226,7 +226,7 @@
 			((bool *)relay_guards_of(f->relays[i].relay))[_i] =
 				false;
 		fake_run(f, USEC_PER_SEC);
-		day(f);
+		run_workload(f);
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
@@ -235,8 +235,9 @@
 }
 END_TEST
 
-static GLogWriterOutput no_log(GLogLevelFlags level, const GLogField *fields,
-			       gsize n_fields, gpointer data)
+static GLogWriterOutput discard_log(GLogLevelFlags level,
+				    const GLogField *fields, gsize n_fields,
+				    gpointer data)
 {
 	(void)level;
 	(void)fields;
@@ -249,9 +250,9 @@
 {
 	TCase *tc = tcase_create("histories");
 
-	g_log_set_writer_func(no_log, NULL, NULL);
-	tcase_add_test(tc, test_days_keep_their_promises);
-	tcase_add_loop_test(tc, test_days_notice_a_missing_guard, 1,
+	g_log_set_writer_func(discard_log, NULL, NULL);
+	tcase_add_test(tc, test_answers_are_true_under_faults);
+	tcase_add_loop_test(tc, test_checker_reports_a_disabled_guard, 1,
 			    G_N_ELEMENTS(guards) - 15);
 	return suite_main("histories", tc);
 }
--- a/packages/relay/tests/test_overload.c
+++ b/packages/relay/tests/test_overload.c
@@ -12,21 +12,21 @@
 #define CAPACITY (FAKE_SLOTS * LOAD_US / WORK_US)
 
 static unsigned n_in_time; /* statements that succeeded within FAKE_AIM_US */
-static uint64_t rest_us; /* mean pause of a caller between two statements */
+static uint64_t pause_us; /* mean pause of a caller between two statements */
 
-static void next_event(struct fake *f, void *data);
+static void next_operation_event(struct fake *f, void *data);
 
-static void rest(struct fake *f, void *data)
+static void pause_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
 	if (s->told == RELAY_OK && f->now_us <= s->begun_us + FAKE_AIM_US)
 		n_in_time++;
-	fake_at(f, -1, fake_random(f, rest_us / 2, rest_us * 3 / 2), next_event,
-		s, NULL);
+	fake_at(f, -1, fake_random(f, pause_us / 2, pause_us * 3 / 2),
+		next_operation_event, s, NULL);
 }
 
-static void next_event(struct fake *f, void *data)
+static void next_operation_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -34,7 +34,7 @@
 		   "1");
 }
 
-static void set_up(struct relay *r, bool guard)
+static void configure(struct relay *r, bool guard)
 {
 	struct rservice *v = g_hash_table_lookup(r->services, "group0");
 
@@ -48,19 +48,19 @@
 	unsigned i;
 
 	n_in_time = 0;
-	rest_us = 100 * MS;
+	pause_us = 100 * MS;
 	fake_run(f, USEC_PER_SEC);
 	f->servers[0].work_us = WORK_US;
 	f->servers[0].queue_us = QUEUE_US;
 	f->max_connections = CONNECTIONS;
 	for (i = 0; i < RELAYS; i++)
-		set_up(f->relays[i].relay, guard);
+		configure(f->relays[i].relay, guard);
 	for (i = 0; i < CALLERS; i++) {
 		struct hist_session *s =
 			hist_open(f, i % RELAYS, 0, RELAY_KIND_PRIMARY);
 
-		s->next = rest;
-		next_event(f, s);
+		s->next = pause_event;
+		next_operation_event(f, s);
 	}
 	return f;
 }
@@ -99,13 +99,13 @@
  * Guards against callers that are refused after an overload is over because the
  * limit on statements in flight stays.
  */
-START_TEST(test_a_limit_goes_when_the_load_does)
+START_TEST(test_the_limit_is_lifted_after_an_overload)
 {
 	struct fake *f = start((uint32_t)_i, true);
 	unsigned before;
 
 	fake_run(f, LOAD_US);
-	rest_us = 2 * USEC_PER_SEC;
+	pause_us = 2 * USEC_PER_SEC;
 	fake_run(f, 5 * USEC_PER_SEC);
 	before = f->n_codes[RELAY_BUSY];
 	fake_run(f, LOAD_US);
@@ -120,6 +120,7 @@
 
 	tcase_add_loop_test(tc, test_an_overloaded_primary_serves_what_it_can,
 			    0, 5);
-	tcase_add_loop_test(tc, test_a_limit_goes_when_the_load_does, 0, 5);
+	tcase_add_loop_test(tc, test_the_limit_is_lifted_after_an_overload, 0,
+			    5);
 	return suite_main("overload", tc);
 }
