--- a/packages/relay/tests/test_homes.c
+++ b/packages/relay/tests/test_homes.c
@@ -40,7 +40,7 @@
  * The index of the n-th relay that is a home, or that isn't if `home` is false;
  * counted from 0. n_relays: there is none.
  */
-static unsigned nth(struct fake *f, bool home, unsigned n)
+static unsigned nth_relay(struct fake *f, bool home, unsigned n)
 {
 	unsigned i = 0;
 
@@ -49,7 +49,7 @@
 	return i;
 }
 
-static void next_event(struct fake *f, void *data)
+static void next_operation_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -70,15 +70,15 @@
 /*
  * Starts callers at all relays, of all kinds; each writes, reads and commits.
  */
-static void come(struct fake *f)
+static void start_callers(struct fake *f)
 {
 	unsigned i;
 
 	for (i = 0; i < CALLERS; i++) {
 		callers[i] = hist_open(f, i % f->n_relays, 0,
 				       (enum relay_kind)(i / 2 % 3));
-		callers[i]->next = next_event;
-		next_event(f, callers[i]);
+		callers[i]->next = next_operation_event;
+		next_operation_event(f, callers[i]);
 	}
 }
 
@@ -126,7 +126,7 @@
 	gpointer value;
 
 	f->servers[1].lag_us = 80 * MS;
-	come(f);
+	start_callers(f);
 	fake_run(f, 5 * USEC_PER_SEC);
 	check_all_served(f);
 	g_hash_table_iter_init(&iter, f->conns);
@@ -136,7 +136,8 @@
 		ck_assert(c->peer || is_home(f, c->relay));
 	}
 	ck_assert_uint_le(f->servers[0].n_conns, f->max_connections);
-	ck_assert_uint_lt(nth(f, false, 2), RELAYS); /* three aren't homes */
+	ck_assert_uint_lt(nth_relay(f, false, 2),
+			  RELAYS); /* three aren't homes */
 	ck_assert_uint_eq(f->n_codes[RELAY_IN_DOUBT], 0);
 	end(f);
 }
@@ -145,10 +146,10 @@
 /*
  * Fails when a statement waits for the next tick before a home is connected to.
  */
-START_TEST(homes_are_connected_to_when_they_are_asked_for)
+START_TEST(homes_are_connected_to_at_the_first_statement)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned entry = nth(f, false, 0);
+	unsigned entry = nth_relay(f, false, 0);
 	struct relay *r = f->relays[entry].relay;
 	struct hist_session *s = hist_open(f, entry, 0, RELAY_KIND_OWN_WRITES);
 
@@ -166,10 +167,10 @@
 /*
  * Fails when connections to homes are kept for databases that are not in use.
  */
-START_TEST(homes_that_nobody_asks_for_are_let_go)
+START_TEST(connections_to_unused_homes_are_closed)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned entry = nth(f, false, 0);
+	unsigned entry = nth_relay(f, false, 0);
 	struct relay *r = f->relays[entry].relay;
 	struct hist_session *s = hist_open(f, entry, 0, RELAY_KIND_OWN_WRITES);
 
@@ -201,7 +202,7 @@
  * proxies 34 became homes, each of which probed each server, and the probes
  * together were more than a server has slots and queue for.
  */
-START_TEST(test_homes_are_few_before_wide_servers)
+START_TEST(test_number_of_homes_is_bounded)
 {
 	/* Connections that a server takes, homes of its service. */
 	static const unsigned limits[][2] = { { 35, 7 },
@@ -235,7 +236,7 @@
  * against a caller that reads in another's language, or runs another's prepared
  * statement of the same name.
  */
-START_TEST(test_callers_do_not_mix_at_a_home)
+START_TEST(test_sessions_stay_separate_at_a_home)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
 	struct hist_session *s[3];
@@ -244,7 +245,7 @@
 	for (i = 0; i < 3; i++) {
 		char text[2] = { (char)('x' + i), '\0' };
 
-		s[i] = hist_open(f, nth(f, false, i / 2), 0,
+		s[i] = hist_open(f, nth_relay(f, false, i / 2), 0,
 				 RELAY_KIND_PRIMARY);
 		hist_run(f, s[i], RELAY_SET, "lang", text);
 		hist_run(f, s[i], RELAY_PREPARE_READ + i % 2, "s", text);
@@ -267,10 +268,10 @@
  * Guards against a floor, the position in the log that a session's reads must
  * see, that stays with the connection: all reads went to the primary.
  */
-START_TEST(test_floor_does_not_stick)
+START_TEST(test_floor_does_not_stay_with_a_connection)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned relay = nth(f, false, 0), before, i, n = 0;
+	unsigned relay = nth_relay(f, false, 0), before, i, n = 0;
 	struct hist_session *a = hist_open(f, relay, 0, RELAY_KIND_OWN_WRITES);
 	struct hist_session *b;
 
@@ -295,12 +296,12 @@
  * write that is stored twice, or is reported as refused when it may be stored;
  * callers go on through other homes.
  */
-START_TEST(test_dead_home_is_passed_by)
+START_TEST(test_dead_home_is_avoided)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned home = nth(f, true, (unsigned)_i % 3), i;
+	unsigned home = nth_relay(f, true, (unsigned)_i % 3), i;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, 2 * USEC_PER_SEC + (uint64_t)_i * MS);
 	kill_relay(f, home);
 	for (i = 0; i < CALLERS; i++)
@@ -321,12 +322,12 @@
  * takes the primary, which it doesn't know yet, for missing, and pauses the
  * replicas, so that all writes stop.
  */
-START_TEST(test_home_that_stops_is_not_noticed)
+START_TEST(test_callers_go_on_when_a_home_stops)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned home = nth(f, true, (unsigned)_i % 3), before, i;
+	unsigned home = nth_relay(f, true, (unsigned)_i % 3), before, i;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, 5 * USEC_PER_SEC);
 	before = f->n_codes[RELAY_BUSY];
 	f->relays[home].unlisted = true;
@@ -351,15 +352,15 @@
 END_TEST
 
 /* Starts callers at the relays that aren't homes. */
-static void come_to_others(struct fake *f)
+static void start_callers_elsewhere(struct fake *f)
 {
 	unsigned i;
 
 	for (i = 0; i < CALLERS; i++) {
-		callers[i] = hist_open(f, nth(f, false, i % 3), 0,
+		callers[i] = hist_open(f, nth_relay(f, false, i % 3), 0,
 				       RELAY_KIND_PRIMARY);
-		callers[i]->next = next_event;
-		next_event(f, callers[i]);
+		callers[i]->next = next_operation_event;
+		next_operation_event(f, callers[i]);
 	}
 }
 
@@ -367,18 +368,18 @@
  * How many of three callers' first statements are refused when two homes are
  * cut off from the primary.
  */
-static unsigned refused_by_cut_homes(uint32_t seed)
+static unsigned count_refused_with_cut_homes(uint32_t seed)
 {
 	struct fake *f = start(seed, RELAYS);
 	unsigned i, n = 0;
 
-	come_to_others(f);
+	start_callers_elsewhere(f);
 	fake_run(f, USEC_PER_SEC);
-	fake_cut(f, nth(f, true, 0), 0, true);
-	fake_cut(f, nth(f, true, 1), 0, true);
+	fake_cut(f, nth_relay(f, true, 0), 0, true);
+	fake_cut(f, nth_relay(f, true, 1), 0, true);
 	fake_run(f, 1500 * MS);
 	for (i = 0; i < 3; i++) {
-		struct hist_session *s = hist_open(f, nth(f, false, i), 0,
+		struct hist_session *s = hist_open(f, nth_relay(f, false, i), 0,
 						   RELAY_KIND_OWN_WRITES);
 
 		n += hist_run(f, s, RELAY_WRITE, "", "1") != RELAY_OK;
@@ -395,12 +396,12 @@
  * second later: fourteen of eighteen callers were refused after waiting for the
  * queue timeout.
  */
-START_TEST(test_a_home_that_is_cut_off_is_left)
+START_TEST(test_a_home_that_is_cut_off_is_avoided)
 {
 	unsigned seed, n = 0;
 
 	for (seed = 0; seed < 6; seed++)
-		n += refused_by_cut_homes(seed);
+		n += count_refused_with_cut_homes(seed);
 	/* An idle home needs a tick to confirm its primary. */
 	ck_assert_uint_le(n, 1);
 }
@@ -414,7 +415,7 @@
 START_TEST(test_another_home_is_found)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned relay = nth(f, false, 0), i;
+	unsigned relay = nth_relay(f, false, 0), i;
 	struct hist_session *s = hist_open(f, relay, 0, RELAY_KIND_PRIMARY);
 	const struct rservice *via;
 
@@ -438,10 +439,10 @@
  * ready, so that the load balancer keeps sending callers to it, and against
  * sessions that stay open there though each statement is refused.
  */
-START_TEST(test_an_isolated_proxy_turns_red)
+START_TEST(test_an_isolated_proxy_is_not_ready)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned relay = nth(f, false, 0), i;
+	unsigned relay = nth_relay(f, false, 0), i;
 	struct hist_session *s = hist_open(f, relay, 0, RELAY_KIND_PRIMARY);
 
 	ck_assert_int_eq(hist_run(f, s, RELAY_READ, "", "1"), RELAY_OK);
@@ -465,7 +466,7 @@
  * for as long as it lasts: the proxies next in rank must serve as homes, and
  * only until it is over.
  */
-START_TEST(test_spares_stand_in_for_homes)
+START_TEST(test_spares_replace_unreachable_homes)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
 	bool was_home[RELAYS];
@@ -474,7 +475,7 @@
 	for (i = 0; i < RELAYS; i++)
 		was_home[i] = is_home(f, i);
 	f->max_connections += 2 * RELAYS; /* room for three more homes */
-	come(f);
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < RELAYS; i++)
 		f->side[i] = was_home[i];
@@ -498,7 +499,7 @@
  * against its callers' sessions that stay there and are refused, while other
  * proxies reach its homes.
  */
-START_TEST(test_a_session_leaves_where_its_database_has_no_home)
+START_TEST(test_a_session_ends_where_its_database_has_no_home)
 {
 	struct fake *f = fake_create((uint32_t)_i, RELAYS, 2);
 	struct hist_session *s, *other;
@@ -572,7 +573,7 @@
 	struct fake *f = start((uint32_t)_i, RELAYS);
 	unsigned i, before;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < CALLERS; i++)
 		if (callers[i]->open)
@@ -594,12 +595,12 @@
  * all writes for a second, and against two proxies that ask each other and pass
  * a write back and forth.
  */
-START_TEST(test_way_round_a_cut)
+START_TEST(test_proxies_route_around_a_cut)
 {
 	struct fake *f = start((uint32_t)_i, 3);
 	unsigned i;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i <= (unsigned)_i % 2; i++)
 		fake_cut(f, i, 0, true);
@@ -616,14 +617,14 @@
  * against a proxy that asks the others one by one, each of which waits in vain,
  * and refuses callers too late for them to come back in time.
  */
-START_TEST(test_the_way_round_ends_in_time)
+START_TEST(test_routing_around_a_cut_ends_in_time)
 {
 	struct fake *f = start((uint32_t)_i, 4);
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
 	unsigned i;
 
 	/* Others write all the while, so the primary isn't replaced. */
-	come(f);
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	fake_cut(f, 0, 0, true);
 	fake_run(f, 2 * USEC_PER_SEC);
@@ -649,7 +650,7 @@
  * A partition with proxies 0 and 1 and the primary on one side, proxies 2 and
  * 3, the replicas and the store on the other.
  */
-static void split(struct fake *f)
+static void partition_fleet(struct fake *f)
 {
 	unsigned i;
 
@@ -663,7 +664,8 @@
 }
 
 /* Sends writes for that time or until the session is closed. */
-static void write_in_vain(struct fake *f, struct hist_session *s, uint64_t us)
+static void write_until_closed(struct fake *f, struct hist_session *s,
+			       uint64_t us)
 {
 	uint64_t end_us = f->now_us + us;
 
@@ -686,8 +688,8 @@
 	unsigned i;
 
 	ck_assert_int_eq(hist_run(f, s, RELAY_WRITE, "", "1"), RELAY_OK);
-	split(f);
-	write_in_vain(f, s, 4 * USEC_PER_SEC);
+	partition_fleet(f);
+	write_until_closed(f, s, 4 * USEC_PER_SEC);
 	ck_assert(!s->open);
 	ck_assert(!relay_is_ready(f->relays[0].relay));
 	ck_assert(relay_is_ready(f->relays[2].relay));
@@ -707,7 +709,7 @@
  * Guards against proxies that all turn their callers away for that: no proxy
  * would be left for callers, though the other databases are served.
  */
-START_TEST(test_no_proxy_leaves_for_an_outage_of_the_store)
+START_TEST(test_a_store_outage_turns_no_callers_away)
 {
 	struct fake *f = start((uint32_t)_i, 4);
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -718,7 +720,7 @@
 	for (i = 0; i < 4; i++)
 		fake_store(f, i, false);
 	fake_crash(f, 0);
-	write_in_vain(f, s, 2 * USEC_PER_SEC);
+	write_until_closed(f, s, 2 * USEC_PER_SEC);
 	ck_assert(s->open);
 	for (i = 0; i < 4; i++)
 		ck_assert(relay_is_ready(f->relays[i].relay));
@@ -757,28 +759,29 @@
 	TCase *tc = tcase_create("homes");
 
 	tcase_add_loop_test(tc, test_only_homes_connect, 0, 5);
-	tcase_add_loop_test(tc, test_homes_are_few_before_wide_servers, 0, 3);
-	tcase_add_loop_test(tc, test_callers_do_not_mix_at_a_home, 0, 5);
-	tcase_add_loop_test(tc, test_floor_does_not_stick, 0, 5);
-	tcase_add_loop_test(tc, test_dead_home_is_passed_by, 0, 12);
-	tcase_add_loop_test(tc, test_home_that_stops_is_not_noticed, 0, 6);
-	tcase_add_test(tc, test_a_home_that_is_cut_off_is_left);
+	tcase_add_loop_test(tc, test_number_of_homes_is_bounded, 0, 3);
+	tcase_add_loop_test(tc, test_sessions_stay_separate_at_a_home, 0, 5);
+	tcase_add_loop_test(tc, test_floor_does_not_stay_with_a_connection, 0,
+			    5);
+	tcase_add_loop_test(tc, test_dead_home_is_avoided, 0, 12);
+	tcase_add_loop_test(tc, test_callers_go_on_when_a_home_stops, 0, 6);
+	tcase_add_test(tc, test_a_home_that_is_cut_off_is_avoided);
 	tcase_add_loop_test(tc, test_another_home_is_found, 0, 4);
-	tcase_add_loop_test(tc, test_an_isolated_proxy_turns_red, 0, 3);
-	tcase_add_loop_test(tc, test_spares_stand_in_for_homes, 0, 6);
+	tcase_add_loop_test(tc, test_an_isolated_proxy_is_not_ready, 0, 3);
+	tcase_add_loop_test(tc, test_spares_replace_unreachable_homes, 0, 6);
 	tcase_add_loop_test(
-		tc, test_a_session_leaves_where_its_database_has_no_home, 0, 4);
+		tc, test_a_session_ends_where_its_database_has_no_home, 0, 4);
 	tcase_add_loop_test(tc, test_homes_of_a_removed_database_are_left_alone,
 			    0, 3);
 	tcase_add_loop_test(
 		tc, test_callers_leave_the_wrong_side_of_a_partition, 0, 6);
-	tcase_add_loop_test(tc, test_no_proxy_leaves_for_an_outage_of_the_store,
-			    0, 6);
-	tcase_add_loop_test(tc, test_way_round_a_cut, 0, 6);
-	tcase_add_loop_test(tc, homes_are_connected_to_when_they_are_asked_for,
+	tcase_add_loop_test(tc, test_a_store_outage_turns_no_callers_away, 0,
+			    6);
+	tcase_add_loop_test(tc, test_proxies_route_around_a_cut, 0, 6);
+	tcase_add_loop_test(tc, homes_are_connected_to_at_the_first_statement,
 			    0, 5);
-	tcase_add_loop_test(tc, homes_that_nobody_asks_for_are_let_go, 0, 5);
-	tcase_add_loop_test(tc, test_the_way_round_ends_in_time, 0, 60);
+	tcase_add_loop_test(tc, connections_to_unused_homes_are_closed, 0, 5);
+	tcase_add_loop_test(tc, test_routing_around_a_cut_ends_in_time, 0, 60);
 	tcase_add_loop_test(tc, test_a_lapsed_list_makes_no_homes, 0, 3);
 	return suite_main("homes", tc);
 }
--- a/packages/relay/tests/test_rank.c
+++ b/packages/relay/tests/test_rank.c
@@ -8,7 +8,7 @@
 #define PROXIES 200
 #define CHANGES 60
 #define SELF 0
-#define WIDE_LIMIT 80 /* connections that a server takes: 16 homes */
+#define SERVER_CONNECTIONS 80 /* connections that a server takes: 16 homes */
 
 static char names[PROXIES][16];
 
@@ -32,7 +32,8 @@
 static void configure(struct fake *f, unsigned n_services)
 {
 	struct relay_catalog *c = relay_catalog_create(99, 0);
-	struct relay_service_conf conf = { .max_connections = WIDE_LIMIT };
+	struct relay_service_conf conf = { .max_connections =
+						   SERVER_CONNECTIONS };
 	char name[16];
 	unsigned i;
 
@@ -45,7 +46,7 @@
 	relay_catalog_unref(c);
 }
 
-static void tell(struct fake *f, const bool *listed)
+static void give_list(struct fake *f, const bool *listed)
 {
 	struct relay_server_info infos[PROXIES];
 	unsigned i, n = 0;
@@ -77,7 +78,7 @@
 	return n;
 }
 
-static void check_names(const GPtrArray *names_of, const char *const *expected,
+static void check_names(const GPtrArray *actual, const char *const *expected,
 			unsigned n)
 {
 	unsigned i, at = 0;
@@ -85,10 +86,10 @@
 	for (i = 0; i < n; i++) {
 		if (!strcmp(expected[i], names[SELF]))
 			continue;
-		ck_assert_uint_lt(at, names_of->len);
-		ck_assert_str_eq(names_of->pdata[at++], expected[i]);
+		ck_assert_uint_lt(at, actual->len);
+		ck_assert_str_eq(actual->pdata[at++], expected[i]);
 	}
-	ck_assert_uint_eq(at, names_of->len);
+	ck_assert_uint_eq(at, actual->len);
 }
 
 static void check_homes(struct fake *f, const bool *listed)
@@ -121,7 +122,7 @@
 	configure(f, 1);
 	for (i = 0; i < PROXIES; i++)
 		listed[i] = fake_chance(f, 0.7);
-	tell(f, listed);
+	give_list(f, listed);
 	for (i = 0; i < CHANGES; i++) {
 		for (k = 0; k < 5; k++) {
 			unsigned at =
@@ -129,7 +130,7 @@
 
 			listed[at] = !listed[at];
 		}
-		tell(f, listed);
+		give_list(f, listed);
 		check_homes(f, listed);
 	}
 	fake_destroy(f);
@@ -140,7 +141,7 @@
  * Guards against many restarts in a large fleet that make every proxy process a
  * list each time.
  */
-START_TEST(small_changes_of_a_large_fleet_are_taken_together)
+START_TEST(small_changes_of_a_large_fleet_are_batched)
 {
 	struct fake *f = fake_create(1, 1, 1);
 	struct relay *r = f->relays[0].relay;
@@ -152,7 +153,7 @@
 	name_all(f);
 	configure(f, 1);
 	ck_assert(relay_takes_peers(r, PROXIES, f->now_us));
-	tell(f, listed);
+	give_list(f, listed);
 	ck_assert(!relay_takes_peers(r, PROXIES - 1, f->now_us + 100 * MS));
 	ck_assert(relay_takes_peers(r, PROXIES / 2, f->now_us + 100 * MS));
 	ck_assert(relay_takes_peers(r, PROXIES * 2, f->now_us + 100 * MS));
@@ -170,7 +171,7 @@
 }
 
 /* Lists the first n proxies, with or without this one, and lets 200 ms pass. */
-static void tell_first(struct fake *f, unsigned n, bool self)
+static void give_list_of_first(struct fake *f, unsigned n, bool self)
 {
 	bool listed[PROXIES] = { false };
 	unsigned i;
@@ -178,7 +179,7 @@
 	for (i = 1; i < n; i++)
 		listed[i] = true;
 	listed[SELF] = self;
-	tell(f, listed);
+	give_list(f, listed);
 	relay_tick(f->relays[0].relay, f->now_us);
 	f->now_us += 200 * MS;
 	relay_tick(f->relays[0].relay, f->now_us);
@@ -188,19 +189,19 @@
  * Guards against a proxy of a starting fleet that takes itself for one of few,
  * and so for a home, as the list doesn't name all yet.
  */
-START_TEST(a_proxy_waits_for_a_list_that_is_whole)
+START_TEST(a_proxy_waits_for_a_complete_list)
 {
 	struct fake *f = fake_create((uint32_t)_i, 1, 1);
 	struct relay *r = f->relays[0].relay;
 	unsigned n;
 
 	name_all(f);
-	tell_first(f, 0, false);
+	give_list_of_first(f, 0, false);
 	configure(f, 1);
 	ck_assert(!is_home(f));
 	ck_assert(!relay_is_ready(r));
 	for (n = 4; n <= PROXIES / 2; n *= 2) {
-		tell_first(f, n, n > 16);
+		give_list_of_first(f, n, n > 16);
 		ck_assert(!is_home(f));
 	}
 	f->now_us += 500 * MS;
@@ -215,12 +216,12 @@
  * Guards against a restarted proxy, listed already, that waits before it
  * serves.
  */
-START_TEST(a_proxy_that_is_listed_waits_for_nothing)
+START_TEST(a_proxy_that_is_listed_does_not_wait)
 {
 	struct fake *f = fake_create(1, 1, 1);
 
 	name_all(f);
-	tell_first(f, 3, true);
+	give_list_of_first(f, 3, true);
 	configure(f, 1);
 	ck_assert(is_home(f));
 	fake_destroy(f);
@@ -233,7 +234,7 @@
 	struct fake *f = fake_create(1, 1, 1);
 
 	name_all(f);
-	tell_first(f, 3, false);
+	give_list_of_first(f, 3, false);
 	configure(f, 1);
 	ck_assert(!is_home(f));
 	f->now_us += 4 * USEC_PER_SEC;
@@ -286,7 +287,7 @@
 		listed[i] = true;
 	name_all(f);
 	configure(f, homes[_i][0]);
-	tell(f, listed);
+	give_list(f, listed);
 	v = g_hash_table_lookup(f->relays[0].relay->services, "group0");
 	ck_assert_uint_eq(rrl_homes(v)->len + v->is_home, homes[_i][1]);
 	ck_assert_uint_eq(rrl_spares(v)->len, 4);
@@ -301,9 +302,9 @@
 	tcase_add_loop_test(tc, homes_follow_each_change_of_the_list, 1, 11);
 	tcase_add_loop_test(tc, homes_follow_a_services_share_of_the_fleet, 0,
 			    4);
-	tcase_add_test(tc, small_changes_of_a_large_fleet_are_taken_together);
-	tcase_add_loop_test(tc, a_proxy_waits_for_a_list_that_is_whole, 1, 4);
-	tcase_add_test(tc, a_proxy_that_is_listed_waits_for_nothing);
+	tcase_add_test(tc, small_changes_of_a_large_fleet_are_batched);
+	tcase_add_loop_test(tc, a_proxy_waits_for_a_complete_list, 1, 4);
+	tcase_add_test(tc, a_proxy_that_is_listed_does_not_wait);
 	tcase_add_test(tc, a_proxy_does_not_wait_for_ever);
 	tcase_add_test(tc, a_proxy_is_found_at_its_new_address);
 	return suite_main("rank", tc);
