--- a/packages/relay/tests/test_returns.c
+++ b/packages/relay/tests/test_returns.c
@@ -19,7 +19,7 @@
 }
 
 /* Whether a proxy other than `but` makes its fence or has just completed it. */
-static bool any_other_fences(const struct fake *f, int but)
+static bool any_other_is_fencing(const struct fake *f, int but)
 {
 	int i;
 
@@ -44,7 +44,7 @@
 	changer = story_run_until(f, PHASE_PROMOTE);
 	if (changer >= 0)
 		fake_freeze(f, (unsigned)changer, FREEZE_US);
-	while (!any_other_fences(f, changer) && ms++ < 6000)
+	while (!any_other_is_fencing(f, changer) && ms++ < 6000)
 		fake_run(f, MS);
 	fake_run(f, seed % 10 * 10 * MS);
 	fake_return(f, 0);
@@ -57,7 +57,7 @@
  * replica that has left the list. The replica is listed again once the fence is
  * complete, and the other proxies hear of both a little later.
  */
-static char *replica_that_is_listed_again(uint32_t seed)
+static char *replica_that_is_relisted(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned i, changer = seed % STORY_RELAYS, ms = 0;
@@ -100,7 +100,7 @@
 	return story_end(f);
 }
 
-static char *target_that_starts_anew(uint32_t seed)
+static char *target_that_restarts(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
@@ -133,9 +133,9 @@
  * on without it, and it is listed again before other proxies have dropped it:
  * to them it was there all the time.
  */
-START_TEST(test_a_replica_that_is_listed_again)
+START_TEST(test_a_replica_that_is_relisted)
 {
-	story_check_promises(replica_that_is_listed_again);
+	story_check_promises(replica_that_is_relisted);
 }
 END_TEST
 
@@ -154,9 +154,9 @@
  * The server that is being promoted restarts under its id before the promotion
  * takes effect, and confirms the old primary, which is also back.
  */
-START_TEST(test_a_target_that_starts_anew)
+START_TEST(test_a_target_that_restarts)
 {
-	story_check_promises(target_that_starts_anew);
+	story_check_promises(target_that_restarts);
 }
 END_TEST
 
@@ -165,8 +165,8 @@
 	TCase *tc = tcase_create("returns");
 
 	tcase_add_test(tc, test_an_own_pause_beside_anothers_promotion);
-	tcase_add_test(tc, test_a_replica_that_is_listed_again);
+	tcase_add_test(tc, test_a_replica_that_is_relisted);
 	tcase_add_test(tc, test_a_lone_primary_without_the_store);
-	tcase_add_test(tc, test_a_target_that_starts_anew);
+	tcase_add_test(tc, test_a_target_that_restarts);
 	return suite_main("returns", tc);
 }
--- a/packages/relay/tests/test_routing.c
+++ b/packages/relay/tests/test_routing.c
@@ -83,7 +83,7 @@
  * replicas that lag by more than the profile allows, which would return data
  * that was replaced.
  */
-START_TEST(test_stale_replicas_are_passed_over)
+START_TEST(test_stale_replicas_are_not_read)
 {
 	struct fake *f = start();
 	struct hist_session *w = hist_open(f, 1, 0, RELAY_KIND_PRIMARY);
@@ -172,7 +172,7 @@
  * time; it is refused within a quarter of its latency target and told when to
  * come back.
  */
-START_TEST(test_refused_early_with_a_time)
+START_TEST(test_refusals_come_early_with_a_retry_time)
 {
 	struct fake *f = start();
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -198,7 +198,7 @@
  * is never established. Guards against reads that wait at that replica until
  * they are refused, though the other one is idle and costs only a few ms more.
  */
-START_TEST(test_an_idle_server_is_not_passed_by)
+START_TEST(test_an_idle_server_is_preferred_to_waiting)
 {
 	struct fake *f = start();
 	struct hist_session *a = hist_open(f, 0, 0, RELAY_KIND_BOUNDED);
@@ -294,7 +294,7 @@
  * Gives the first relay the list of servers with the entry of server `bad`
  * overwritten by another writer; GROUP_SIZE: of none.
  */
-static void list_with_a_bad_entry(struct fake *f, unsigned bad)
+static void give_list_with_invalid_entry(struct fake *f, unsigned bad)
 {
 	struct relay_server_list *list = relay_server_list_create(false);
 	unsigned i;
@@ -327,19 +327,19 @@
  * its entry had only lapsed: it must get none until its own entry is back, and
  * the others serve meanwhile.
  */
-START_TEST(test_a_server_whose_entry_turned_bad)
+START_TEST(test_a_server_with_an_invalid_entry)
 {
 	struct fake *f = start();
 	unsigned ran;
 
 	ck_assert_uint_gt(reads_at_replicas(f, RELAY_KIND_BOUNDED), 20);
-	list_with_a_bad_entry(f, 1);
+	give_list_with_invalid_entry(f, 1);
 	ran = f->servers[1].n_ran;
 	ck_assert_uint_gt(reads_at_replicas(f, RELAY_KIND_BOUNDED), 20);
 	ck_assert_uint_eq(f->servers[1].n_ran, ran);
 	fake_run(f, 6 * USEC_PER_SEC);
-	list_with_a_bad_entry(f, 1);
-	list_with_a_bad_entry(f, GROUP_SIZE);
+	give_list_with_invalid_entry(f, 1);
+	give_list_with_invalid_entry(f, GROUP_SIZE);
 	f->servers[2].lag_us = 5 * USEC_PER_SEC;
 	fake_run(f, USEC_PER_SEC);
 	ck_assert_uint_gt(reads_at_replicas(f, RELAY_KIND_BOUNDED), 20);
@@ -447,18 +447,18 @@
 {
 	TCase *tc = tcase_create("routing");
 
-	tcase_add_test(tc, test_a_server_whose_entry_turned_bad);
+	tcase_add_test(tc, test_a_server_with_an_invalid_entry);
 	tcase_add_test(tc, test_a_service_that_is_not_configured);
 	tcase_add_test(tc, test_kind_decides_where_reads_run);
 	tcase_add_test(tc, test_a_short_target_is_waited_for);
 	tcase_add_test(tc, test_a_longer_target_is_refused_early);
 	tcase_add_test(tc, test_own_writes_are_seen_with_lag);
-	tcase_add_test(tc, test_stale_replicas_are_passed_over);
+	tcase_add_test(tc, test_stale_replicas_are_not_read);
 	tcase_add_test(tc, test_reads_without_the_primary_stay_fresh);
 	tcase_add_test(tc, test_callers_share_few_connections);
 	tcase_add_test(tc, test_reads_go_on_without_a_primary);
-	tcase_add_test(tc, test_refused_early_with_a_time);
-	tcase_add_test(tc, test_an_idle_server_is_not_passed_by);
+	tcase_add_test(tc, test_refusals_come_early_with_a_retry_time);
+	tcase_add_test(tc, test_an_idle_server_is_preferred_to_waiting);
 	tcase_add_loop_test(tc, test_a_server_that_fails_in_part_gets_less, 0,
 			    2);
 	tcase_add_test(tc, test_an_overload_makes_no_outlier);
--- a/packages/relay/tests/test_sessions.c
+++ b/packages/relay/tests/test_sessions.c
@@ -69,7 +69,7 @@
  * transaction that stays open on the server connection: the next caller would
  * write into it, or commit it.
  */
-START_TEST(test_left_transaction_is_rolled_back)
+START_TEST(test_abandoned_transaction_is_rolled_back)
 {
 	struct fake *f = start(1);
 	struct hist_session *a = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -93,7 +93,7 @@
  * A transaction is idle until its time is over, then its caller asks for the
  * commit. Nothing may be stored, and the caller must be told so.
  */
-START_TEST(test_rested_transaction_is_refused)
+START_TEST(test_expired_transaction_is_refused)
 {
 	struct fake *f = start(1);
 	struct hist_session *a = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -134,7 +134,7 @@
  * transaction. The first one's session is closed; the second one may complete
  * its transaction.
  */
-START_TEST(test_stop_lets_transactions_end)
+START_TEST(test_shutdown_lets_transactions_complete)
 {
 	struct fake *f = start(1);
 	struct hist_session *a = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -167,7 +167,7 @@
  * another's transaction is open. Guards against a statement of the first that
  * is never answered, and against the loss of the second one's transaction.
  */
-START_TEST(test_stop_ends_between_statements)
+START_TEST(test_shutdown_closes_between_statements)
 {
 	struct fake *f = start(1);
 	struct hist_session *a = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -194,7 +194,7 @@
  * of servers that are freed with a list: each list left connections behind
  * until a server was full.
  */
-START_TEST(test_list_again_keeps_connections)
+START_TEST(test_unchanged_list_keeps_connections)
 {
 	struct fake *f = start(1);
 	unsigned i, n = f->n_serials;
@@ -268,11 +268,11 @@
 	tcase_add_test(tc, test_older_configuration_changes_nothing);
 	tcase_add_test(tc, test_values_stay_with_their_session);
 	tcase_add_test(tc, test_prepared_names_collide);
-	tcase_add_test(tc, test_left_transaction_is_rolled_back);
-	tcase_add_test(tc, test_rested_transaction_is_refused);
+	tcase_add_test(tc, test_abandoned_transaction_is_rolled_back);
+	tcase_add_test(tc, test_expired_transaction_is_refused);
 	tcase_add_test(tc, test_lost_answer_is_in_doubt);
-	tcase_add_test(tc, test_stop_lets_transactions_end);
-	tcase_add_test(tc, test_stop_ends_between_statements);
-	tcase_add_test(tc, test_list_again_keeps_connections);
+	tcase_add_test(tc, test_shutdown_lets_transactions_complete);
+	tcase_add_test(tc, test_shutdown_closes_between_statements);
+	tcase_add_test(tc, test_unchanged_list_keeps_connections);
 	return suite_main("sessions", tc);
 }
