--- a/packages/relay/tests/test_accounts.c
+++ b/packages/relay/tests/test_accounts.c
@@ -232,7 +232,7 @@
 
 /*
  * Guards against revoked keys that stay valid because the newest configuration
- * can't be read.
+ * can't be read: until one can be read, all keys are refused.
  */
 START_TEST(unreadable_configuration_refuses_every_key)
 {
@@ -273,9 +273,9 @@
 END_TEST
 
 /*
- * Guards against callers who are judged by outdated keys for ever while the
- * store doesn't answer. Keys older than FAKE_KEY_AGE_US are refused; they are
- * valid again as soon as the store answers.
+ * Guards against keys that are judged by outdated information for as long as
+ * the store doesn't answer: after FAKE_KEY_AGE_US all are refused, and once the
+ * store answers they are valid again.
  */
 START_TEST(keys_are_valid_again_once_the_store_answers)
 {
@@ -365,7 +365,7 @@
 
 /*
  * Guards against telling all refused callers the same retry time: they would
- * retry at once, and most would be refused again.
+ * retry together, and most would be refused again.
  */
 START_TEST(refused_callers_get_staggered_retry_times)
 {
--- a/packages/relay/tests/test_feed_source.c
+++ b/packages/relay/tests/test_feed_source.c
@@ -138,8 +138,8 @@
 
 /*
  * Guards against a fleet of 300 proxies that each watch the store: their calls
- * were most of all calls to the platform. The first watcher of a data centre is
- * the proxy with the widest link.
+ * made up most of all calls to the platform. The first watcher of a data centre
+ * is the proxy with the widest link.
  */
 START_TEST(a_very_large_fleet_shares_a_few_watchers)
 {
--- a/packages/relay/tests/test_returns.c
+++ b/packages/relay/tests/test_returns.c
@@ -119,7 +119,7 @@
 
 /*
  * A proxy is suspended while its promotion is under way. Another one claims the
- * duty, pauses the replicas anew and sees the old primary come back. Guards
+ * duty, pauses the replicas again and sees the old primary come back. Guards
  * against that proxy ending at once the pauses that it takes for its own.
  */
 START_TEST(test_an_own_pause_beside_anothers_promotion)
