--- a/packages/relay/tests/test_histories.c
+++ b/packages/relay/tests/test_histories.c
@@ -7,13 +7,13 @@
 #define RELAYS 3
 #define GROUPS 2
 #define SESSIONS 6
-#define DAY_US (25 * USEC_PER_SEC)
+#define WORKLOAD_US (25 * USEC_PER_SEC)
 
 static const char *const names[] = { "a", "b", "c" };
 
-static void next_event(struct fake *f, void *data);
+static void next_operation_event(struct fake *f, void *data);
 
-static void begin_something(struct fake *f, struct hist_session *s)
+static void start_operation(struct fake *f, struct hist_session *s)
 {
 	const char *name = names[fake_random(f, 0, 3)];
 	char text[16];
@@ -51,7 +51,7 @@
 	s->left = (unsigned)fake_random(f, 0, 4);
 }
 
-static void go_on(struct fake *f, struct hist_session *s)
+static void continue_transaction(struct fake *f, struct hist_session *s)
 {
 	if (s->state == 'E' || (!s->left && fake_chance(f, 0.2))) {
 		hist_start(f, s, RELAY_ROLLBACK, "", "");
@@ -64,19 +64,22 @@
 	}
 }
 
-static struct hist_session *come(struct fake *f, unsigned relay)
+static struct hist_session *open_session(struct fake *f, unsigned relay)
 {
 	struct hist_session *s =
 		hist_open(f, relay, (unsigned)fake_random(f, 0, GROUPS),
 			  (enum relay_kind)fake_random(f, 0, 3));
 
-	s->next = next_event;
-	fake_at(f, -1, MS, next_event, s, NULL);
+	s->next = next_operation_event;
+	fake_at(f, -1, MS, next_operation_event, s, NULL);
 	return s;
 }
 
-/* A caller's next step; some leave in the middle and come again. */
-static void next_event(struct fake *f, void *data)
+/*
+ * Starts the caller's next operation. Some callers leave, also in the middle of
+ * a transaction, and open another session.
+ */
+static void next_operation_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -84,15 +87,15 @@
 		return;
 	if (fake_chance(f, 0.01)) {
 		hist_close(f, s);
-		come(f, s->relay);
+		open_session(f, s->relay);
 	} else if (s->state == 'I') {
-		begin_something(f, s);
+		start_operation(f, s);
 	} else {
-		go_on(f, s);
+		continue_transaction(f, s);
 	}
 }
 
-static void fault(struct fake *f)
+static void inject_fault(struct fake *f)
 {
 	unsigned server = (unsigned)fake_random(f, 0, GROUPS * GROUP_SIZE);
 	unsigned relay = (unsigned)fake_random(f, 0, RELAYS);
@@ -128,24 +131,24 @@
 }
 
 /*
- * Faults come one or two at a time and end after some seconds. A server that
- * crashed is away for at least two seconds.
+ * Runs callers under faults, one or two at a time, that end after some seconds.
+ * A server that crashed is down for at least two seconds.
  */
-static void day(struct fake *f)
+static void run_workload(struct fake *f)
 {
-	uint64_t end_us = f->now_us + DAY_US;
+	uint64_t end_us = f->now_us + WORKLOAD_US;
 	unsigned i;
 
 	for (i = 0; i < SESSIONS; i++)
-		come(f, i % RELAYS);
+		open_session(f, i % RELAYS);
 	f->busy = 0.01;
 	f->promote_us = fake_random(f, 400, 1001) * MS;
 	while (f->now_us < end_us) {
 		fake_run(f, fake_random(f, 100, 1500) * MS);
-		fault(f);
+		inject_fault(f);
 		if (fake_chance(f, 0.5)) {
 			fake_run(f, fake_random(f, 1, 400) * MS);
-			fault(f);
+			inject_fault(f);
 		}
 		fake_run(f, fake_random(f, 2000, 4500) * MS);
 		fake_heal(f);
@@ -161,11 +164,11 @@
 }
 
 /*
- * Days of callers who write, read and roam through transactions while servers
- * die, fall silent or lag, and proxies are cut off or suspended. Whatever the
- * order of events, no caller may be told what isn't so.
+ * Callers write, read and run transactions while servers crash, stop answering
+ * or lag, and proxies are cut off or suspended. Whatever the order of events,
+ * no caller may get an answer that is not true.
  */
-START_TEST(test_days_keep_their_promises)
+START_TEST(test_answers_are_true_under_faults)
 {
 	unsigned seed, promotions = 0, acked = 0;
 
@@ -173,7 +176,7 @@
 		struct fake *f = fake_create(seed, RELAYS, GROUPS);
 
 		fake_run(f, USEC_PER_SEC);
-		day(f);
+		run_workload(f);
 		ck_assert_msg(!*hist_check(f), "seed %u:\n%s", seed,
 			      hist_check(f));
 		promotions += f->n_promotions;
@@ -186,14 +189,13 @@
 END_TEST
 
 /*
- * Each guard in turn, by its place in struct relay_guards. The first and the
+ * Names of the guards, by their index in struct relay_guards. The first and the
  * last fifteen have tests of their own: confirm_writes, fresh_claim and
  * resume_under_duty in test_change; doubt_reborn in test_reborn;
  * claim_after_fence, doubt_unpaused, doubt_newcomers and check_list_age in
- * test_newcomers;
- * avoid_outliers, limit_in_flight, leave_when_cut_off and renew_at_once, which
- * no promise rests on, in test_routing, test_overload and test_homes; the four
- * of accounts in test_accounts.
+ * test_newcomers; avoid_outliers, limit_in_flight, leave_when_cut_off and
+ * renew_at_once, on which no checked rule depends, in test_routing,
+ * test_overload and test_homes; the four of accounts in test_accounts.
  */
 static const char *const guards[] = {
 	"confirm_writes",     "hold_before_promote", "fence",
@@ -207,8 +209,11 @@
 
 #define GUARD_SEEDS 400
 
-/* Without the guard some day shows what it is for. */
-START_TEST(test_days_notice_a_missing_guard)
+/*
+ * Guards against a checker that misses violations: with one guard off, it must
+ * report one for at least one seed.
+ */
+START_TEST(test_checker_reports_a_disabled_guard)
 {
 	unsigned seed, i;
 	bool caught = false;
@@ -221,16 +226,18 @@
 			((bool *)relay_guards_of(f->relays[i].relay))[_i] =
 				false;
 		fake_run(f, USEC_PER_SEC);
-		day(f);
+		run_workload(f);
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
-	ck_assert_msg(caught, "%s is not missed", guards[_i]);
+	ck_assert_msg(caught, "checker missed violations without %s",
+		      guards[_i]);
 }
 END_TEST
 
-static GLogWriterOutput no_log(GLogLevelFlags level, const GLogField *fields,
-			       gsize n_fields, gpointer data)
+static GLogWriterOutput discard_log(GLogLevelFlags level,
+				    const GLogField *fields, gsize n_fields,
+				    gpointer data)
 {
 	(void)level;
 	(void)fields;
@@ -243,9 +250,9 @@
 {
 	TCase *tc = tcase_create("histories");
 
-	g_log_set_writer_func(no_log, NULL, NULL);
-	tcase_add_test(tc, test_days_keep_their_promises);
-	tcase_add_loop_test(tc, test_days_notice_a_missing_guard, 1,
+	g_log_set_writer_func(discard_log, NULL, NULL);
+	tcase_add_test(tc, test_answers_are_true_under_faults);
+	tcase_add_loop_test(tc, test_checker_reports_a_disabled_guard, 1,
 			    G_N_ELEMENTS(guards) - 15);
 	return suite_main("histories", tc);
 }
--- a/packages/relay/tests/test_homes.c
+++ b/packages/relay/tests/test_homes.c
@@ -2,7 +2,7 @@
 
 #include <celeryquay/suite.h>
 
-#define RELAYS 7 /* more than the servers' connections are for: 4 homes */
+#define RELAYS 7 /* more than servers have connections for: 4 homes */
 #define CALLERS 12
 
 static struct hist_session *callers[CALLERS];
@@ -36,8 +36,11 @@
 	return is_home_of(f, relay, "group0");
 }
 
-/* The n-th relay that is a home, or is none. */
-static unsigned nth(struct fake *f, bool home, unsigned n)
+/*
+ * The index of the n-th relay that is a home, or that isn't if `home` is false;
+ * counted from 0. n_relays: there is none.
+ */
+static unsigned nth_relay(struct fake *f, bool home, unsigned n)
 {
 	unsigned i = 0;
 
@@ -46,7 +49,7 @@
 	return i;
 }
 
-static void next_event(struct fake *f, void *data)
+static void next_operation_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
 
@@ -64,20 +67,22 @@
 	s->left = s->state == 'T' && fake_chance(f, 0.5);
 }
 
-/* Callers at all relays, of all kinds; each writes, reads and commits. */
-static void come(struct fake *f)
+/*
+ * Starts callers at all relays, of all kinds; each writes, reads and commits.
+ */
+static void start_callers(struct fake *f)
 {
 	unsigned i;
 
 	for (i = 0; i < CALLERS; i++) {
 		callers[i] = hist_open(f, i % f->n_relays, 0,
 				       (enum relay_kind)(i / 2 % 3));
-		callers[i]->next = next_event;
-		next_event(f, callers[i]);
+		callers[i]->next = next_operation_event;
+		next_operation_event(f, callers[i]);
 	}
 }
 
-/* Every caller that is left is served. */
+/* Checks that each caller with an open session is served. */
 static void check_all_served(struct fake *f)
 {
 	unsigned seen[CALLERS], i;
@@ -90,7 +95,7 @@
 			ck_assert_uint_gt(callers[i]->attempt, seen[i] + 5);
 }
 
-/* The relay's process ends, its connections on either side with it. */
+/* Ends the relay's process, and its connections to and from others with it. */
 static void kill_relay(struct fake *f, unsigned relay)
 {
 	GHashTableIter iter;
@@ -110,8 +115,9 @@
 }
 
 /*
- * A fleet outgrew its servers' connections, and most callers were refused.
- * Only homes may connect; plumbers behind all proxies see what they wrote.
+ * Guards against a fleet that outgrows its servers' connections, so that most
+ * callers are refused. Only homes may connect to servers; callers of all
+ * proxies see their own writes.
  */
 START_TEST(test_only_homes_connect)
 {
@@ -120,7 +126,7 @@
 	gpointer value;
 
 	f->servers[1].lag_us = 80 * MS;
-	come(f);
+	start_callers(f);
 	fake_run(f, 5 * USEC_PER_SEC);
 	check_all_served(f);
 	g_hash_table_iter_init(&iter, f->conns);
@@ -130,17 +136,20 @@
 		ck_assert(c->peer || is_home(f, c->relay));
 	}
 	ck_assert_uint_le(f->servers[0].n_conns, f->max_connections);
-	ck_assert_uint_lt(nth(f, false, 2), RELAYS); /* three are none */
+	ck_assert_uint_lt(nth_relay(f, false, 2),
+			  RELAYS); /* three aren't homes */
 	ck_assert_uint_eq(f->n_codes[RELAY_IN_DOUBT], 0);
 	end(f);
 }
 END_TEST
 
-/* Fails when a statement waits for the next tick before a home is called. */
-START_TEST(homes_are_connected_to_when_they_are_asked_for)
+/*
+ * Fails when a statement waits for the next tick before a home is connected to.
+ */
+START_TEST(homes_are_connected_to_at_the_first_statement)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned entry = nth(f, false, 0);
+	unsigned entry = nth_relay(f, false, 0);
 	struct relay *r = f->relays[entry].relay;
 	struct hist_session *s = hist_open(f, entry, 0, RELAY_KIND_OWN_WRITES);
 
@@ -155,11 +164,13 @@
 }
 END_TEST
 
-/* Fails when connections to homes are kept for databases at rest. */
-START_TEST(homes_that_nobody_asks_for_are_let_go)
+/*
+ * Fails when connections to homes are kept for databases that are not in use.
+ */
+START_TEST(connections_to_unused_homes_are_closed)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned entry = nth(f, false, 0);
+	unsigned entry = nth_relay(f, false, 0);
 	struct relay *r = f->relays[entry].relay;
 	struct hist_session *s = hist_open(f, entry, 0, RELAY_KIND_OWN_WRITES);
 
@@ -187,12 +198,13 @@
 }
 
 /*
- * Servers take many connections, and of eighty proxies 34 became homes. Each
- * probed each server, and together they asked more of a server than it has
- * slots and queue for.
+ * Guards against too many homes where servers take many connections: of eighty
+ * proxies 34 became homes, each of which probed each server, and the probes
+ * together were more than a server has slots and queue for.
  */
-START_TEST(test_homes_are_few_before_wide_servers)
+START_TEST(test_number_of_homes_is_bounded)
 {
+	/* Connections that a server takes, homes of its service. */
 	static const unsigned limits[][2] = { { 35, 7 },
 					      { 10, 4 },
 					      { 170, 16 } };
@@ -220,10 +232,11 @@
 END_TEST
 
 /*
- * Two agents behind other proxies share a home's connection. One would read
- * lists in the other's language, or run the other's statement of that name.
+ * Callers of other proxies share a home's connection to a server. Guards
+ * against a caller that reads in another's language, or runs another's prepared
+ * statement of the same name.
  */
-START_TEST(test_callers_do_not_mix_at_a_home)
+START_TEST(test_sessions_stay_separate_at_a_home)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
 	struct hist_session *s[3];
@@ -232,7 +245,7 @@
 	for (i = 0; i < 3; i++) {
 		char text[2] = { (char)('x' + i), '\0' };
 
-		s[i] = hist_open(f, nth(f, false, i / 2), 0,
+		s[i] = hist_open(f, nth_relay(f, false, i / 2), 0,
 				 RELAY_KIND_PRIMARY);
 		hist_run(f, s[i], RELAY_SET, "lang", text);
 		hist_run(f, s[i], RELAY_PREPARE_READ + i % 2, "s", text);
@@ -251,13 +264,14 @@
 END_TEST
 
 /*
- * A plumber saves a trip; an agent reads next on that connection to a home.
- * The plumber's floor stuck to it, and all reads went to the primary.
+ * A caller writes, and another one reads next on the same connection to a home.
+ * Guards against a floor, the position in the log that a session's reads must
+ * see, that stays with the connection: all reads went to the primary.
  */
-START_TEST(test_floor_does_not_stick)
+START_TEST(test_floor_does_not_stay_with_a_connection)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned relay = nth(f, false, 0), before, i, n = 0;
+	unsigned relay = nth_relay(f, false, 0), before, i, n = 0;
 	struct hist_session *a = hist_open(f, relay, 0, RELAY_KIND_OWN_WRITES);
 	struct hist_session *b;
 
@@ -278,15 +292,16 @@
 END_TEST
 
 /*
- * A home dies with writes of others' callers in it. None is stored twice or
- * told as refused when it may be stored; callers go on through other homes.
+ * A home dies with writes of other proxies' callers in flight. Guards against a
+ * write that is stored twice, or is reported as refused when it may be stored;
+ * callers go on through other homes.
  */
-START_TEST(test_dead_home_is_passed_by)
+START_TEST(test_dead_home_is_avoided)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned home = nth(f, true, (unsigned)_i % 3), i;
+	unsigned home = nth_relay(f, true, (unsigned)_i % 3), i;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, 2 * USEC_PER_SEC + (uint64_t)_i * MS);
 	kill_relay(f, home);
 	for (i = 0; i < CALLERS; i++)
@@ -303,15 +318,16 @@
 END_TEST
 
 /*
- * A home is taken away, and another becomes one. It took the primary that it
- * didn't know for missing and paused the replicas; all writes stopped.
+ * A home stops, and another proxy becomes one. Guards against a new home that
+ * takes the primary, which it doesn't know yet, for missing, and pauses the
+ * replicas, so that all writes stop.
  */
-START_TEST(test_home_that_stops_is_not_noticed)
+START_TEST(test_callers_go_on_when_a_home_stops)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned home = nth(f, true, (unsigned)_i % 3), before, i;
+	unsigned home = nth_relay(f, true, (unsigned)_i % 3), before, i;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, 5 * USEC_PER_SEC);
 	before = f->n_codes[RELAY_BUSY];
 	f->relays[home].unlisted = true;
@@ -329,38 +345,41 @@
 	ck_assert_uint_eq(f->n_codes[RELAY_IN_DOUBT], 0);
 	ck_assert_uint_eq(f->n_promotions, 0);
 	ck_assert_uint_eq(f->n_codes[RELAY_ABORTED], 0);
-	/* The new one may be full at first. */
+	/* The new home may be full at first. */
 	ck_assert_uint_le(f->n_codes[RELAY_BUSY], before + 9);
 	end(f);
 }
 END_TEST
 
-/* A caller at each relay that is no home. */
-static void come_to_others(struct fake *f)
+/* Starts callers at the relays that aren't homes. */
+static void start_callers_elsewhere(struct fake *f)
 {
 	unsigned i;
 
 	for (i = 0; i < CALLERS; i++) {
-		callers[i] = hist_open(f, nth(f, false, i % 3), 0,
+		callers[i] = hist_open(f, nth_relay(f, false, i % 3), 0,
 				       RELAY_KIND_PRIMARY);
-		callers[i]->next = next_event;
-		next_event(f, callers[i]);
+		callers[i]->next = next_operation_event;
+		next_operation_event(f, callers[i]);
 	}
 }
 
-/* First statements that are refused, of three, with two homes cut off. */
-static unsigned refused_by_cut_homes(uint32_t seed)
+/*
+ * How many of three callers' first statements are refused when two homes are
+ * cut off from the primary.
+ */
+static unsigned count_refused_with_cut_homes(uint32_t seed)
 {
 	struct fake *f = start(seed, RELAYS);
 	unsigned i, n = 0;
 
-	come_to_others(f);
+	start_callers_elsewhere(f);
 	fake_run(f, USEC_PER_SEC);
-	fake_cut(f, nth(f, true, 0), 0, true);
-	fake_cut(f, nth(f, true, 1), 0, true);
+	fake_cut(f, nth_relay(f, true, 0), 0, true);
+	fake_cut(f, nth_relay(f, true, 1), 0, true);
 	fake_run(f, 1500 * MS);
 	for (i = 0; i < 3; i++) {
-		struct hist_session *s = hist_open(f, nth(f, false, i), 0,
+		struct hist_session *s = hist_open(f, nth_relay(f, false, i), 0,
 						   RELAY_KIND_OWN_WRITES);
 
 		n += hist_run(f, s, RELAY_WRITE, "", "1") != RELAY_OK;
@@ -372,29 +391,31 @@
 }
 
 /*
- * Two homes of four are cut off from a primary that the others reach. Brands
- * whose proxy asks one of the two for the first time, a second later, were
- * refused after a queue's turn, fourteen of eighteen.
+ * Two homes of four are cut off from a primary that the others reach. Guards
+ * against refusals by proxies that ask one of the two for the first time, a
+ * second later: fourteen of eighteen callers were refused after waiting for the
+ * queue timeout.
  */
-START_TEST(test_a_home_that_is_cut_off_is_left)
+START_TEST(test_a_home_that_is_cut_off_is_avoided)
 {
 	unsigned seed, n = 0;
 
 	for (seed = 0; seed < 6; seed++)
-		n += refused_by_cut_homes(seed);
+		n += count_refused_with_cut_homes(seed);
 	/* An idle home needs a tick to confirm its primary. */
 	ck_assert_uint_le(n, 1);
 }
 END_TEST
 
 /*
- * All homes that a proxy knows die. It knew three of four, and its callers were
- * refused until the list of proxies said so, a minute later.
+ * All homes that a proxy knows die. Guards against a proxy that knows three
+ * homes of four and refuses its callers until the list of proxies no longer
+ * names the dead ones, a minute later.
  */
 START_TEST(test_another_home_is_found)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned relay = nth(f, false, 0), i;
+	unsigned relay = nth_relay(f, false, 0), i;
 	struct hist_session *s = hist_open(f, relay, 0, RELAY_KIND_PRIMARY);
 	const struct rservice *via;
 
@@ -414,13 +435,14 @@
 END_TEST
 
 /*
- * A proxy is cut off from all others. The balancer went on sending callers to
- * it, and those that were there stayed, refused all the while.
+ * A proxy is cut off from all others. Guards against such a proxy that stays
+ * ready, so that the load balancer keeps sending callers to it, and against
+ * sessions that stay open there though each statement is refused.
  */
-START_TEST(test_an_isolated_proxy_turns_red)
+START_TEST(test_an_isolated_proxy_is_not_ready)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
-	unsigned relay = nth(f, false, 0), i;
+	unsigned relay = nth_relay(f, false, 0), i;
 	struct hist_session *s = hist_open(f, relay, 0, RELAY_KIND_PRIMARY);
 
 	ck_assert_int_eq(hist_run(f, s, RELAY_READ, "", "1"), RELAY_OK);
@@ -439,11 +461,12 @@
 END_TEST
 
 /*
- * A network partition leaves all homes of a database on the other side from
- * three proxies, which still reach its servers. Their callers were refused for
- * as long as it lasted; proxies next in rank must stand in, and no longer.
+ * A network partition separates three proxies from all homes of a database,
+ * though they still reach its servers. Guards against callers that are refused
+ * for as long as it lasts: the proxies next in rank must serve as homes, and
+ * only until it is over.
  */
-START_TEST(test_spares_stand_in_for_homes)
+START_TEST(test_spares_replace_unreachable_homes)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
 	bool was_home[RELAYS];
@@ -451,12 +474,12 @@
 
 	for (i = 0; i < RELAYS; i++)
 		was_home[i] = is_home(f, i);
-	f->max_connections += 2 * RELAYS; /* three more proxies find room */
-	come(f);
+	f->max_connections += 2 * RELAYS; /* room for three more homes */
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < RELAYS; i++)
 		f->side[i] = was_home[i];
-	/* Each of four homes may keep a statement for its whole limit. */
+	/* Each of four homes may hold a statement until its timeout. */
 	fake_run(f, 4 * FAKE_LIMIT_US);
 	for (i = 0; i < CALLERS; i++)
 		ck_assert(callers[i]->open);
@@ -472,10 +495,11 @@
 END_TEST
 
 /*
- * One database of two has no home in reach of a proxy, nor a spare. Its
- * callers stayed there and were refused, while other proxies reach its homes.
+ * One database of two has no home in reach of a proxy, nor a spare. Guards
+ * against its callers' sessions that stay there and are refused, while other
+ * proxies reach its homes.
  */
-START_TEST(test_a_session_leaves_where_its_database_has_no_home)
+START_TEST(test_a_session_ends_where_its_database_has_no_home)
 {
 	struct fake *f = fake_create((uint32_t)_i, RELAYS, 2);
 	struct hist_session *s, *other;
@@ -512,7 +536,7 @@
 }
 END_TEST
 
-/* The configuration without any database, at every relay. */
+/* Gives every relay a configuration without any database. */
 static void remove_databases(struct fake *f)
 {
 	struct relay_catalog *c = catalog_of(f->max_connections);
@@ -523,7 +547,7 @@
 	relay_catalog_unref(c);
 }
 
-/* Each connection between relays ends at the far end. */
+/* Closes each connection between relays at the end that accepted it. */
 static void break_peer_conns(struct fake *f)
 {
 	GHashTableIter iter;
@@ -539,16 +563,17 @@
 }
 
 /*
- * Operators retire a market's databases. Proxies that had used them went on
- * connecting to their homes six times a second each, were told each time that
- * there is no such database, and the homes had that much less for callers.
+ * Operators remove databases. Guards against proxies that had used them and
+ * keep connecting to their homes, six times a second each: they are told each
+ * time that there is no such database, and the homes have less capacity for
+ * callers.
  */
 START_TEST(test_homes_of_a_removed_database_are_left_alone)
 {
 	struct fake *f = start((uint32_t)_i, RELAYS);
 	unsigned i, before;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < CALLERS; i++)
 		if (callers[i]->open)
@@ -565,16 +590,17 @@
 END_TEST
 
 /*
- * One proxy (0) or two of three (1) are cut off from a primary that serves
- * the rest. A change would stop all writes for a second; two that ask each
- * other would pass a write to and fro.
+ * One proxy of three (_i % 2 is 0) or two (it is 1) are cut off from a primary
+ * that serves the rest. Guards against a change of primary, which would stop
+ * all writes for a second, and against two proxies that ask each other and pass
+ * a write back and forth.
  */
-START_TEST(test_way_round_a_cut)
+START_TEST(test_proxies_route_around_a_cut)
 {
 	struct fake *f = start((uint32_t)_i, 3);
 	unsigned i;
 
-	come(f);
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i <= (unsigned)_i % 2; i++)
 		fake_cut(f, i, 0, true);
@@ -587,18 +613,18 @@
 END_TEST
 
 /*
- * A proxy is cut off from a primary that is overloaded for the rest. It asked
- * one proxy after the other, each of which waited in vain, and callers were
- * refused so late that they could not come back in time.
+ * A proxy is cut off from a primary that is overloaded for the rest. Guards
+ * against a proxy that asks the others one by one, each of which waits in vain,
+ * and refuses callers too late for them to come back in time.
  */
-START_TEST(test_the_way_round_ends_in_time)
+START_TEST(test_routing_around_a_cut_ends_in_time)
 {
 	struct fake *f = start((uint32_t)_i, 4);
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
 	unsigned i;
 
-	/* Others write all the while, so the primary is left in its place. */
-	come(f);
+	/* Others write all the while, so the primary isn't replaced. */
+	start_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	fake_cut(f, 0, 0, true);
 	fake_run(f, 2 * USEC_PER_SEC);
@@ -607,7 +633,7 @@
 		uint64_t from_us = f->now_us;
 		enum relay_code code = hist_run(f, s, RELAY_READ, "", "1");
 
-		/* The fake looks at the timers of each once a tick. */
+		/* The fake runs each relay's timers once a tick. */
 		if (code == RELAY_BUSY)
 			ck_assert_uint_le(f->now_us - from_us,
 					  FAKE_AIM_US / 4 + 2 * TICK_US);
@@ -620,8 +646,11 @@
 }
 END_TEST
 
-/* Proxies 0 and 1 are left with the primary, 2 and 3 with its replicas. */
-static void split(struct fake *f)
+/*
+ * A partition with proxies 0 and 1 and the primary on one side, proxies 2 and
+ * 3, the replicas and the store on the other.
+ */
+static void partition_fleet(struct fake *f)
 {
 	unsigned i;
 
@@ -634,8 +663,9 @@
 	}
 }
 
-/* Writes in vain for so long, or until the session is ended. */
-static void write_in_vain(struct fake *f, struct hist_session *s, uint64_t us)
+/* Sends writes for that time or until the session is closed. */
+static void write_until_closed(struct fake *f, struct hist_session *s,
+			       uint64_t us)
 {
 	uint64_t end_us = f->now_us + us;
 
@@ -648,8 +678,8 @@
 
 /*
  * A partition leaves two proxies of four with a primary that they may not rely
- * on, and without the store. Installers who came to them were refused, and
- * stayed there with each retry, while the other two had codes for them.
+ * on, and without the store. Guards against callers that stay at these proxies
+ * and are refused with each retry, while the other two could serve them.
  */
 START_TEST(test_callers_leave_the_wrong_side_of_a_partition)
 {
@@ -658,8 +688,8 @@
 	unsigned i;
 
 	ck_assert_int_eq(hist_run(f, s, RELAY_WRITE, "", "1"), RELAY_OK);
-	split(f);
-	write_in_vain(f, s, 4 * USEC_PER_SEC);
+	partition_fleet(f);
+	write_until_closed(f, s, 4 * USEC_PER_SEC);
 	ck_assert(!s->open);
 	ck_assert(!relay_is_ready(f->relays[0].relay));
 	ck_assert(relay_is_ready(f->relays[2].relay));
@@ -675,11 +705,11 @@
 END_TEST
 
 /*
- * The store is out, and a primary crashes meanwhile: nobody may replace it.
- * If every proxy turned its callers away for that, the whole fleet would be
- * without, though its other databases serve.
+ * A primary crashes during an outage of the store, so nobody may replace it.
+ * Guards against proxies that all turn their callers away for that: no proxy
+ * would be left for callers, though the other databases are served.
  */
-START_TEST(test_no_proxy_leaves_for_an_outage_of_the_store)
+START_TEST(test_a_store_outage_turns_no_callers_away)
 {
 	struct fake *f = start((uint32_t)_i, 4);
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -690,7 +720,7 @@
 	for (i = 0; i < 4; i++)
 		fake_store(f, i, false);
 	fake_crash(f, 0);
-	write_in_vain(f, s, 2 * USEC_PER_SEC);
+	write_until_closed(f, s, 2 * USEC_PER_SEC);
 	ck_assert(s->open);
 	for (i = 0; i < 4; i++)
 		ck_assert(relay_is_ready(f->relays[i].relay));
@@ -699,9 +729,9 @@
 END_TEST
 
 /*
- * The store was out for a while and the leases ran out. For a moment its list
- * names hardly any proxy, and each of seven took itself for one of few: all
- * connected to every server, and callers found these full.
+ * The leases ran out in an outage of the store, and for a moment its list names
+ * hardly any proxy. Guards against proxies that each take themselves for one of
+ * few: all seven connected to every server, and callers found the servers full.
  */
 START_TEST(test_a_lapsed_list_makes_no_homes)
 {
@@ -717,7 +747,7 @@
 	for (i = 0; i < RELAYS; i++)
 		now += is_home(f, i);
 	ck_assert_uint_eq(now, homes);
-	/* A list that stays so is believed. */
+	/* A short list that doesn't change is accepted. */
 	fake_run(f, 10 * USEC_PER_SEC);
 	ck_assert(is_home(f, 0));
 	end(f);
@@ -729,28 +759,29 @@
 	TCase *tc = tcase_create("homes");
 
 	tcase_add_loop_test(tc, test_only_homes_connect, 0, 5);
-	tcase_add_loop_test(tc, test_homes_are_few_before_wide_servers, 0, 3);
-	tcase_add_loop_test(tc, test_callers_do_not_mix_at_a_home, 0, 5);
-	tcase_add_loop_test(tc, test_floor_does_not_stick, 0, 5);
-	tcase_add_loop_test(tc, test_dead_home_is_passed_by, 0, 12);
-	tcase_add_loop_test(tc, test_home_that_stops_is_not_noticed, 0, 6);
-	tcase_add_test(tc, test_a_home_that_is_cut_off_is_left);
+	tcase_add_loop_test(tc, test_number_of_homes_is_bounded, 0, 3);
+	tcase_add_loop_test(tc, test_sessions_stay_separate_at_a_home, 0, 5);
+	tcase_add_loop_test(tc, test_floor_does_not_stay_with_a_connection, 0,
+			    5);
+	tcase_add_loop_test(tc, test_dead_home_is_avoided, 0, 12);
+	tcase_add_loop_test(tc, test_callers_go_on_when_a_home_stops, 0, 6);
+	tcase_add_test(tc, test_a_home_that_is_cut_off_is_avoided);
 	tcase_add_loop_test(tc, test_another_home_is_found, 0, 4);
-	tcase_add_loop_test(tc, test_an_isolated_proxy_turns_red, 0, 3);
-	tcase_add_loop_test(tc, test_spares_stand_in_for_homes, 0, 6);
+	tcase_add_loop_test(tc, test_an_isolated_proxy_is_not_ready, 0, 3);
+	tcase_add_loop_test(tc, test_spares_replace_unreachable_homes, 0, 6);
 	tcase_add_loop_test(
-		tc, test_a_session_leaves_where_its_database_has_no_home, 0, 4);
+		tc, test_a_session_ends_where_its_database_has_no_home, 0, 4);
 	tcase_add_loop_test(tc, test_homes_of_a_removed_database_are_left_alone,
 			    0, 3);
 	tcase_add_loop_test(
 		tc, test_callers_leave_the_wrong_side_of_a_partition, 0, 6);
-	tcase_add_loop_test(tc, test_no_proxy_leaves_for_an_outage_of_the_store,
-			    0, 6);
-	tcase_add_loop_test(tc, test_way_round_a_cut, 0, 6);
-	tcase_add_loop_test(tc, homes_are_connected_to_when_they_are_asked_for,
+	tcase_add_loop_test(tc, test_a_store_outage_turns_no_callers_away, 0,
+			    6);
+	tcase_add_loop_test(tc, test_proxies_route_around_a_cut, 0, 6);
+	tcase_add_loop_test(tc, homes_are_connected_to_at_the_first_statement,
 			    0, 5);
-	tcase_add_loop_test(tc, homes_that_nobody_asks_for_are_let_go, 0, 5);
-	tcase_add_loop_test(tc, test_the_way_round_ends_in_time, 0, 60);
+	tcase_add_loop_test(tc, connections_to_unused_homes_are_closed, 0, 5);
+	tcase_add_loop_test(tc, test_routing_around_a_cut_ends_in_time, 0, 60);
 	tcase_add_loop_test(tc, test_a_lapsed_list_makes_no_homes, 0, 3);
 	return suite_main("homes", tc);
 }
--- a/packages/relay/tests/test_returns.c
+++ b/packages/relay/tests/test_returns.c
@@ -3,8 +3,8 @@
 #include <celeryquay/suite.h>
 
 /*
- * Servers that come back, to the list or to life, and proxies that are back or
- * late, while another proxy's change is under way.
+ * Servers that are listed again or restart, and proxies that resume or are
+ * late, while another proxy's change of primary is under way.
  */
 
 #define FREEZE_US (6 * USEC_PER_SEC)
@@ -18,8 +18,8 @@
 	return f;
 }
 
-/* Another proxy than that one is in its fence, or past it. */
-static bool any_other_fences(const struct fake *f, int but)
+/* Whether a proxy other than `but` makes its fence or has just completed it. */
+static bool any_other_is_fencing(const struct fake *f, int but)
 {
 	int i;
 
@@ -44,7 +44,7 @@
 	changer = story_run_until(f, PHASE_PROMOTE);
 	if (changer >= 0)
 		fake_freeze(f, (unsigned)changer, FREEZE_US);
-	while (!any_other_fences(f, changer) && ms++ < 6000)
+	while (!any_other_is_fencing(f, changer) && ms++ < 6000)
 		fake_run(f, MS);
 	fake_run(f, seed % 10 * 10 * MS);
 	fake_return(f, 0);
@@ -53,11 +53,11 @@
 }
 
 /*
- * The changer alone is cut off from the primary and from a replica that has
- * left the list; that is listed again once the fence is whole, and the others
- * hear of both a little later.
+ * Only the proxy that replaces the primary is cut off from it and from a
+ * replica that has left the list. The replica is listed again once the fence is
+ * complete, and the other proxies hear of both a little later.
  */
-static char *replica_that_is_listed_again(uint32_t seed)
+static char *replica_that_is_relisted(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned i, changer = seed % STORY_RELAYS, ms = 0;
@@ -100,7 +100,7 @@
 	return story_end(f);
 }
 
-static char *target_that_starts_anew(uint32_t seed)
+static char *target_that_restarts(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
@@ -118,9 +118,9 @@
 }
 
 /*
- * A proxy has a promotion under way and is suspended. Another claims the duty,
- * pauses the replicas anew, sees the old primary come back, and ends what it
- * takes for its own pauses at once.
+ * A proxy is suspended while its promotion is under way. Another one claims the
+ * duty, pauses the replicas again and sees the old primary come back. Guards
+ * against that proxy ending at once the pauses that it takes for its own.
  */
 START_TEST(test_an_own_pause_beside_anothers_promotion)
 {
@@ -129,20 +129,20 @@
 END_TEST
 
 /*
- * A replica's entry lapses while it runs. A change gives it up, and it is
- * listed again before other proxies have given it up: to them it was there all
- * the time.
+ * A replica's entry in the list lapses while it runs. A change of primary goes
+ * on without it, and it is listed again before other proxies have dropped it:
+ * to them it was there all the time.
  */
-START_TEST(test_a_replica_that_is_listed_again)
+START_TEST(test_a_replica_that_is_relisted)
 {
-	story_check_promises(replica_that_is_listed_again);
+	story_check_promises(replica_that_is_relisted);
 }
 END_TEST
 
 /*
- * Both replicas are gone, and a proxy rightly relies on the primary alone. It
- * loses the store, a replica comes back, and others, which can't reach the
- * primary, have that one promoted.
+ * Both replicas are gone, and a proxy rightly relies on the primary alone. That
+ * proxy loses the store, a replica comes back, and other proxies, which can't
+ * reach the primary, have the replica promoted.
  */
 START_TEST(test_a_lone_primary_without_the_store)
 {
@@ -151,12 +151,12 @@
 END_TEST
 
 /*
- * The server that is promoted starts again under its id before that takes
- * effect, and confirms the old primary, which is back, too.
+ * The server that is being promoted restarts under its id before the promotion
+ * takes effect, and confirms the old primary, which is also back.
  */
-START_TEST(test_a_target_that_starts_anew)
+START_TEST(test_a_target_that_restarts)
 {
-	story_check_promises(target_that_starts_anew);
+	story_check_promises(target_that_restarts);
 }
 END_TEST
 
@@ -165,8 +165,8 @@
 	TCase *tc = tcase_create("returns");
 
 	tcase_add_test(tc, test_an_own_pause_beside_anothers_promotion);
-	tcase_add_test(tc, test_a_replica_that_is_listed_again);
+	tcase_add_test(tc, test_a_replica_that_is_relisted);
 	tcase_add_test(tc, test_a_lone_primary_without_the_store);
-	tcase_add_test(tc, test_a_target_that_starts_anew);
+	tcase_add_test(tc, test_a_target_that_restarts);
 	return suite_main("returns", tc);
 }
