--- a/packages/relay/tests/support_accounts.c
+++ b/packages/relay/tests/support_accounts.c
@@ -1,18 +1,18 @@
 /*
- * The fake's client accounts: each has one key, which the operators take away
- * and give back, and a limit. The store tells of it in answers to questions
- * that each relay sends now and then.
+ * The fake's client accounts: each has one key, which operators can revoke and
+ * restore, and a rate limit. Each relay polls the store for the configuration
+ * that contains them.
  */
 #include "support_history.h"
 
 #define ASK_EVERY_US (300 * MS)
 
-/* What the store said, on its way. */
+/* A reply of the store to a relay's poll. */
 struct answer {
 	unsigned relay;
-	unsigned life; /* of its process */
+	unsigned life; /* of the relay's process that asked */
 	struct relay_catalog *catalog;
-	uint64_t asked_us;
+	uint64_t asked_us; /* when it asked */
 };
 
 static void answer_free(gpointer data)
@@ -23,19 +23,19 @@
 	g_free(a);
 }
 
-/* The account's name; free it. */
+/* Returns the account's name; the caller frees it. */
 char *accounts_name(unsigned account)
 {
 	return g_strdup_printf("account%u", account);
 }
 
-/* Its key; free it. */
+/* Returns the account's key; the caller frees it. */
 char *accounts_key(unsigned account)
 {
 	return g_strdup_printf("secret%u", account);
 }
 
-/* As an operator has them on the platform's sheet. */
+/* Sets the relay settings that concern client accounts. */
 void accounts_settings(struct relay_settings *settings)
 {
 	settings->accounts = settings->limits = true;
@@ -45,7 +45,7 @@
 	settings->limit_slack = FAKE_SLACK;
 }
 
-/* The accounts as the configuration has them now. */
+/* Adds the accounts and the keys that are valid now to the catalog. */
 void accounts_add(const struct fake *f, struct relay_catalog *c)
 {
 	unsigned i;
@@ -75,7 +75,7 @@
 	relay_on_known(r->relay, a->asked_us);
 }
 
-/* One that the store doesn't answer asks on. */
+/* A relay that is cut off from the store keeps polling. */
 static void ask_event(struct fake *f, void *data)
 {
 	struct fake_relay *r = data;
@@ -93,7 +93,7 @@
 		answer_event, a, answer_free);
 }
 
-/* The relays begin to ask. */
+/* Starts the relays' polling, 1 ms apart. */
 void accounts_start(struct fake *f)
 {
 	unsigned i;
--- a/packages/relay/tests/support_group.c
+++ b/packages/relay/tests/support_group.c
@@ -3,11 +3,12 @@
 
 #include <string.h>
 
-#define CONNECT_US (10 * MS)
+#define CONNECT_US (10 * MS) /* delay of a connection's opening */
 #define CONNECT_LIMIT_US (500 * MS)
+/* How long until the far end drops a broken connection. */
 #define DROP_US (3 * USEC_PER_SEC)
 
-/* What travels on a connection, either way. */
+/* A message on a connection, in either direction. */
 struct message {
 	uint64_t key;
 	struct relay_statement st;
@@ -26,7 +27,7 @@
 	return &g_array_index(f->commits, struct fake_commit, number);
 }
 
-/* Whether the commit is in what the server has applied. */
+/* Whether the server has applied the commit. */
 bool fake_log_has(const struct fake *f, const struct fake_server *s,
 		  unsigned commit)
 {
@@ -82,7 +83,7 @@
 	g_free(c);
 }
 
-/* The other end's events are the server's own, or those of a relay. */
+/* Index of the relay at the far end; -1: a server, or a dead relay. */
 static int far_end(const struct fake_conn *c)
 {
 	return c->peer && !c->peer->dead ? (int)c->peer->index : -1;
@@ -104,7 +105,7 @@
 		g_memdup2(&c->key, sizeof(c->key)), g_free);
 }
 
-/* What goes into a cut is gone, and the connection with it. */
+/* Whether a message is lost now; the first loss breaks the connection. */
 static bool is_lost(struct fake *f, struct fake_conn *c)
 {
 	if (!is_blocked(f, c))
@@ -115,7 +116,7 @@
 	return true;
 }
 
-/* One direction of a connection keeps its order. */
+/* The delay after which a message arrives; each direction is in order. */
 static uint64_t arrival_us(struct fake *f, struct fake_conn *c, unsigned way,
 			   uint64_t delay_us)
 {
@@ -183,7 +184,7 @@
 	};
 }
 
-/* Orders of the relay's, and its steps before a caller's statement. */
+/* Runs a relay's own command, or its preparation of a caller's statement. */
 static void run_own(struct fake_conn *c, const struct relay_statement *st,
 		    struct relay_answer *a)
 {
@@ -273,13 +274,13 @@
 	return best;
 }
 
-/* Whether all slots are taken for so long that the server sheds. */
+/* Whether the wait for a slot is so long that the server sheds load. */
 static bool sheds_load(const struct fake *f, struct fake_server *s)
 {
 	return s->work_us && *earliest_slot(s) > f->now_us + s->queue_us;
 }
 
-/* Takes a slot; how long until its work is done. */
+/* Occupies a slot; returns the time until the statement is done. */
 static uint64_t slot_us(const struct fake *f, struct fake_server *s)
 {
 	uint64_t *slot = earliest_slot(s);
@@ -300,7 +301,7 @@
 	bool known;
 
 	s->n_ran++;
-	/* Without such a server the seeds draw what they always drew. */
+	/* No draw for a server that doesn't shed: others' histories stay. */
 	if (sheds_load(f, s) || fake_chance(f, f->busy) ||
 	    (s->sheds && fake_chance(f, s->sheds)))
 		return RELAY_BUSY;
@@ -317,7 +318,7 @@
 	return known ? RELAY_OK : RELAY_NO_STATEMENT;
 }
 
-/* A caller's statement: the history checks it, then it takes effect. */
+/* Runs a caller's statement: the history checks it, then it takes effect. */
 static void run_callers(struct fake *f, struct fake_conn *c, struct message *m,
 			struct relay_answer *a)
 {
@@ -435,7 +436,7 @@
 	tell(f, c, m, 0);
 }
 
-/* Starts a connection; the server answers, refuses or stays silent. */
+/* Opens a connection; the far end accepts, refuses or doesn't respond. */
 void fake_open(void *ctx, uint64_t conn, const struct relay_server_info *info,
 	       const char *account)
 {
@@ -465,7 +466,7 @@
 		g_memdup2(&c->key, sizeof(c->key)), g_free);
 }
 
-/* A statement on its way to the server. */
+/* Sends a statement to the server or to the other relay. */
 void fake_send(void *ctx, uint64_t conn, const struct relay_statement *st)
 {
 	struct fake_relay *r = ctx;
@@ -491,7 +492,7 @@
 	fake_at(r->fake, far_end(c), delay_us, server_event, m, message_free);
 }
 
-/* The relay closes; the server hears of it a little later. */
+/* The relay closes a connection; the far end learns it after a delay. */
 void fake_close(void *ctx, uint64_t conn)
 {
 	struct fake_relay *r = ctx;
@@ -503,7 +504,7 @@
 			   arrival_us(r->fake, c, 0, way_us(r->fake)));
 }
 
-/* To the relay whose connection the session is. */
+/* Sends a message to the relay that opened the peer session. */
 static void tell_relay(struct fake *f, uint64_t session, int kind,
 		       const struct relay_answer *a)
 {
@@ -523,7 +524,7 @@
 		drop_later(f, c, 0);
 }
 
-/* To a caller, or to another relay. */
+/* Delivers an answer to a caller, or to another relay. */
 void fake_answer(void *ctx, uint64_t session, const struct relay_answer *a)
 {
 	if (session < PEER_SESSION)
@@ -531,7 +532,7 @@
 	tell_relay(((struct fake_relay *)ctx)->fake, session, M_ANSWER, a);
 }
 
-/* The same of the session's end. */
+/* Tells a caller or another relay that the session ended. */
 void fake_hang_up(void *ctx, uint64_t session)
 {
 	struct relay_answer none = { 0 };
@@ -541,7 +542,7 @@
 	tell_relay(((struct fake_relay *)ctx)->fake, session, M_LOST, &none);
 }
 
-/* The servers' connections. */
+/* The table of connections: key -> struct fake_conn. */
 GHashTable *fake_conns_create(void)
 {
 	return g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
--- a/packages/relay/tests/support_group.h
+++ b/packages/relay/tests/support_group.h
@@ -2,9 +2,10 @@
 #define CELERYQUAY_TESTS_SUPPORT_GROUP_H
 
 /*
- * A small platform on a virtual clock: groups of three servers with a log, the
- * duty record, promotions, and relays in front of them. All delays and faults
- * come from one seed. Callers' side and checker: support_history.h.
+ * A fake platform on a virtual clock: groups of three servers with a
+ * replicated log, the duty record in the store, promotions, and relays in
+ * front of the servers. All delays and faults are drawn from one seed. The
+ * callers and the checker are in support_history.h.
  */
 
 #include "relay_internal.h"
@@ -13,8 +14,8 @@
 #define FAKE_SLOTS 3
 #define MAX_RELAYS (MAX_SERVERS + 1)
 #define MAX_GROUPS 2
-#define GROUP_SIZE 3 /* at the start */
-#define MAX_NEWCOMERS 40 /* of one history */
+#define GROUP_SIZE 3 /* servers of a group at the start */
+#define MAX_NEWCOMERS 40 /* servers added during one history */
 #define FAKE_ACCOUNTS 3
 #define MAX_SERVERS (MAX_GROUPS * GROUP_SIZE + MAX_NEWCOMERS)
 
@@ -26,17 +27,17 @@
 	char name[8];
 	struct relay *relay;
 	struct counter_set *counters;
-	uint64_t frozen_until_us;
-	bool dead;
-	bool unlisted;
-	bool deaf; /* towards the store: it hears of no claim, and has none */
-	bool list_held; /* the list of servers doesn't reach it */
-	uint64_t list_lag_us; /* or reaches it so late */
-	unsigned n_lists_due; /* on their way */
-	bool list_missed; /* one never came, and none since */
-	uint64_t list_revision; /* the newest one that came */
-	unsigned life; /* of its process; news for an earlier one are void */
-	uint64_t known; /* the store's revision as it was told */
+	uint64_t frozen_until_us; /* events for it are held until then */
+	bool dead; /* refuses connections of other relays */
+	bool unlisted; /* absent from the list of relays */
+	bool deaf; /* cut off from the store: no duty record, no claims */
+	bool list_held; /* lists of servers are dropped on their way to it */
+	uint64_t list_lag_us; /* additional delay of lists of servers */
+	unsigned n_lists_due; /* lists in flight to it */
+	bool list_missed; /* the newest list to arrive was dropped */
+	uint64_t list_revision; /* store revision of the newest list received */
+	unsigned life; /* process number; events for others are dropped */
+	uint64_t known; /* newest store revision that it was told */
 };
 
 struct fake_server {
@@ -45,59 +46,61 @@
 	char id[8];
 	char service[8];
 	bool down; /* crashed: connections are refused */
-	bool dark; /* silent towards all */
-	bool leaving;
-	bool listed;
-	bool replaced; /* its process is gone for good, another has its log */
-	bool led; /* its term; it forgets a step-down when it starts anew */
-	uint64_t born_ms;
+	bool dark; /* unresponsive: receives and sends nothing */
+	bool leaving; /* shuts down soon, as planned */
+	bool listed; /* in the list of servers */
+	bool replaced; /* ended for good; a new id may have its log */
+	bool led; /* was primary of its term; a restart forgets a step-down */
+	uint64_t born_ms; /* start time of its process, as listed */
 	enum server_role role;
 	uint64_t term;
-	uint64_t held;
-	uint64_t lag_us; /* of what it applies; it receives in half of that */
-	uint64_t down_us;
-	uint64_t slow_us; /* callers' statements wait this long in its queue */
-	uint64_t work_us; /* a caller's statement takes a slot so long */
-	uint64_t queue_us; /* what would wait longer for a slot is shed */
-	uint64_t free_us[FAKE_SLOTS]; /* when each slot is */
+	uint64_t held; /* paused: follows no primary of a lower term, 0: not */
+	uint64_t lag_us; /* replication lag: commits are applied after it,
+			  * received after half of it */
+	uint64_t down_us; /* when it crashed */
+	uint64_t slow_us; /* queueing delay of callers' statements */
+	uint64_t work_us; /* time that a caller's statement occupies a slot */
+	uint64_t queue_us; /* longest wait for a slot before it sheds load */
+	uint64_t free_us[FAKE_SLOTS]; /* when each slot becomes free */
 	double sheds; /* share of callers' statements that it refuses */
-	double mutes; /* share of its answers to callers that never come */
-	unsigned n_ran; /* callers' statements that it was sent */
-	uint64_t reaches_us; /* an old primary reaches the new one since */
-	GArray *log; /* unsigned: numbers of commits, received */
-	unsigned applied;
-	unsigned n_conns;
+	double mutes; /* share of its answers to callers that get lost */
+	unsigned n_ran; /* callers' statements that it received */
+	uint64_t reaches_us; /* since when an old primary reaches the new one,
+			      * 0: it doesn't */
+	GArray *log; /* unsigned: numbers of the commits received */
+	unsigned applied; /* length of the applied prefix of the log */
+	unsigned n_conns; /* open connections */
 };
 
-/* A connection as its server has it. */
+/* A connection of a relay to a server, or to another relay. */
 struct fake_conn {
-	uint64_t key;
-	unsigned serial;
-	unsigned relay;
-	uint64_t id;
-	struct fake_server *server; /* NULL: a relay is */
-	struct fake_relay *peer; /* whose session it is */
+	uint64_t key; /* unique among all relays */
+	unsigned serial; /* order of creation, from 1 */
+	unsigned relay; /* index of the relay that opened it */
+	uint64_t id; /* number that this relay gave it */
+	struct fake_server *server; /* NULL: the other end is a relay */
+	struct fake_relay *peer; /* relay at the other end, or NULL */
 	char *database;
-	char *account; /* whose it is, as the server was told */
+	char *account; /* client account that the relay opened it for */
 	bool open;
-	bool broken; /* nothing comes through any more, for good */
-	uint64_t last_us[2]; /* the newest arrival at server and relay */
-	GHashTable *values;
+	bool broken; /* delivers nothing any more */
+	uint64_t last_us[2]; /* latest arrivals at far end and relay */
+	GHashTable *values; /* session variables: name -> value */
 	GHashTable *prepared; /* name -> kind and shape */
-	char state;
-	bool read_only;
-	bool wrote;
-	unsigned attempt; /* whose transaction it is, 0: not known */
+	char state; /* 'I' idle, 'T' in a transaction, 'E' in a failed one */
+	bool read_only; /* the transaction is */
+	bool wrote; /* the transaction has written */
+	unsigned attempt; /* owner of the transaction, 0: not known */
 };
 
 struct fake_commit {
 	unsigned attempt;
 	unsigned group;
-	unsigned number;
+	unsigned number; /* position in the log, from 1 */
 	uint64_t term;
-	uint64_t us;
-	bool stale; /* at a server that another had replaced */
-	bool lost; /* a promotion rolled it back */
+	uint64_t us; /* when it was stored */
+	bool stale; /* stored at a primary that had already been replaced */
+	bool lost; /* rolled back by a promotion */
 };
 
 struct fake {
@@ -111,96 +114,103 @@
 	struct fake_relay relays[MAX_RELAYS];
 	struct fake_server servers[MAX_SERVERS];
 	bool cut[MAX_RELAYS][MAX_RELAYS];
-	unsigned side[MAX_RELAYS]; /* relays of two sides don't reach each other
-				    */
+	unsigned side[MAX_RELAYS]; /* relays of different sides can't reach
+				    * each other */
 	GHashTable *conns; /* key -> struct fake_conn */
 	unsigned n_serials;
 	unsigned max_connections;
-	bool homes; /* relays know each other */
-	unsigned n_codes[RELAY_CODES]; /* that callers were told */
-	unsigned n_replica_reads;
-	double lose_answers; /* share of statements without one */
-	double busy; /* share that servers refuse */
-	double lose_claims;
-	bool lose_words; /* on promotions; they are carried out */
-	unsigned void_promotions; /* but for so many of the next */
-	uint64_t
-		promote_late_us; /* a promotion's call is carried out so late */
-	uint64_t promote_us; /* until a promotion takes effect */
+	bool homes; /* relays receive the list of relays */
+	unsigned n_codes[RELAY_CODES]; /* answers to callers, by code */
+	unsigned n_replica_reads; /* callers' statements run by replicas */
+	double lose_answers; /* share of callers' statements whose answer is
+			      * lost */
+	double busy; /* share of callers' statements that servers refuse */
+	double lose_claims; /* share of claims and of promotion calls whose
+			     * reply is lost */
+	bool lose_words; /* replies to promotion calls are lost */
+	unsigned void_promotions; /* next promotion calls to drop */
+	uint64_t promote_late_us; /* additional delay of promotion calls */
+	uint64_t promote_us; /* from the call until a promotion takes effect */
 	GArray *commits; /* struct fake_commit; the first is unused */
-	uint64_t top_term[MAX_GROUPS];
-	unsigned n_promotions;
-	uint64_t last_token; /* that a relay sent */
-	unsigned last_holder;
-	uint64_t platform_token; /* the newest that came to the platform */
-	uint64_t revision; /* the store's: of lists and of the duty record */
-	uint64_t duty_revision;
-	char duty_holder[8];
-	bool accounts; /* callers have keys; support_accounts.c */
+	uint64_t top_term[MAX_GROUPS]; /* highest term of each group */
+	unsigned n_promotions; /* that took effect */
+	uint64_t last_token; /* newest token that a relay sent */
+	unsigned last_holder; /* index of the relay that sent it */
+	uint64_t platform_token; /* highest token that reached the platform */
+	uint64_t revision; /* store revision of lists and of the duty record */
+	uint64_t duty_revision; /* revision of the duty record, 0: no claim */
+	char duty_holder[8]; /* name of the relay that claimed last */
+	bool accounts; /* callers have keys; see support_accounts.c */
 	uint64_t config_version;
-	uint64_t key_gone_us[FAKE_ACCOUNTS]; /* taken away then, 0: it is good
-					      */
+	uint64_t key_gone_us[FAKE_ACCOUNTS]; /* when the account's key was
+					      * revoked, 0: it is valid */
 	struct hist *hist;
 };
 
 typedef void (*fake_fn)(struct fake *f, void *data);
 
-#define PEER_SESSION ((uint64_t)1 << 60) /* and the connection's key */
-#define FAKE_AIM_US (200 * MS)
-#define FAKE_AGE_US (300 * MS) /* of bounded reads */
+/* Marks sessions between relays; the other bits are the connection's key. */
+#define PEER_SESSION ((uint64_t)1 << 60)
+#define FAKE_AIM_US (200 * MS) /* latency target of an operation */
+#define FAKE_AGE_US (300 * MS) /* staleness bound of bounded reads */
+/* How long a relay may accept a key without confirmation by the store. */
 #define FAKE_KEY_AGE_US (5 * USEC_PER_SEC)
-#define FAKE_RATE 40 /* operations a second of each account */
+#define FAKE_RATE 40 /* operations per second of each account */
 #define FAKE_BURST 8
-#define FAKE_WINDOW_US (2 * USEC_PER_SEC)
+#define FAKE_WINDOW_US (2 * USEC_PER_SEC) /* window of a rate limit */
 #define FAKE_SLACK 8
 #define FAKE_OVERAGE 0.1
+/* Operations of an account that may run in one window (2 s). */
 #define FAKE_WINDOW_MOST                                                \
 	((unsigned)((FAKE_RATE * 2 + FAKE_BURST) * (1 + FAKE_OVERAGE) + \
 		    FAKE_SLACK))
-#define FAKE_LIMIT_US (2 * USEC_PER_SEC) /* of a statement */
+#define FAKE_LIMIT_US (2 * USEC_PER_SEC) /* statement time-out */
 
 struct fake *fake_create(uint32_t seed, unsigned n_relays, unsigned n_groups);
-/* The same with client accounts, and proxies that know each other. */
+/* The same with client accounts, and relays that know each other. */
 struct fake *fake_create_accounts(uint32_t seed, unsigned n_relays,
 				  unsigned n_groups);
 void fake_destroy(struct fake *f);
 void fake_run(struct fake *f, uint64_t us);
 bool fake_step(struct fake *f, uint64_t until_us);
-/* relay: its events are held while it is frozen; -1: of none. */
+/*
+ * Schedules fn after delay_us. Events of a relay (its index) are held while it
+ * is frozen; -1: of no relay.
+ */
 void fake_at(struct fake *f, int relay, uint64_t delay_us, fake_fn fn,
 	     void *data, GDestroyNotify free_data);
 uint64_t fake_random(struct fake *f, uint64_t from, uint64_t to);
 bool fake_chance(struct fake *f, double share);
 
 struct fake_server *fake_primary(struct fake *f, unsigned group);
-/* Those of the group that run and stay; how many. */
+/* Stores the indices of the group's servers that run and stay; their number. */
 unsigned fake_members(const struct fake *f, unsigned group, unsigned *out);
-/* Whether it runs and stays, and another does beside it. */
+/* Whether the server runs and stays, and another of its group does too. */
 bool fake_may_go(const struct fake *f, unsigned server);
 void fake_crash(struct fake *f, unsigned server);
 void fake_restart(struct fake *f, unsigned server);
-/* Its process ends and starts anew at once, under the id that it had. */
+/* Its process ends and restarts at once under the same id. */
 void fake_reborn(struct fake *f, unsigned server, bool keeps_log);
-/* A new replica with the log of the others; its number. */
+/* Adds a replica with a copy of the newest log; returns its index. */
 unsigned fake_join(struct fake *f, unsigned group);
-/* A crashed server's log comes back under another id; its number. */
+/* Starts a server with a crashed one's log under a new id; its index. */
 unsigned fake_return(struct fake *f, unsigned server);
-/* The server is to leave; its process ends after that time. */
+/* The server is listed as leaving; its process ends after drain_us. */
 void fake_leave(struct fake *f, unsigned server, uint64_t drain_us);
 void fake_cut(struct fake *f, unsigned relay, unsigned server, bool cut);
 void fake_freeze(struct fake *f, unsigned relay, uint64_t us);
 void fake_store(struct fake *f, unsigned relay, bool answers);
-/* Its process ends, and another of its name begins at once. */
+/* Its process ends, and another of the same name starts at once. */
 void fake_restart_relay(struct fake *f, unsigned relay);
 void fake_list(struct fake *f);
 void fake_heal(struct fake *f);
 bool fake_log_has(const struct fake *f, const struct fake_server *s,
 		  unsigned commit);
 
-/* An account's only key is taken away, or given back. */
+/* Revokes an account's only key, or makes it valid again. */
 void fake_take_key(struct fake *f, unsigned account, bool take);
 
-/* Between the parts of the fake. */
+/* Used between the files of the fake. */
 void accounts_settings(struct relay_settings *settings);
 void accounts_add(const struct fake *f, struct relay_catalog *c);
 void accounts_start(struct fake *f);
--- a/packages/relay/tests/support_history.c
+++ b/packages/relay/tests/support_history.c
@@ -2,29 +2,34 @@
 
 #include <string.h>
 
-#define LOOK_BACK 300 /* commits that a read is held against */
+#define LOOK_BACK 300 /* newest commits that a read is checked against */
 #define ANSWER_LIMIT_US (10 * USEC_PER_SEC)
-#define REPORT_MAX 2000
+#define REPORT_MAX 2000 /* bytes; later violations are not reported */
 
+/* An operation that a server ran, for the check of the rate limits. */
 struct operation {
 	unsigned account;
 	uint64_t sent_us;
 	uint64_t ran_us;
 };
 
+/* A transaction, or a statement outside of one. */
 struct attempt {
 	unsigned session;
-	unsigned n_commits;
-	unsigned commit;
-	bool promised;
-	bool acked;
+	unsigned n_commits; /* how often it was stored */
+	unsigned commit; /* the newest of these */
+	bool promised; /* refused: its caller was told that it isn't stored */
+	bool acked; /* its caller was told that it succeeded */
 	uint64_t acked_us;
-	unsigned conn; /* ran its first statement, with that number */
-	unsigned first;
-	bool ran; /* a server has seen it */
+	unsigned conn; /* serial of the connection that ran `first`, 0: none */
+	unsigned first; /* number of its first statement in the transaction */
+	bool ran; /* a server has run a statement of it */
 };
 
-/* A read that lacked a commit; wrong unless a promotion rolled that back. */
+/*
+ * A read at a server without a commit that it had to see: a violation unless
+ * a promotion rolled the commit back.
+ */
 struct missed {
 	unsigned commit;
 	unsigned statement;
@@ -62,7 +67,7 @@
 	g_free(s);
 }
 
-/* An empty history. */
+/* Creates an empty history. */
 struct hist *hist_create(void)
 {
 	struct hist *h = g_new0(struct hist, 1);
@@ -90,7 +95,7 @@
 	g_free(h);
 }
 
-/* Notes that something which must always hold did not. */
+/* Records that a guarantee was violated. */
 void hist_wrong(struct fake *f, const char *format, ...)
 {
 	GString *out = f->hist->wrong;
@@ -119,7 +124,7 @@
 	return f->hist->attempts->len;
 }
 
-/* Name and value of all, in the order of the names. */
+/* All names and values as text, sorted by name. */
 static char *values_text(GHashTable *values)
 {
 	GList *names = g_list_sort(g_hash_table_get_keys(values),
@@ -135,7 +140,7 @@
 	return g_string_free(out, FALSE);
 }
 
-/* A caller's session at a relay. */
+/* Opens a caller's session at a relay. */
 struct hist_session *hist_open(struct fake *f, unsigned relay, unsigned group,
 			       enum relay_kind kind)
 {
@@ -161,13 +166,13 @@
 	s->open = relay_session_open(f->relays[relay].relay, s->number,
 				     database, key, &answer, f->now_us);
 	if (!s->open && !f->accounts)
-		hist_wrong(f, "%s is not known", database);
+		hist_wrong(f, "database %s is not known", database);
 	g_free(key);
 	g_free(database);
 	return s;
 }
 
-/* The caller's connection breaks, whatever is in flight. */
+/* The caller disconnects, even with a statement in flight. */
 void hist_close(struct fake *f, struct hist_session *s)
 {
 	if (!s->open)
@@ -222,7 +227,7 @@
 	fake_at(f, (int)s->relay, 0, statement_event, h, NULL);
 }
 
-/* The newest statement's id. */
+/* A statement's id is its number. */
 char *hist_last_id(const struct fake *f)
 {
 	return g_strdup_printf("%u", f->hist->statements->len);
@@ -243,7 +248,7 @@
 	return h->answered ? h->code : RELAY_CODES;
 }
 
-/* Callers of their own try again until it is stored. */
+/* Opens new sessions, which retry until their writes are stored. */
 bool hist_serves(struct fake *f, uint64_t limit_us)
 {
 	uint64_t until_us = f->now_us + limit_us;
@@ -301,10 +306,11 @@
 	if (a->n_commits)
 		g_array_append_val(f->hist->acked, a->commit);
 	else if (h->writes)
-		hist_wrong(f, "%u told as stored, but nothing is", h->number);
+		hist_wrong(f, "%u acknowledged, but nothing was stored",
+			   h->number);
 }
 
-/* The relay's answer to a caller. */
+/* Records and checks a relay's answer to a caller. */
 void hist_answer(void *relay, uint64_t session, const struct relay_answer *a)
 {
 	struct fake *f = ((struct fake_relay *)relay)->fake;
@@ -314,7 +320,7 @@
 	char *id;
 
 	if (!s->open || !h) {
-		hist_wrong(f, "answer without a question");
+		hist_wrong(f, "answer without a pending statement");
 		return;
 	}
 	id = g_strdup_printf("%u", h->number);
@@ -329,7 +335,8 @@
 		note_done(s, h);
 		note_acked(f, h);
 		if (needs_server(h) && !str_eq(a->rows, str_from_c(id)))
-			hist_wrong(f, "%s got another's rows", id);
+			hist_wrong(f, "%s got the rows of another statement",
+				   id);
 	}
 	if (is_promise(a->code))
 		attempt_of(f, h->attempt)->promised = true;
@@ -338,7 +345,7 @@
 		fake_at(f, -1, MS, s->next, s, NULL);
 }
 
-/* The relay ends the session. */
+/* A relay ended a caller's session. */
 void hist_hang_up(void *relay, uint64_t session)
 {
 	struct fake *f = ((struct fake_relay *)relay)->fake;
@@ -348,7 +355,7 @@
 	s->open = false;
 }
 
-/* The relay's process is gone, and all its sessions with it. */
+/* A relay's process ended, and with it all its sessions. */
 void hist_relay_ended(struct fake *f, unsigned relay)
 {
 	unsigned i;
@@ -362,7 +369,7 @@
 	}
 }
 
-/* The caller's statement by its id. */
+/* Looks up a caller's statement by its id. */
 const struct hist_statement *hist_find(struct fake *f, struct str id)
 {
 	uint64_t number = 0;
@@ -371,7 +378,7 @@
 	return g_ptr_array_index(f->hist->statements, number - 1);
 }
 
-/* A relay gives a statement to another: only its caller's own relay may. */
+/* Checks that only the relay of the caller's session forwards a statement. */
 void hist_passed_on(struct fake *f, const struct fake_conn *c, struct str id)
 {
 	const struct hist_statement *h = hist_find(f, id);
@@ -379,7 +386,7 @@
 		g_ptr_array_index(f->hist->sessions, h->session - 1);
 
 	if (s->relay != c->relay)
-		hist_wrong(f, "%u was passed on twice", h->number);
+		hist_wrong(f, "%u was forwarded twice", h->number);
 }
 
 static bool must_see(const struct fake *f, const struct hist_session *s,
@@ -421,23 +428,29 @@
 	struct attempt *a = attempt_of(f, h->attempt);
 
 	if (h->in_transaction != (c->state == 'T')) {
-		hist_wrong(f, "%u in or out of a transaction", h->number);
+		hist_wrong(
+			f,
+			"%u: server and caller differ on being in a transaction",
+			h->number);
 		return;
 	}
 	if (!h->in_transaction)
 		return;
 	if (c->attempt && c->attempt != h->attempt)
-		hist_wrong(f, "%u in another's transaction", h->number);
+		hist_wrong(f, "%u runs in another operation's transaction",
+			   h->number);
 	c->attempt = h->attempt;
 	if (a->conn && a->conn != c->serial && a->first != h->number)
-		hist_wrong(f, "%u leaves its connection", h->number);
+		hist_wrong(f,
+			   "%u runs on another connection than its transaction",
+			   h->number);
 	if (!a->conn || a->first == h->number) {
 		a->conn = c->serial;
 		a->first = h->number;
 	}
 }
 
-/* The first statement of an operation that runs is what a limit counts. */
+/* Rate limits count an operation when its first statement runs. */
 static void note_operation(struct fake *f, const struct hist_session *s,
 			   const struct hist_statement *h)
 {
@@ -462,13 +475,15 @@
 		hist_wrong(f, "%u of %s runs on a connection of '%s'",
 			   h->number, name, c->account);
 	if (gone_us && h->sent_us > gone_us + FAKE_KEY_AGE_US)
-		hist_wrong(f, "%u runs %u ms after its key was taken away",
-			   h->number, (unsigned)((h->sent_us - gone_us) / MS));
+		hist_wrong(
+			f,
+			"%u was sent %u ms after its key was revoked, but runs",
+			h->number, (unsigned)((h->sent_us - gone_us) / MS));
 	note_operation(f, s, h);
 	g_free(name);
 }
 
-/* A server runs a caller's statement. */
+/* Checks a caller's statement that a server is about to run. */
 void hist_ran(struct fake *f, struct fake_conn *c,
 	      const struct hist_statement *h, const struct relay_statement *st)
 {
@@ -477,12 +492,13 @@
 	const char *shape = g_hash_table_lookup(c->prepared, name);
 
 	if (strcmp(values, h->values))
-		hist_wrong(f, "%u runs with %snot %s", h->number, values,
-			   h->values);
+		hist_wrong(f, "%u runs with variables %sinstead of %s",
+			   h->number, values, h->values);
 	if (h->verb == RELAY_EXECUTE && g_strcmp0(shape, h->shape))
-		hist_wrong(f, "%u runs %s not %s", h->number, shape, h->shape);
+		hist_wrong(f, "%u runs prepared statement %s, expected %s",
+			   h->number, shape, h->shape);
 	if (h->verb != st->verb || !str_eq(st->text, str_from_c(h->text)))
-		hist_wrong(f, "%u was changed", h->number);
+		hist_wrong(f, "%u was changed on its way", h->number);
 	check_transaction(f, c, h);
 	if (f->accounts)
 		check_account(f, c, h);
@@ -493,7 +509,7 @@
 	g_free(name);
 }
 
-/* A server stored something. */
+/* A server stored a commit. */
 void hist_committed(struct fake *f, unsigned commit)
 {
 	const struct fake_commit *c =
@@ -502,22 +518,21 @@
 
 	a->commit = commit;
 	if (++a->n_commits > 1)
-		hist_wrong(f, "session %u: stored twice", a->session);
+		hist_wrong(f, "session %u: an operation was stored twice",
+			   a->session);
 }
 
-/* How many writes callers were told as stored. */
 unsigned hist_acknowledged(const struct fake *f)
 {
 	return f->hist->acked->len;
 }
 
-/* Operations that ran in all. */
 unsigned hist_ran_in_all(const struct fake *f)
 {
 	return f->hist->operations->len;
 }
 
-/* Those of the account that were sent and ran in a window. */
+/* Operations of the account that were sent and run within a window. */
 static unsigned count_window(const struct fake *f, unsigned account,
 			     uint64_t from_us)
 {
@@ -560,16 +575,19 @@
 		if (!a->n_commits)
 			continue;
 		if (a->promised)
-			hist_wrong(f,
-				   "session %u: refused, but stored in %u.%u",
-				   a->session, (unsigned)c->term, c->number);
+			hist_wrong(
+				f,
+				"session %u: refused, but stored as commit %u.%u",
+				a->session, (unsigned)c->term, c->number);
 		if (a->acked && c->stale)
-			hist_wrong(f, "session %u: an old primary's %u.%u told",
-				   a->session, (unsigned)c->term, c->number);
+			hist_wrong(
+				f,
+				"session %u: commit %u.%u of an old primary was acknowledged",
+				a->session, (unsigned)c->term, c->number);
 	}
 }
 
-/* Looks through the whole history; "" when all is as it must be. */
+/* Checks the whole history once; later calls return the same text. */
 const char *hist_check(struct fake *f)
 {
 	unsigned i;
@@ -587,9 +605,9 @@
 			f->commits, struct fake_commit, m->commit);
 
 		if (!c->lost)
-			hist_wrong(f, "%u at %u ms missed %u.%u", m->statement,
-				   (unsigned)(m->us / MS), (unsigned)c->term,
-				   c->number);
+			hist_wrong(f, "%u at %u ms did not see commit %u.%u",
+				   m->statement, (unsigned)(m->us / MS),
+				   (unsigned)c->term, c->number);
 	}
 	return f->hist->wrong->str;
 }
--- a/packages/relay/tests/support_history.h
+++ b/packages/relay/tests/support_history.h
@@ -2,23 +2,24 @@
 #define CELERYQUAY_TESTS_SUPPORT_HISTORY_H
 
 /*
- * Callers of the fake's relays, and the record of all that they asked for and
- * were told, which is checked for what must always hold.
+ * Callers of the fake's relays, and the history of their requests and answers,
+ * which is checked for the guarantees that must always hold.
  */
 
 #include "support_group.h"
 
 struct hist_statement {
-	unsigned number; /* its id */
+	unsigned number; /* its id, from 1 */
 	unsigned session;
-	unsigned attempt; /* a transaction, or the statement alone */
+	unsigned attempt; /* number of the operation that it belongs to: a
+			   * transaction, or this statement alone */
 	enum relay_verb verb;
 	bool writes;
 	bool in_transaction;
-	char *values; /* the session's, as its caller knows them */
-	char *shape; /* of the prepared statement */
-	uint64_t since_us; /* of the statement or its transaction */
-	uint64_t sent_us; /* by its caller */
+	char *values; /* session variables that its caller has set */
+	char *shape; /* kind and text of the prepared statement */
+	uint64_t since_us; /* start of its operation */
+	uint64_t sent_us; /* when its caller sent it */
 	char *name;
 	char *text;
 	bool answered;
@@ -30,18 +31,18 @@
 	unsigned relay;
 	unsigned group;
 	enum relay_kind kind;
-	unsigned account; /* where there are accounts */
+	unsigned account; /* used if the fake has accounts */
 	bool open;
 	char state;
-	GHashTable *values;
+	GHashTable *values; /* session variables: name -> value */
 	GHashTable *prepared; /* name -> kind and shape */
-	unsigned attempt;
-	uint64_t begun_us;
-	struct hist_statement *now; /* without an answer yet */
-	enum relay_code told; /* by the last answer */
-	char said[64]; /* its text */
-	fake_fn next; /* runs after each answer, with this session */
-	unsigned left; /* for `next` */
+	unsigned attempt; /* number of the newest operation */
+	uint64_t begun_us; /* when that started */
+	struct hist_statement *now; /* awaiting its answer, or NULL */
+	enum relay_code told; /* code of the last answer */
+	char said[64]; /* text of the last answer */
+	fake_fn next; /* called with this session 1 ms after each answer */
+	unsigned left; /* free for use by `next` */
 };
 
 struct hist *hist_create(void);
@@ -51,21 +52,22 @@
 void hist_close(struct fake *f, struct hist_session *s);
 void hist_start(struct fake *f, struct hist_session *s, enum relay_verb verb,
 		const char *name, const char *text);
-/* Waits for the answer; RELAY_CODES if none comes. */
+/* Waits up to 10 s for the answer; RELAY_CODES if none comes. */
 enum relay_code hist_run(struct fake *f, struct hist_session *s,
 			 enum relay_verb verb, const char *name,
 			 const char *text);
-/* Whether each relay stores a write of each group, in all within that time. */
+/* Whether each relay accepts a write to each group, all within limit_us. */
 bool hist_serves(struct fake *f, uint64_t limit_us);
-/* The id of the newest statement, as its caller knows it; free it. */
+/* Returns the id of the newest statement; the caller frees it. */
 char *hist_last_id(const struct fake *f);
-/* Operations that a server ran. */
+/* Number of operations that servers ran. */
 unsigned hist_ran_in_all(const struct fake *f);
+/* Number of commits that were acknowledged to callers. */
 unsigned hist_acknowledged(const struct fake *f);
-/* "" or what was wrong so far. */
+/* Returns the violations found, "" if none; owned by the history. */
 const char *hist_check(struct fake *f);
 
-/* The fake's side. */
+/* Called by the fake. */
 void hist_wrong(struct fake *f, const char *format, ...) G_GNUC_PRINTF(2, 3);
 void hist_answer(void *relay, uint64_t session, const struct relay_answer *a);
 void hist_hang_up(void *relay, uint64_t session);
--- a/packages/relay/tests/support_log.c
+++ b/packages/relay/tests/support_log.c
@@ -3,6 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Source of the log's time stamps. */
 static const struct fake *logged;
 
 static uint64_t fake_clock_us(void)
@@ -10,7 +11,7 @@
 	return logged->now_us;
 }
 
-/* All relays log as the node "proxy", at the fake's time. */
+/* All relays log as the node "proxy", with time stamps of the fake's clock. */
 FILE *fake_log_open(struct fake *f)
 {
 	static const struct log_budget budget = { 100000, 100000000 };
@@ -24,7 +25,7 @@
 	return log;
 }
 
-/* Lines go nowhere from now on. */
+/* Ends the capture; later lines are discarded. */
 void fake_log_close(FILE *log)
 {
 	log_sink_open(-1, NULL);
@@ -33,7 +34,7 @@
 	fclose(log);
 }
 
-/* From its beginning, and whole. */
+/* Flushes pending lines and seeks to the file's beginning. */
 void fake_log_rewind(FILE *log)
 {
 	log_sink_flush();
@@ -45,7 +46,7 @@
 	json_node_unref(node);
 }
 
-/* The lines of that event so far, as JsonNode, in their order. */
+/* Returns the lines of an event so far as JsonNode, in order. */
 GPtrArray *fake_log_lines(FILE *log, const char *event)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(node_free);
@@ -71,7 +72,7 @@
 	return lines;
 }
 
-/* By its number, from 0. */
+/* Returns the line with that index, counted from 0. */
 JsonObject *fake_log_line(const GPtrArray *lines, unsigned i)
 {
 	return json_node_get_object(g_ptr_array_index(lines, i));
--- a/packages/relay/tests/support_log.h
+++ b/packages/relay/tests/support_log.h
@@ -1,7 +1,7 @@
 #ifndef CELERYQUAY_TESTS_SUPPORT_LOG_H
 #define CELERYQUAY_TESTS_SUPPORT_LOG_H
 
-/* The log that the fake's relays write, kept in a file for a test to read. */
+/* Captures the log of the fake's relays in a file, for a test to read. */
 
 #include "support_group.h"
 
--- a/packages/relay/tests/support_platform.c
+++ b/packages/relay/tests/support_platform.c
@@ -1,27 +1,29 @@
 /*
- * The platform's part of the fake: replication, promotions, the duty record,
- * the list of servers, and the faults.
+ * The platform side of the fake: replication, promotions, the duty record, the
+ * lists of servers and relays, and fault injection.
  */
 #include "support_group.h"
 #include "support_history.h"
 
 #include <string.h>
 
-#define STREAM_US (4 * MS) /* between two looks of a replica at its primary */
+#define STREAM_US (4 * MS) /* replication interval */
+/* How long an old primary reaches the new one before it follows. */
 #define FOLLOW_US USEC_PER_SEC
-#define UNLIST_US (3 * USEC_PER_SEC)
-#define CALL_LIMIT_US (400 * MS)
+#define UNLIST_US (3 * USEC_PER_SEC) /* from a crash to its unlisting */
+#define CALL_LIMIT_US (400 * MS) /* time-out of a claim */
 #define DROP_US (3 * USEC_PER_SEC)
-#define REBORN_US (20 * MS)
+#define REBORN_US (20 * MS) /* duration of a quick restart */
 
+/* A relay's call to the store or the platform, or a reply to it. */
 struct call {
 	unsigned relay;
-	unsigned life; /* the relay's */
-	uint64_t number; /* expected revision, or the token */
-	uint64_t revision;
-	enum relay_claim outcome;
-	unsigned server;
-	bool accepted;
+	unsigned life; /* of the relay's process */
+	uint64_t number; /* a claim's expected revision, a promotion's token */
+	uint64_t revision; /* of the duty record */
+	enum relay_claim outcome; /* of a claim */
+	unsigned server; /* to promote */
+	bool accepted; /* promotion: carried out; claim: its reply arrives */
 };
 
 static bool is_on_line(const struct fake_server *s)
@@ -29,7 +31,7 @@
 	return !s->down && !s->dark;
 }
 
-/* The primary of the highest term, NULL when none runs. */
+/* The reachable primary of the highest term, or NULL. */
 struct fake_server *fake_primary(struct fake *f, unsigned group)
 {
 	struct fake_server *best = NULL;
@@ -45,7 +47,7 @@
 	return best;
 }
 
-/* Whom a test may crash, or tell to leave. */
+/* The servers that a test may crash or have leave. */
 unsigned fake_members(const struct fake *f, unsigned group, unsigned *out)
 {
 	unsigned i, n = 0;
@@ -60,7 +62,7 @@
 	return n;
 }
 
-/* A group is never left without a server. */
+/* Tests never leave a group without a server. */
 bool fake_may_go(const struct fake *f, unsigned server)
 {
 	const struct fake_server *s = &f->servers[server];
@@ -69,7 +71,7 @@
 	return !s->down && !s->leaving && fake_members(f, s->group, all) > 1;
 }
 
-/* Rolls back what the primary's log hasn't, and follows its term. */
+/* Rolls back what the primary's log lacks, and joins its term. */
 static void join_term(struct fake_server *s, const struct fake_server *p)
 {
 	unsigned n = 0, most = MIN(s->log->len, p->log->len);
@@ -114,7 +116,7 @@
 	}
 }
 
-/* A primary that stepped down has sent all that it stored before. */
+/* A primary that stepped down still sends what it stored before. */
 static void receive_left(struct fake *f, struct fake_server *s)
 {
 	unsigned i;
@@ -163,7 +165,7 @@
 	fake_at(f, -1, STREAM_US, stream_event, data, NULL);
 }
 
-/* A promotion ends them everywhere, before others know of its term. */
+/* A promotion ends all pauses, before other servers learn its term. */
 static void end_pauses(struct fake *f, unsigned group)
 {
 	unsigned i;
@@ -173,7 +175,7 @@
 			f->servers[i].held = 0;
 }
 
-/* What isn't in the new primary's log is lost, acknowledged or not. */
+/* Commits missing in the new primary's log are lost, even if acknowledged. */
 static void promoted_event(struct fake *f, void *data)
 {
 	const struct call *call = data;
@@ -197,7 +199,7 @@
 	}
 }
 
-/* Whether the process that made the call, or awaits the news, still runs. */
+/* Whether the process that made the call or awaits the message still runs. */
 static bool is_its_life(const struct fake *f, const struct call *call)
 {
 	return call->life == f->relays[call->relay].life;
@@ -215,8 +217,8 @@
 }
 
 /*
- * A call that another overtook on its way has the lower token by then, and the
- * platform refuses it.
+ * Promotion calls can overtake each other; the platform refuses one with a
+ * lower token than it has seen.
  */
 static void promote_event(struct fake *f, void *data)
 {
@@ -237,7 +239,7 @@
 			g_memdup2(call, sizeof(*call)), g_free);
 }
 
-/* No relay may send a token after another's that is not lower. */
+/* Tokens must not decrease; only the same relay may repeat its token. */
 static void note_token(struct fake *f, const struct call *call)
 {
 	if (call->number < f->last_token ||
@@ -265,7 +267,7 @@
 		g_memdup2(&call, sizeof(call)), g_free);
 }
 
-/* All that came before is known, unless a list is on its way. */
+/* Tells the relay a revision, unless a list is in flight or was dropped. */
 static void tell_known(struct fake_relay *r, uint64_t revision)
 {
 	r->known = MAX(r->known, revision);
@@ -324,7 +326,7 @@
 			g_memdup2(call, sizeof(*call)), g_free);
 }
 
-/* A claim that times out may be carried out later, or never. */
+/* A claim whose reply is lost takes effect up to 3 s later, or never. */
 static void on_claim(void *ctx, uint64_t expected)
 {
 	struct fake_relay *r = ctx;
@@ -351,7 +353,7 @@
 			g_memdup2(&call, sizeof(call)), g_free);
 }
 
-/* A list of servers on its way to a relay. */
+/* A list of servers in flight to a relay. */
 struct list_news {
 	struct fake_relay *relay;
 	unsigned life;
@@ -427,7 +429,7 @@
 		g_free);
 }
 
-/* The lists of servers and of relays reach all relays. */
+/* Sends the lists of servers and of relays to all relays. */
 void fake_list(struct fake *f)
 {
 	unsigned i;
@@ -455,7 +457,7 @@
 			*key & (((uint64_t)1 << 48) - 1), false, f->now_us);
 }
 
-/* The server's process ends; its log stays. */
+/* Ends the server's process; its log stays. */
 void fake_crash(struct fake *f, unsigned server)
 {
 	struct fake_server *s = &f->servers[server];
@@ -479,7 +481,7 @@
 	fake_at(f, -1, UNLIST_US, unlist_event, s, NULL);
 }
 
-/* It comes back with its log, as what it was. */
+/* Restarts a crashed server with its log, as a replica if its term is old. */
 void fake_restart(struct fake *f, unsigned server)
 {
 	struct fake_server *s = &f->servers[server];
@@ -504,8 +506,9 @@
 }
 
 /*
- * A pause and a step-down are forgotten; its log is there, or is not. It leads
- * the term that it led, unless another was promoted meanwhile.
+ * The restarted process has forgotten a pause and a step-down. It is primary
+ * again if it was the primary of its term, unless another server was promoted
+ * meanwhile.
  */
 void fake_reborn(struct fake *f, unsigned server, bool keeps_log)
 {
@@ -519,19 +522,19 @@
 	fake_at(f, -1, REBORN_US, reborn_event, s, NULL);
 }
 
-/* Nothing passes between the two; what is sent breaks its connection. */
+/* Blocks all messages between the two; a message breaks its connection. */
 void fake_cut(struct fake *f, unsigned relay, unsigned server, bool cut)
 {
 	f->cut[relay][server] = cut;
 }
 
-/* The relay's VM is suspended; what reaches it waits. */
+/* Suspends the relay's VM; events for it are held. */
 void fake_freeze(struct fake *f, unsigned relay, uint64_t us)
 {
 	f->relays[relay].frozen_until_us = f->now_us + us;
 }
 
-/* All faults end. */
+/* Ends the faults of network, servers and calls; crashed servers restart. */
 void fake_heal(struct fake *f)
 {
 	unsigned i;
@@ -561,7 +564,7 @@
 		tick_event, r, NULL);
 }
 
-/* The operators' configuration as it is now. */
+/* The current configuration. */
 struct relay_catalog *fake_catalog(const struct fake *f)
 {
 	static const char *const kinds[] = { "primary", "bounded", "own" };
@@ -631,7 +634,7 @@
 	fake_at(f, (int)index, MS, tick_event, r, NULL);
 }
 
-/* The store tells it all, as when a watch begins. */
+/* Sends the store's whole state, as at the start of a watch. */
 static void tell_all(struct fake *f, struct fake_relay *r)
 {
 	struct call call = { .relay = r->index,
@@ -643,7 +646,7 @@
 		g_memdup2(&call, sizeof(call)), g_free);
 }
 
-/* Whether the store answers the relay; it hears of nothing else either. */
+/* Restores the relay's connection to the store, or cuts it off. */
 void fake_store(struct fake *f, unsigned relay, bool answers)
 {
 	bool is_back = answers && f->relays[relay].deaf;
@@ -654,7 +657,7 @@
 		tell_all(f, &f->relays[relay]);
 }
 
-/* Its callers' sessions end, and its connections once all has arrived. */
+/* Ends the callers' sessions, and connections after messages in flight. */
 static void end_relay(struct fake *f, struct fake_relay *r)
 {
 	GHashTableIter iter;
@@ -674,8 +677,8 @@
 }
 
 /*
- * What the process knew, claimed and was told is gone; the number of its next
- * connection goes on, since the fake knows connections by it.
+ * The new process starts without the old one's state, except for the numbering
+ * of connections, which the fake identifies connections by.
  */
 void fake_restart_relay(struct fake *f, unsigned relay)
 {
@@ -727,7 +730,7 @@
 	to->term = from->term;
 }
 
-/* The one that has most, of those that run. */
+/* The reachable server with the newest log. */
 static const struct fake_server *newest_log(const struct fake *f,
 					    unsigned group)
 {
@@ -746,7 +749,7 @@
 	return best;
 }
 
-/* It has what the newest of the others has, and no pause. */
+/* The new replica has the newest log of the group, and no pause. */
 unsigned fake_join(struct fake *f, unsigned group)
 {
 	const struct fake_server *from = newest_log(f, group);
@@ -758,7 +761,7 @@
 	return s->index;
 }
 
-/* It leads the term that it led, unless another was promoted meanwhile. */
+/* A primary of its term is primary again unless another was promoted. */
 unsigned fake_return(struct fake *f, unsigned server)
 {
 	struct fake_server *old = &f->servers[server];
@@ -783,7 +786,7 @@
 	fake_list(f);
 }
 
-/* Planned: it serves until it ends, and does not come back. */
+/* A planned shutdown: the server works until then, and doesn't return. */
 void fake_leave(struct fake *f, unsigned server, uint64_t drain_us)
 {
 	f->servers[server].leaving = true;
@@ -791,7 +794,7 @@
 	fake_at(f, -1, drain_us, left_event, &f->servers[server], NULL);
 }
 
-/* Groups at rest, and relays that know of them; the rest follows by itself. */
+/* Creates idle groups and relays, and schedules their periodic events. */
 static struct fake *create(uint32_t seed, unsigned n_relays, unsigned n_groups,
 			   bool accounts)
 {
@@ -838,7 +841,7 @@
 	return create(seed, n_relays, n_groups, true);
 }
 
-/* Frees all, the relays too. */
+/* Frees the fake and its relays. */
 void fake_destroy(struct fake *f)
 {
 	unsigned i;
--- a/packages/relay/tests/support_queue.c
+++ b/packages/relay/tests/support_queue.c
@@ -2,8 +2,8 @@
 
 struct event {
 	uint64_t at_us;
-	uint64_t number;
-	int relay;
+	uint64_t number; /* order of events due at the same time */
+	int relay; /* held while this relay is frozen, -1: none */
 	fake_fn fn;
 	void *data;
 	GDestroyNotify free_data;
@@ -28,7 +28,7 @@
 	g_free(e);
 }
 
-/* Schedules an event; its data is freed after it. */
+/* Schedules an event; its data is freed after it has run. */
 void fake_at(struct fake *f, int relay, uint64_t delay_us, fake_fn fn,
 	     void *data, GDestroyNotify free_data)
 {
@@ -43,7 +43,7 @@
 	g_tree_insert(f->events, e, e);
 }
 
-/* Runs the next event up to a time; false when there is none. */
+/* Runs the next event due by until_us; false when there is none. */
 bool fake_step(struct fake *f, uint64_t until_us)
 {
 	GTreeNode *node = g_tree_node_first(f->events);
@@ -66,7 +66,7 @@
 	return true;
 }
 
-/* Lets time pass. */
+/* Runs all events of the next `us` microseconds. */
 void fake_run(struct fake *f, uint64_t us)
 {
 	uint64_t until_us = f->now_us + us;
@@ -75,20 +75,20 @@
 		;
 }
 
-/* A number from the seed, `to` excluded. */
+/* A random number of [from, to). */
 uint64_t fake_random(struct fake *f, uint64_t from, uint64_t to)
 {
 	return from +
 	       (uint64_t)g_rand_int_range(f->rng, 0, (gint32)(to - from));
 }
 
-/* True for this share of the calls. */
+/* True with probability `share`; 0 draws no random number. */
 bool fake_chance(struct fake *f, double share)
 {
 	return share > 0 && g_rand_double(f->rng) < share;
 }
 
-/* The queue of events, by time. */
+/* The queue of events, ordered by time. */
 GTree *fake_events_create(void)
 {
 	return g_tree_new_full(event_cmp, NULL, event_free, NULL);
--- a/packages/relay/tests/support_story.c
+++ b/packages/relay/tests/support_story.c
@@ -3,10 +3,10 @@
 #include <check.h>
 #include <string.h>
 
-#define CHANGE_LIMIT_US (20 * USEC_PER_SEC)
-#define REST_US (9 * USEC_PER_SEC)
+#define CHANGE_LIMIT_US (20 * USEC_PER_SEC) /* for reaching a phase */
+#define REST_US (9 * USEC_PER_SEC) /* for recovery from the faults */
 
-/* The guard that the proxies go without, by its place. */
+/* Offset in struct relay_guards of the guard to switch off. */
 static size_t guard_off = STORY_ALL_GUARDS;
 
 static void next_event(struct fake *f, void *data)
@@ -22,7 +22,6 @@
 
 static struct hist_session *callers[STORY_RELAYS];
 
-/* At each proxy that has none. */
 void story_callers_come(struct fake *f)
 {
 	unsigned i;
@@ -37,8 +36,8 @@
 }
 
 /*
- * doubt_unpaused asks all replicas while a change may be under way, and so
- * hides what the others are for.
+ * doubt_unpaused is off, too: it asks all replicas while a change may be in
+ * progress, which would hide the effect of the other guard.
  */
 static void switch_guard_off(struct fake *f)
 {
@@ -54,7 +53,7 @@
 	}
 }
 
-/* Promotions take 300 to 1,000 ms, by the seed. */
+/* The seed selects how long promotions take: 300 to 1,000 ms. */
 struct fake *story_start(uint32_t seed, uint64_t settle_us)
 {
 	struct fake *f = fake_create(seed, STORY_RELAYS, 1);
@@ -66,7 +65,6 @@
 	return f;
 }
 
-/* All heals; what was wrong until a while after that. */
 char *story_end(struct fake *f)
 {
 	unsigned acked, i;
@@ -86,19 +84,19 @@
 	wrong = g_strdup(hist_check(f));
 	if (!*wrong && hist_acknowledged(f) < acked + 50) {
 		g_free(wrong);
-		wrong = g_strdup("nothing is stored any more");
+		wrong = g_strdup(
+			"fewer than 50 writes were stored in 1 s after recovery");
 	}
 	fake_destroy(f);
 	return wrong;
 }
 
-/* The group as a relay sees it. */
 const struct rservice *story_service(const struct fake *f, unsigned relay)
 {
 	return g_hash_table_lookup(f->relays[relay].relay->services, "group0");
 }
 
-/* The relay that replaces the primary and has come that far, or -1. */
+/* The relay that is in that phase of a change, or -1. */
 static int changer_in(const struct fake *f, enum rphase phase)
 {
 	unsigned i;
@@ -109,7 +107,7 @@
 	return -1;
 }
 
-/* Looks each millisecond. */
+/* Polls each millisecond. */
 int story_run_until(struct fake *f, enum rphase phase)
 {
 	uint64_t limit_us = f->now_us + CHANGE_LIMIT_US;
@@ -122,7 +120,7 @@
 static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD, PHASE_PROMOTE,
 				      PHASE_SETTLE };
 
-/* The proxy that came there, or -1. */
+/* Returns the proxy that was first in the phase, or -1. */
 int story_run_into_a_phase(struct fake *f, uint32_t seed)
 {
 	int changer = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
@@ -131,7 +129,6 @@
 	return changer;
 }
 
-/* Each seed keeps them. */
 void story_check_promises(story_fn story)
 {
 	uint32_t seed;
@@ -144,7 +141,7 @@
 	}
 }
 
-/* One seed is enough. */
+/* Stops at the first seed with a violation. */
 void story_check_is_noticed(story_fn story, size_t guard)
 {
 	bool noticed = false;
@@ -158,5 +155,5 @@
 		g_free(wrong);
 	}
 	guard_off = STORY_ALL_GUARDS;
-	ck_assert_msg(noticed, "no seed shows what the guard is for");
+	ck_assert_msg(noticed, "no seed shows a violation without the guard");
 }
--- a/packages/relay/tests/support_story.h
+++ b/packages/relay/tests/support_story.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TESTS_SUPPORT_STORY_H
 
 /*
- * Stories of one group of servers and three proxies with a caller each that
- * writes and reads all the while: something happens in a phase of a change of
- * primary, all heals, and the history is looked through.
+ * Scenarios with one group of servers and three proxies. A caller at each proxy
+ * writes and reads all the time. A fault occurs in some phase of a change of
+ * primary, all faults end, and the history is checked.
  */
 
 #include "support_history.h"
@@ -12,23 +12,30 @@
 #define STORY_RELAYS 3
 #define STORY_SEEDS 60
 
-/* The proxies run without a guard of struct relay_guards, or with all. */
+/* In place of a guard's offset in struct relay_guards: none is off. */
 #define STORY_ALL_GUARDS SIZE_MAX
 
-/* What was wrong, "" when nothing was; free it. */
+/* Returns the violations found, "" if none; the caller frees it. */
 typedef char *(*story_fn)(uint32_t seed);
 
-/* The callers come after settle_us. */
+/* Runs the proxies for settle_us without callers. */
 struct fake *story_start(uint32_t seed, uint64_t settle_us);
+/* Opens a session at each proxy that has none. */
 void story_callers_come(struct fake *f);
+/*
+ * Ends all faults, checks that writes succeed again, and frees the fake;
+ * returns the violations found like a story_fn.
+ */
 char *story_end(struct fake *f);
+/* The group as a proxy sees it. */
 const struct rservice *story_service(const struct fake *f, unsigned relay);
-/* The proxy that comes to that phase first, -1: none does in 20 s. */
+/* The proxy that is first in that phase, -1: none within 20 s. */
 int story_run_until(struct fake *f, enum rphase phase);
-/* Into one of the phases, drawn from the seed, and up to 200 ms on. */
+/* Runs into a phase that the seed selects, and up to 200 ms further. */
 int story_run_into_a_phase(struct fake *f, uint32_t seed);
+/* No seed may show a violation. */
 void story_check_promises(story_fn story);
-/* At least one seed shows the fault when the guard is off. */
+/* At least one seed must show a violation when the guard is off. */
 void story_check_is_noticed(story_fn story, size_t guard);
 
 #endif
