--- a/packages/relay/tests/test_change.c
+++ b/packages/relay/tests/test_change.c
@@ -2,7 +2,7 @@
 
 #include <celeryquay/suite.h>
 
-/* After 8 s a proxy replaces a primary that others still reach. */
+/* Longer than 8 s, when a proxy replaces a primary that others still reach. */
 #define LONG_CUT_US (14 * USEC_PER_SEC)
 
 static struct hist_session *writers[3];
@@ -15,7 +15,7 @@
 		   "1");
 }
 
-/* Three relays with a caller each that writes all the while. */
+/* Starts three relays with a caller each that writes all the time. */
 static struct fake *start(uint32_t seed)
 {
 	struct fake *f = fake_create(seed, 3, 1);
@@ -31,7 +31,9 @@
 	return f;
 }
 
-/* All is well again within some seconds: one primary, and writes. */
+/*
+ * Ends all faults: 5 s later writes succeed, and no guarantee was broken.
+ */
 static void end(struct fake *f)
 {
 	unsigned acked;
@@ -46,8 +48,8 @@
 }
 
 /*
- * A primary dies by night, its process (0) or its host (1). Installers are
- * without codes until another leads.
+ * A primary crashes: its process (0) or its host (1). Writes fail until another
+ * server is promoted, which must happen within 3.5 s.
  */
 START_TEST(test_dead_primary_is_replaced)
 {
@@ -68,7 +70,7 @@
 END_TEST
 
 /*
- * One proxy of three loses its way to the primary for a moment. Replacing it
+ * One proxy of three can't reach the primary for 2 s. Replacing the primary
  * would stop the writes of all others for a second.
  */
 START_TEST(test_short_cut_of_one_relay_changes_nothing)
@@ -85,8 +87,9 @@
 END_TEST
 
 /*
- * A primary is replaced as one proxy lost it for good; others still reach the
- * old one, which goes on. What it stores after the promotion is gone later.
+ * One proxy can't reach the primary and replaces it; the others still reach the
+ * old primary, which keeps running. Commits that it stores after the promotion
+ * are rolled back later and must not be acknowledged.
  */
 START_TEST(test_old_primary_is_not_believed)
 {
@@ -100,9 +103,9 @@
 END_TEST
 
 /*
- * A second primary is cut off like the first, an hour later. What was left of
- * the first change made the second one skip its fence, and writes that the
- * old primary stored were told as stored, and gone.
+ * A second primary is cut off like the first. State left over from the first
+ * change must not let the second one skip its fence: writes that the old
+ * primary stored would be acknowledged and then lost.
  */
 START_TEST(test_second_change_fences_too)
 {
@@ -120,7 +123,7 @@
 }
 END_TEST
 
-/* What is wrong when one proxy of three hears nothing of a change. */
+/* Violations when one proxy of three is cut off from the store in a change. */
 static char *history_of_a_deaf_relay(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed);
@@ -145,10 +148,10 @@
 }
 
 /*
- * The store's answers reach all proxies but one when a primary has crashed.
- * That one sees the old primary come back and a replica paused, which it
- * resumed; the replica confirmed the old primary, and an installer's code that
- * was stored there was gone with the promotion a moment later.
+ * A primary crashes while one proxy is cut off from the store. That proxy sees
+ * the old primary come back and a replica that is paused. If it resumed the
+ * replica, the replica would confirm the old primary, and writes acknowledged
+ * there would be lost with the promotion.
  */
 START_TEST(test_a_deaf_proxy_ends_no_pause)
 {
@@ -159,6 +162,7 @@
 }
 END_TEST
 
+/* Without the guard resume_under_duty the checker finds that fault. */
 START_TEST(test_ended_pauses_are_noticed)
 {
 	unsigned i, n = 0;
@@ -174,8 +178,8 @@
 END_TEST
 
 /*
- * The platform's word on a promotion is lost, after it was carried out. The
- * proxy asked for one more, of another server, and took the lead from the new
+ * The platform carries out a promotion, but its reply is lost. The proxy must
+ * not request the promotion of another server: that would replace the new
  * primary without a fence.
  */
 START_TEST(test_lost_word_promotes_no_other)
@@ -194,8 +198,8 @@
 END_TEST
 
 /*
- * A primary is to be taken away as planned. No acknowledged trip may be lost,
- * though replicas trail.
+ * A primary is replaced as planned while its replicas lag by 100 ms. No commit
+ * may be lost.
  */
 START_TEST(test_planned_move_loses_nothing)
 {
@@ -220,9 +224,10 @@
 }
 
 /*
- * A primary steps down as planned and runs reads on as a replica. A proxy
- * whose list is old held its lease on it, and a dispatcher who read there saw
- * nothing of what was booked at the new primary 100 ms before.
+ * A primary steps down as planned and continues to run reads as a replica. The
+ * change must wait for the lease of a proxy with an outdated list: a read
+ * through that proxy would miss what was written to the new primary 100 ms
+ * earlier.
  */
 START_TEST(test_a_planned_move_waits_for_leases)
 {
@@ -246,8 +251,8 @@
 END_TEST
 
 /*
- * A primary that lost the store leaves the list, but answers. It was never
- * told to step down, and nobody could replace it.
+ * A primary that lost its connection to the store is no longer listed, but
+ * still answers. It must be told to step down, or it can't be replaced.
  */
 START_TEST(test_unlisted_primary_steps_down)
 {
@@ -263,8 +268,9 @@
 END_TEST
 
 /*
- * A proxy is suspended between its claim and the promotion; another claims
- * after it and promotes. The first wakes up with a token that is too low.
+ * A proxy is suspended between its claim and the promotion; another proxy
+ * claims after it and promotes. The first resumes with a token that is too low
+ * and must not use it.
  */
 static void suspend_claimant(struct fake *f)
 {
@@ -290,7 +296,7 @@
 }
 END_TEST
 
-/* The same story, told by the checker once the guard is off. */
+/* Without the guard fresh_claim the checker finds that fault. */
 START_TEST(test_old_claim_is_noticed)
 {
 	unsigned seed, i;
@@ -306,17 +312,17 @@
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
-	ck_assert_msg(caught, "an old claim is not noticed");
+	ck_assert_msg(caught, "no seed shows the use of an old claim");
 }
 END_TEST
 
-/* A slow write at a primary that all but its own proxy have lost. */
+/* A slow write at a primary that only one proxy can reach. */
 static void write_late(struct fake *f)
 {
 	unsigned i;
 
 	f->promote_us = 300 * MS;
-	f->servers[0].slow_us = 1985 * MS; /* the limit is 2 s */
+	f->servers[0].slow_us = 1985 * MS; /* statements time out after 2 s */
 	for (i = 1; i < 3; i++) {
 		fake_cut(f, i, 0, true);
 		fake_cut(f, 0, i, true);
@@ -326,9 +332,10 @@
 }
 
 /*
- * A trip waits long in the queue of a primary that was cut off with its proxy.
- * Another is promoted meanwhile; the old one stores the trip all the same, and
- * the plumber was told so, but the log with it is thrown away.
+ * A write waits long in the queue of a primary that a partition separates from
+ * all proxies but one. Another server is promoted meanwhile. The old primary
+ * still stores the write, but its log is rolled back later, so the write must
+ * not be acknowledged.
  */
 START_TEST(test_late_write_is_not_told)
 {
@@ -340,7 +347,7 @@
 }
 END_TEST
 
-/* The same story, told by the checker once the guard is off. */
+/* Without the guard confirm_writes the checker finds that fault. */
 START_TEST(test_late_write_is_noticed)
 {
 	struct fake *f = start(60);
@@ -355,10 +362,10 @@
 END_TEST
 
 /*
- * A primary and one of its two replicas lose power together; the other replica
- * was promoted alone. When both came back before that took effect, one
- * confirmed for the other, and a trip that they stored was told as stored, and
- * gone.
+ * A primary and one of its two replicas lose power together. The other replica
+ * must not be promoted alone: if both came back before the promotion took
+ * effect, the replica would confirm the primary, and a write acknowledged there
+ * would be lost.
  */
 START_TEST(test_lone_replica_is_not_promoted)
 {
--- a/packages/relay/tests/test_late_news.c
+++ b/packages/relay/tests/test_late_news.c
@@ -3,8 +3,8 @@
 #include <celeryquay/suite.h>
 
 /*
- * What a proxy hears late or not at all while a primary is replaced: of the
- * platform's word, of the list, of a replica.
+ * A proxy that replaces a primary receives the platform's reply, the list of
+ * servers or a replica's status late or not at all.
  */
 
 static struct fake *start(uint32_t seed)
@@ -52,7 +52,11 @@
 	return story_end(f);
 }
 
-/* The store's side has one replica, the other side all else. */
+/*
+ * Partitions the network: the proxy `lonely` is with the primary and one
+ * replica, without the store; the other proxies are with the store and the
+ * other replica, the only server that is still listed.
+ */
 static void part(struct fake *f, unsigned lonely, unsigned replica)
 {
 	unsigned i, server;
@@ -140,7 +144,7 @@
 		return story_end(f);
 	wrong = story_end(f);
 	g_free(wrong);
-	return g_strdup("nothing is stored for 10 s");
+	return g_strdup("no write is stored after 10 s");
 }
 
 static char *step_down_that_is_forgotten_late(uint32_t seed)
@@ -160,8 +164,8 @@
 }
 
 /*
- * The platform is told of a promotion and its answer is lost; it takes effect
- * when the change was given up, and an old primary serves again by then.
+ * The platform accepts a promotion, but its reply is lost. The promotion takes
+ * effect after the change was abandoned, when the old primary serves again.
  */
 START_TEST(test_a_promotion_that_takes_effect_late)
 {
@@ -170,9 +174,9 @@
 END_TEST
 
 /*
- * Each try of a promotion goes unanswered, and the first ones come to nothing.
- * The proxy gives up and lets replicas receive again; the old primary is back,
- * they confirm it, and then the last try takes effect.
+ * No promotion call gets a reply, and up to three of the first are dropped.
+ * The proxy abandons the change and resumes the replicas; the old primary is
+ * back, they confirm it, and then the last call takes effect.
  */
 START_TEST(test_promotions_that_are_given_up)
 {
@@ -182,9 +186,9 @@
 
 /*
  * A partition leaves a proxy with the primary and one replica, without the
- * store. For all others both are gone after some seconds, and the last replica
- * is promoted; what the old primary goes on to store is thrown away when the
- * partition ends.
+ * store. The other proxies consider both lost after some seconds and promote
+ * the last replica. What the old primary stores from then on is rolled back
+ * when the partition ends and must not be acknowledged.
  */
 START_TEST(test_servers_that_are_gone_elsewhere)
 {
@@ -193,8 +197,8 @@
 END_TEST
 
 /*
- * The same, where the replica on the other side is about to leave and a server
- * that the proxy has never heard of is promoted.
+ * The same, but the replica on the other side is about to leave, and a server
+ * is promoted that the separated proxy has never seen in a list.
  */
 START_TEST(test_a_new_server_beyond_a_partition)
 {
@@ -202,6 +206,7 @@
 }
 END_TEST
 
+/* Without the guard check_list_age the checker finds that fault. */
 START_TEST(test_servers_that_are_gone_are_noticed)
 {
 	story_check_is_noticed(servers_that_are_gone_elsewhere,
@@ -210,9 +215,9 @@
 END_TEST
 
 /*
- * A proxy has just started, and of a service's servers the list has one alone:
+ * A proxy has just started, and its list has a single server of the service:
  * the old primary, which came back while another is promoted. The entries of
- * the others lapsed in an outage of the store.
+ * the other servers expired in an outage of the store.
  */
 START_TEST(test_a_list_with_the_old_primary_alone)
 {
@@ -222,7 +227,8 @@
 
 /*
  * A primary steps down as planned, and the proxy that replaces it can't reach
- * one replica. It made the fence anew each time, and nobody led for as long.
+ * one replica. It must not restart the fence again and again: there is no
+ * primary meanwhile.
  */
 START_TEST(test_a_replica_that_is_not_reached)
 {
@@ -231,9 +237,9 @@
 END_TEST
 
 /*
- * In the same change the old primary starts again just before the promotion,
- * has forgotten that it stepped down, and the replica that was not paused
- * confirms it to others.
+ * In the same change the old primary restarts just before the promotion and has
+ * forgotten its step-down; the replica that was not paused confirms it to the
+ * other proxies.
  */
 START_TEST(test_a_step_down_that_is_forgotten_late)
 {
--- a/packages/relay/tests/test_lease_log.c
+++ b/packages/relay/tests/test_lease_log.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /*
- * A write was told as stored and is gone. Its cause must be found in the logs
- * alone: on whose word did the proxy rely on that primary?
+ * If an acknowledged write is lost, the logs alone must show the cause: which
+ * replica's confirmation made the proxy rely on that primary.
  */
 
 static struct fake *fake;
@@ -17,7 +17,7 @@
 	hist_start(f, data, RELAY_WRITE, "", "1");
 }
 
-/* One proxy, so that each line is its own; a caller writes all the while. */
+/* Starts a single proxy, so that it writes all log lines, and a caller. */
 static void start(uint32_t seed)
 {
 	struct hist_session *s;
@@ -51,7 +51,7 @@
 	return json_object_get_int_member(line, key);
 }
 
-/* How many lines of the event a server has for a primary of that term. */
+/* Number of the event's lines that name replica `by` and that term. */
 static unsigned count(const char *event, const char *by, int64_t term,
 		      const char *why)
 {
@@ -72,7 +72,7 @@
 	return n;
 }
 
-/* Why the server's word was left aside last. */
+/* Why the server's confirmation was last ignored, "" if it never was. */
 static const char *last_why(const char *by)
 {
 	static char why[16];
@@ -91,8 +91,9 @@
 }
 
 /*
- * A primary dies and is replaced. The log says whose word the lease on the new
- * one rests on, what showed it and how long that replica was listed.
+ * A primary crashes and is replaced. The log names the replica whose
+ * confirmation the lease on the new primary rests on, the evidence for it, and
+ * how long that replica had been listed.
  */
 START_TEST(test_a_change_names_whose_word_counts)
 {
@@ -128,7 +129,10 @@
 }
 END_TEST
 
-/* No two lines say the same of one server and one primary; how many. */
+/*
+ * Checks that no two lines of the event agree in server, term and evidence;
+ * returns the number of lines.
+ */
 static unsigned check_one_a_server(const char *event)
 {
 	GPtrArray *lines = fake_log_lines(log_file, event);
@@ -153,7 +157,7 @@
 	return n;
 }
 
-/* A day of changes must not fill the log. */
+/* The number of log lines per change of primary is bounded. */
 START_TEST(test_lines_of_a_change_are_bounded)
 {
 	GPtrArray *lines;
@@ -181,7 +185,7 @@
 }
 END_TEST
 
-/* A server that is listed only now is not relied on, and the log says so. */
+/* The log says that a newly listed server's confirmation is ignored. */
 START_TEST(test_a_new_servers_word_is_left_aside)
 {
 	unsigned number;
@@ -196,7 +200,7 @@
 }
 END_TEST
 
-/* The same for a replica that started anew, beside one that is down. */
+/* The same for a restarted replica while the other replica is down. */
 START_TEST(test_a_restarted_servers_word_is_left_aside)
 {
 	unsigned n;
@@ -212,7 +216,10 @@
 }
 END_TEST
 
-/* The store is out and a replica is down: the other's word is not enough. */
+/*
+ * The store is unreachable and a replica is down: with an outdated list the
+ * other replica's confirmation alone is ignored.
+ */
 START_TEST(test_a_word_is_left_aside_by_an_old_list)
 {
 	unsigned n;
--- a/packages/relay/tests/test_member_days.c
+++ b/packages/relay/tests/test_member_days.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /*
- * Days on which servers of a service come, leave and come back, and proxies
- * start anew, in the very moments in which a primary is replaced.
+ * Random histories in which servers of a service join, leave and return, and
+ * proxies restart, at the time when a primary is replaced.
  */
 
 #define SEEDS 60
@@ -14,16 +14,16 @@
 #define GROUPS 2
 #define SESSIONS 6
 #define EPISODES 5
-#define AROUND_MS 1500 /* a primary's end, within which members change */
-#define MAX_MEMBERS 5 /* that run, of a group */
-#define REST_US (10 * USEC_PER_SEC)
-#define SERVICE_LIMIT_US (15 * USEC_PER_SEC)
+#define AROUND_MS 1500 /* before and after the fault members change */
+#define MAX_MEMBERS 5 /* running servers of a group */
+#define REST_US (10 * USEC_PER_SEC) /* after the last episode */
+#define SERVICE_LIMIT_US (15 * USEC_PER_SEC) /* for writes to succeed again */
 
 static void next_event(struct fake *f, void *data);
 
 static struct hist_session *callers[SESSIONS];
 
-/* Each caller whose session has ended opens another. */
+/* Opens a session for each caller that has none. */
 static void come(struct fake *f)
 {
 	unsigned i;
@@ -39,7 +39,7 @@
 	}
 }
 
-/* A caller's next step: a statement alone, or a transaction's. */
+/* Starts a caller's next statement, alone or in a transaction. */
 static void next_event(struct fake *f, void *data)
 {
 	struct hist_session *s = data;
@@ -80,7 +80,7 @@
 		fake_reborn(f, GPOINTER_TO_UINT(data), true);
 }
 
-/* It is back soon, under another id or its own, or when all is healed. */
+/* The server returns soon, with a new id or its own, or when faults end. */
 static void crash(struct fake *f, unsigned server)
 {
 	fake_fn back = fake_chance(f, 0.6) ? return_event : reborn_event;
@@ -106,7 +106,7 @@
 			GUINT_TO_POINTER(relay), NULL);
 }
 
-/* What can befall a platform beside a primary that is replaced. */
+/* Injects a random fault of the platform or of a relay. */
 static void platform_trouble(struct fake *f, unsigned relay)
 {
 	switch (fake_random(f, 0, 8)) {
@@ -174,7 +174,7 @@
 	}
 }
 
-/* The primary's end, as some of the proxies or all of them see it. */
+/* Ends the primary, or makes it unreachable for some proxies or all. */
 static void end_event(struct fake *f, void *data)
 {
 	struct fake_server *p = fake_primary(f, GPOINTER_TO_UINT(data));
@@ -236,7 +236,7 @@
 		fake_run(f, fake_random(f, 500, 1500) * MS);
 		episode(f);
 		heal(f);
-		/* Some troubles begin while those before are not yet over. */
+		/* The next faults may begin before recovery is complete. */
 		fake_run(f, fake_random(f, 0, 4000) * MS);
 	}
 	fake_run(f, REST_US);
@@ -250,10 +250,10 @@
 }
 
 /*
- * Whole days on which servers are listed, leave and come back under another id
- * or their own while a primary is replaced, lists and the store's answers come
- * late, and proxies start anew in the middle of it. Whatever the order of
- * events, no caller may be told what isn't so, and all is served again after.
+ * Servers join, leave and return under a new id or their own while a primary is
+ * replaced; lists and the store's replies come late, and proxies restart
+ * meanwhile. Whatever the order of events, no guarantee to callers may be
+ * broken, and writes succeed again afterwards.
  */
 START_TEST(test_days_of_members_keep_their_promises)
 {
@@ -271,7 +271,8 @@
 		if (*hist_check(f) || !is_served) {
 			bad++;
 			g_printerr("seed %u: %s%s\n", seed, hist_check(f),
-				   is_served ? "" : "not served again");
+				   is_served ? "" :
+					       "writes don't succeed again");
 		}
 		promotions += f->n_promotions;
 		acked += hist_acknowledged(f);
--- a/packages/relay/tests/test_member_stories.c
+++ b/packages/relay/tests/test_member_stories.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 /*
- * Servers and proxies that start anew while a primary is replaced, as the days
- * of test_member_days.c found them.
+ * Servers and proxies restart while a primary is replaced: scenarios taken from
+ * the random histories of test_member_days.c.
  */
 
-/* After 6 s at rest, when the proxies know all servers. */
+/* Callers start after 6 s, when the proxies know all servers. */
 static struct fake *start(uint32_t seed)
 {
 	struct fake *f = story_start(seed, 6 * USEC_PER_SEC);
@@ -30,8 +30,8 @@
 }
 
 /*
- * The other replica is told to leave, or gone, or starts anew as well, where
- * the changing proxy can't pause it again.
+ * The other replica is leaving, or has left, or restarts as well, and the proxy
+ * that makes the change can't reach it to pause it again.
  */
 static char *target_starts_anew(uint32_t seed)
 {
@@ -61,9 +61,9 @@
 }
 
 /*
- * The changing proxy reaches the primary, not the one replica that runs, and
- * the other starts again after two seconds; so its change goes on for longer
- * than its claim keeps others away.
+ * The proxy that makes the change reaches the primary, but not the only running
+ * replica, and the other replica restarts after about two seconds; so the
+ * change takes longer than the claim excludes other proxies.
  */
 static char *change_that_outlives_its_claim(uint32_t seed)
 {
@@ -85,7 +85,7 @@
 	return story_end(f);
 }
 
-/* A proxy's process begins anew in any phase, its own change or another's. */
+/* A proxy restarts in some phase of its own change or of another proxy's. */
 static char *proxy_starts_anew(uint32_t seed)
 {
 	static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD,
@@ -110,10 +110,11 @@
 }
 
 /*
- * A service has two servers left. Its primary dies, the replica is paused, and
- * its promotion is under way when it starts again under its id, without its
- * pause. The old primary starts again, too; the replica is the only one to be
- * asked, so all agree, and a code that is stored there is gone a moment later.
+ * A service has two servers left. The primary crashes, and the replica is
+ * paused. While its promotion is in progress, the replica restarts under the
+ * same id and has no pause any more. The old primary restarts, too, and the
+ * replica, the only one to ask, confirms it. A write acknowledged there would
+ * be lost with the promotion.
  */
 START_TEST(test_a_target_that_starts_anew)
 {
@@ -122,10 +123,10 @@
 END_TEST
 
 /*
- * A planned change takes longer than its claim keeps others away, and another
- * proxy claims the duty and has a server promoted. The first claims it back for
- * its second fence, at once, and both tell the platform: the older token after
- * the newer one.
+ * A planned change takes longer than its claim excludes other proxies, and
+ * another proxy claims the duty and requests a promotion. The first proxy
+ * claims it back at once for its second fence, and both call the platform: the
+ * older token must not be sent after the newer one.
  */
 START_TEST(test_a_change_that_outlives_its_claim)
 {
@@ -134,9 +135,9 @@
 END_TEST
 
 /*
- * A proxy's process ends while a primary is replaced, by it or by another, and
- * begins anew; servers are all new to it. The old primary comes back under
- * another id, and is not to be relied on there either.
+ * A proxy restarts while it or another proxy replaces a primary; all servers
+ * are new to it. The old primary returns under a new id, and the restarted
+ * proxy must not rely on it either.
  */
 START_TEST(test_a_proxy_that_starts_anew)
 {
--- a/packages/relay/tests/test_newcomers.c
+++ b/packages/relay/tests/test_newcomers.c
@@ -3,8 +3,8 @@
 #include <celeryquay/suite.h>
 
 /*
- * Servers that are listed, lost, or come back under another id while a primary
- * is replaced.
+ * Servers are newly listed, crash, or return under a new id while a primary is
+ * replaced.
  */
 
 static struct fake *start(uint32_t seed)
@@ -116,14 +116,13 @@
 }
 
 /*
- * A primary dies and its replicas are paused. A new server of the service is
- * listed, which nobody pauses; the old primary comes back under another id,
- * the new server confirms it, and a code that an installer was told is stored
- * there is gone with the promotion.
- * The cause: one replica's word was enough, also that of a server which no
- * pause could have reached. The evidence: each log had primary-confirmed by
- * the new server, 50 ms after it was listed, in all plays with the fault and
- * in none without.
+ * A primary crashes and its replicas are paused. A new server of the service is
+ * listed, which no proxy pauses. The old primary returns under a new id, the
+ * new server confirms it, and a write acknowledged there would be lost with the
+ * promotion. One replica's confirmation is enough for a lease, so that of a
+ * server which no pause can have reached must not count. Such a fault shows in
+ * the log as primary-confirmed by the new server 50 ms after it was listed; no
+ * such line is logged without the fault.
  */
 START_TEST(test_a_server_that_is_listed_in_a_change)
 {
@@ -131,13 +130,14 @@
 }
 END_TEST
 
-/* The same in the last moments, when the change can't be called off. */
+/* The same after the promotion call, when the change can't be abandoned. */
 START_TEST(test_a_server_that_is_listed_at_last)
 {
 	story_check_promises(new_server_after_the_platform_was_told);
 }
 END_TEST
 
+/* Without the guard doubt_newcomers the checker finds that fault. */
 START_TEST(test_what_new_servers_say_is_noticed)
 {
 	story_check_is_noticed(new_server_after_the_platform_was_told,
@@ -146,8 +146,8 @@
 END_TEST
 
 /*
- * The same, while the proxy that replaces the primary is the last to hear of
- * the new server: it has told the platform by then.
+ * The same, but the proxy that replaces the primary is the last to learn of the
+ * new server, after its promotion call.
  */
 START_TEST(test_a_server_that_the_changer_sees_late)
 {
@@ -156,9 +156,9 @@
 END_TEST
 
 /*
- * A new server confirms the primary at two proxies, rightly, just before it
- * dies. The third proxy has not heard of the new server when it pauses the
- * others and has one promoted.
+ * A new server rightly confirms the primary to two proxies just before the
+ * primary crashes. The third proxy doesn't know the new server when it pauses
+ * the others and has one promoted.
  */
 START_TEST(test_a_server_that_the_changer_never_paused)
 {
@@ -166,6 +166,7 @@
 }
 END_TEST
 
+/* Without the guard claim_after_fence the checker finds that fault. */
 START_TEST(test_a_server_that_was_not_paused_is_noticed)
 {
 	story_check_is_noticed(new_server_just_before_the_pauses,
@@ -175,8 +176,8 @@
 END_TEST
 
 /*
- * A paused replica crashes and comes back with its log under another id,
- * without its pause; then the old primary does, and the two confirm each other.
+ * A paused replica crashes and returns with its log under a new id, without its
+ * pause; then the old primary does so, too, and the replica confirms it.
  */
 START_TEST(test_a_pause_that_is_gone_with_its_id)
 {
@@ -184,7 +185,7 @@
 }
 END_TEST
 
-/* All servers are replaced at once, as planned, and one more crashes. */
+/* All servers are replaced as planned, and one more crashes. */
 START_TEST(test_a_release_in_a_change)
 {
 	story_check_promises(planned_change_of_all_servers);
--- a/packages/relay/tests/test_reborn.c
+++ b/packages/relay/tests/test_reborn.c
@@ -2,6 +2,11 @@
 
 #include <celeryquay/suite.h>
 
+/*
+ * Servers that restart at once under the same id lose their pause, their
+ * step-down or their log.
+ */
+
 #define SEEDS 40
 #define N_RELAYS 3
 
@@ -18,7 +23,7 @@
 			   "", "1");
 }
 
-/* Three proxies with a caller each that writes and reads all the while. */
+/* Starts three proxies, each with a caller that always writes and reads. */
 static struct fake *start(uint32_t seed, bool guard)
 {
 	struct fake *f = fake_create(seed, N_RELAYS, 1);
@@ -28,7 +33,7 @@
 		struct relay_guards *g = relay_guards_of(f->relays[i].relay);
 
 		g->doubt_reborn = guard;
-		/* It asks all replicas, and so hides what the first is for. */
+		/* It asks all replicas, which hides doubt_reborn's effect. */
 		g->doubt_unpaused = guard;
 	}
 	fake_run(f, USEC_PER_SEC);
@@ -41,7 +46,7 @@
 	return f;
 }
 
-/* What was wrong until a while after all has healed. */
+/* Ends all faults; the violations found until 9 s later, "" if none. */
 static char *end(struct fake *f)
 {
 	unsigned acked;
@@ -55,7 +60,8 @@
 	wrong = g_strdup(hist_check(f));
 	if (!*wrong && hist_acknowledged(f) < acked + 50) {
 		g_free(wrong);
-		wrong = g_strdup("nothing is stored any more");
+		wrong = g_strdup(
+			"fewer than 50 writes were stored in 1 s after recovery");
 	}
 	fake_destroy(f);
 	return wrong;
@@ -88,8 +94,8 @@
 
 /*
  * The primary is cut off from two proxies of three, which replace it; one
- * replica starts again in the middle of that. The third proxy may hear of it
- * from the list, or only by connections that end.
+ * replica restarts meanwhile. The third proxy learns of the restart from the
+ * list, or only from connections that break.
  */
 static char *replica_in_a_change(uint32_t seed, bool guard)
 {
@@ -106,7 +112,7 @@
 	return end(f);
 }
 
-/* The primary steps down as planned, and starts again in the middle of it. */
+/* The primary steps down as planned, and restarts before the promotion. */
 static char *primary_in_a_planned_change(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed, guard);
@@ -123,7 +129,7 @@
 	return end(f);
 }
 
-/* A primary comes back at once, with nothing of what it had. */
+/* A primary restarts at once with an empty log. */
 static char *primary_without_its_log(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed, guard);
@@ -164,10 +170,10 @@
 }
 
 /*
- * A proxy still reaches a primary that two others replace. A replica that was
- * paused for that starts again under its id and knows of no pause; it went on
- * confirming the old primary, and a plumber's trip that was stored there was
- * gone with the promotion.
+ * One proxy still reaches a primary that the two others replace. A replica that
+ * was paused for the change restarts under the same id without its pause. If it
+ * went on confirming the old primary, writes acknowledged there would be lost
+ * with the promotion.
  */
 START_TEST(test_a_pause_that_is_forgotten)
 {
@@ -175,6 +181,7 @@
 }
 END_TEST
 
+/* Without the guards the checker finds that fault. */
 START_TEST(test_a_forgotten_pause_is_noticed)
 {
 	check_is_noticed(replica_in_a_change);
@@ -182,9 +189,9 @@
 END_TEST
 
 /*
- * A primary has stepped down for a planned move and starts again before the
- * promotion takes effect. It leads once more, its replicas confirm it, and
- * what it stores for a moment is thrown away.
+ * A primary has stepped down for a planned change and restarts before the
+ * promotion takes effect. It is primary again, its replicas confirm it, and
+ * what it stores until the promotion would be lost.
  */
 START_TEST(test_a_step_down_that_is_forgotten)
 {
@@ -192,6 +199,7 @@
 }
 END_TEST
 
+/* Without the guards the checker finds that fault. */
 START_TEST(test_a_forgotten_step_down_is_noticed)
 {
 	check_is_noticed(primary_in_a_planned_change);
@@ -199,8 +207,8 @@
 END_TEST
 
 /*
- * A primary starts again without its log and leads an empty one in the same
- * term. Members saw none of their trips there, though both replicas had them.
+ * A primary restarts without its log and is primary of the same term with an
+ * empty one. Reads must not miss acknowledged writes, which both replicas have.
  */
 START_TEST(test_an_empty_log_is_not_fresh)
 {
@@ -208,6 +216,7 @@
 }
 END_TEST
 
+/* Without the guards the checker finds that fault. */
 START_TEST(test_an_empty_log_is_noticed)
 {
 	check_is_noticed(primary_without_its_log);
