--- a/packages/relay/tests/support_history.c
+++ b/packages/relay/tests/support_history.c
@@ -166,7 +166,7 @@
 	s->open = relay_session_open(f->relays[relay].relay, s->number,
 				     database, key, &answer, f->now_us);
 	if (!s->open && !f->accounts)
-		hist_wrong(f, "database %s is not known", database);
+		hist_wrong(f, "%s is not known", database);
 	g_free(key);
 	g_free(database);
 	return s;
@@ -306,7 +306,7 @@
 	if (a->n_commits)
 		g_array_append_val(f->hist->acked, a->commit);
 	else if (h->writes)
-		hist_wrong(f, "%u acknowledged, but nothing was stored",
+		hist_wrong(f, "%u acknowledged, but nothing is stored",
 			   h->number);
 }
 
@@ -320,7 +320,7 @@
 	char *id;
 
 	if (!s->open || !h) {
-		hist_wrong(f, "answer without a pending statement");
+		hist_wrong(f, "unsolicited answer");
 		return;
 	}
 	id = g_strdup_printf("%u", h->number);
@@ -335,8 +335,7 @@
 		note_done(s, h);
 		note_acked(f, h);
 		if (needs_server(h) && !str_eq(a->rows, str_from_c(id)))
-			hist_wrong(f, "%s got the rows of another statement",
-				   id);
+			hist_wrong(f, "%s got another's rows", id);
 	}
 	if (is_promise(a->code))
 		attempt_of(f, h->attempt)->promised = true;
@@ -386,7 +385,7 @@
 		g_ptr_array_index(f->hist->sessions, h->session - 1);
 
 	if (s->relay != c->relay)
-		hist_wrong(f, "%u was forwarded twice", h->number);
+		hist_wrong(f, "%u was passed on twice", h->number);
 }
 
 static bool must_see(const struct fake *f, const struct hist_session *s,
@@ -428,22 +427,18 @@
 	struct attempt *a = attempt_of(f, h->attempt);
 
 	if (h->in_transaction != (c->state == 'T')) {
-		hist_wrong(
-			f,
-			"%u: server and caller differ on being in a transaction",
-			h->number);
+		hist_wrong(f, "%u wrongly in or out of a transaction",
+			   h->number);
 		return;
 	}
 	if (!h->in_transaction)
 		return;
 	if (c->attempt && c->attempt != h->attempt)
-		hist_wrong(f, "%u runs in another operation's transaction",
+		hist_wrong(f, "%u in another operation's transaction",
 			   h->number);
 	c->attempt = h->attempt;
 	if (a->conn && a->conn != c->serial && a->first != h->number)
-		hist_wrong(f,
-			   "%u runs on another connection than its transaction",
-			   h->number);
+		hist_wrong(f, "%u leaves its connection", h->number);
 	if (!a->conn || a->first == h->number) {
 		a->conn = c->serial;
 		a->first = h->number;
@@ -475,10 +470,8 @@
 		hist_wrong(f, "%u of %s runs on a connection of '%s'",
 			   h->number, name, c->account);
 	if (gone_us && h->sent_us > gone_us + FAKE_KEY_AGE_US)
-		hist_wrong(
-			f,
-			"%u was sent %u ms after its key was revoked, but runs",
-			h->number, (unsigned)((h->sent_us - gone_us) / MS));
+		hist_wrong(f, "%u runs, %u ms after its key was revoked",
+			   h->number, (unsigned)((h->sent_us - gone_us) / MS));
 	note_operation(f, s, h);
 	g_free(name);
 }
@@ -492,13 +485,13 @@
 	const char *shape = g_hash_table_lookup(c->prepared, name);
 
 	if (strcmp(values, h->values))
-		hist_wrong(f, "%u runs with variables %sinstead of %s",
-			   h->number, values, h->values);
+		hist_wrong(f, "%u runs with variables %snot %s", h->number,
+			   values, h->values);
 	if (h->verb == RELAY_EXECUTE && g_strcmp0(shape, h->shape))
-		hist_wrong(f, "%u runs prepared statement %s, expected %s",
-			   h->number, shape, h->shape);
+		hist_wrong(f, "%u runs prepared as %s not %s", h->number, shape,
+			   h->shape);
 	if (h->verb != st->verb || !str_eq(st->text, str_from_c(h->text)))
-		hist_wrong(f, "%u was changed on its way", h->number);
+		hist_wrong(f, "%u was changed", h->number);
 	check_transaction(f, c, h);
 	if (f->accounts)
 		check_account(f, c, h);
@@ -518,8 +511,7 @@
 
 	a->commit = commit;
 	if (++a->n_commits > 1)
-		hist_wrong(f, "session %u: an operation was stored twice",
-			   a->session);
+		hist_wrong(f, "session %u: operation stored twice", a->session);
 }
 
 unsigned hist_acknowledged(const struct fake *f)
@@ -575,14 +567,13 @@
 		if (!a->n_commits)
 			continue;
 		if (a->promised)
-			hist_wrong(
-				f,
-				"session %u: refused, but stored as commit %u.%u",
-				a->session, (unsigned)c->term, c->number);
+			hist_wrong(f,
+				   "session %u: refused, but stored as %u.%u",
+				   a->session, (unsigned)c->term, c->number);
 		if (a->acked && c->stale)
 			hist_wrong(
 				f,
-				"session %u: commit %u.%u of an old primary was acknowledged",
+				"session %u: an old primary's %u.%u acknowledged",
 				a->session, (unsigned)c->term, c->number);
 	}
 }
@@ -605,9 +596,9 @@
 			f->commits, struct fake_commit, m->commit);
 
 		if (!c->lost)
-			hist_wrong(f, "%u at %u ms did not see commit %u.%u",
-				   m->statement, (unsigned)(m->us / MS),
-				   (unsigned)c->term, c->number);
+			hist_wrong(f, "%u at %u ms missed %u.%u", m->statement,
+				   (unsigned)(m->us / MS), (unsigned)c->term,
+				   c->number);
 	}
 	return f->hist->wrong->str;
 }
--- a/packages/relay/tests/support_story.c
+++ b/packages/relay/tests/support_story.c
@@ -84,8 +84,7 @@
 	wrong = g_strdup(hist_check(f));
 	if (!*wrong && hist_acknowledged(f) < acked + 50) {
 		g_free(wrong);
-		wrong = g_strdup(
-			"fewer than 50 writes were stored in 1 s after recovery");
+		wrong = g_strdup("hardly any more commits once faults ended");
 	}
 	fake_destroy(f);
 	return wrong;
@@ -155,5 +154,5 @@
 		g_free(wrong);
 	}
 	guard_off = STORY_ALL_GUARDS;
-	ck_assert_msg(noticed, "no seed shows a violation without the guard");
+	ck_assert_msg(noticed, "no seed shows what the guard prevents");
 }
--- a/packages/relay/tests/test_change.c
+++ b/packages/relay/tests/test_change.c
@@ -312,7 +312,7 @@
 		caught = *hist_check(f);
 		fake_destroy(f);
 	}
-	ck_assert_msg(caught, "no seed shows the use of an old claim");
+	ck_assert_msg(caught, "an old claim is not noticed");
 }
 END_TEST
 
--- a/packages/relay/tests/test_late_news.c
+++ b/packages/relay/tests/test_late_news.c
@@ -144,7 +144,7 @@
 		return story_end(f);
 	wrong = story_end(f);
 	g_free(wrong);
-	return g_strdup("no write is stored after 10 s");
+	return g_strdup("nothing is stored within 10 s");
 }
 
 static char *step_down_that_is_forgotten_late(uint32_t seed)
--- a/packages/relay/tests/test_member_days.c
+++ b/packages/relay/tests/test_member_days.c
@@ -271,8 +271,7 @@
 		if (*hist_check(f) || !is_served) {
 			bad++;
 			g_printerr("seed %u: %s%s\n", seed, hist_check(f),
-				   is_served ? "" :
-					       "writes don't succeed again");
+				   is_served ? "" : "not writable again");
 		}
 		promotions += f->n_promotions;
 		acked += hist_acknowledged(f);
--- a/packages/relay/tests/test_reborn.c
+++ b/packages/relay/tests/test_reborn.c
@@ -60,8 +60,7 @@
 	wrong = g_strdup(hist_check(f));
 	if (!*wrong && hist_acknowledged(f) < acked + 50) {
 		g_free(wrong);
-		wrong = g_strdup(
-			"fewer than 50 writes were stored in 1 s after recovery");
+		wrong = g_strdup("hardly any more commits once faults ended");
 	}
 	fake_destroy(f);
 	return wrong;
