--- a/packages/relay/tests/support_story.c
+++ b/packages/relay/tests/support_story.c
@@ -84,7 +84,7 @@
 	wrong = g_strdup(hist_check(f));
 	if (!*wrong && hist_acknowledged(f) < acked + 50) {
 		g_free(wrong);
-		wrong = g_strdup("hardly any more commits once faults ended");
+		wrong = g_strdup("hardly any more is stored");
 	}
 	fake_destroy(f);
 	return wrong;
--- a/packages/relay/tests/test_member_days.c
+++ b/packages/relay/tests/test_member_days.c
@@ -193,6 +193,7 @@
 			fake_cut(f, --n_cut, p->index, true);
 }
 
+/* A fault of the primary among 2 to 6 random changes of members and faults. */
 static void episode(struct fake *f)
 {
 	unsigned group = (unsigned)fake_random(f, 0, GROUPS);
@@ -224,6 +225,7 @@
 	fake_list(f);
 }
 
+/* Runs one history: episodes with faults, each followed by a recovery. */
 static void day(struct fake *f)
 {
 	unsigned i;
