--- a/packages/relay/tests/support_accounts.c
+++ b/packages/relay/tests/support_accounts.c
@@ -5,14 +5,14 @@
  */
 #include "support_history.h"
 
-#define ASK_EVERY_US (300 * MS)
+#define POLL_INTERVAL_US (300 * MS)
 
 /* A reply of the store to a relay's poll. */
 struct answer {
 	unsigned relay;
 	unsigned life; /* of the relay's process that asked */
 	struct relay_catalog *catalog;
-	uint64_t asked_us; /* when it asked */
+	uint64_t asked_at_us; /* when it asked */
 };
 
 static void answer_free(gpointer data)
@@ -72,23 +72,23 @@
 	if (a->life != r->life)
 		return;
 	relay_on_catalog(r->relay, a->catalog, f->now_us);
-	relay_on_known(r->relay, a->asked_us);
+	relay_on_known(r->relay, a->asked_at_us);
 }
 
 /* A relay that is cut off from the store keeps polling. */
-static void ask_event(struct fake *f, void *data)
+static void poll_event(struct fake *f, void *data)
 {
 	struct fake_relay *r = data;
 	struct answer *a;
 
-	fake_at(f, -1, ASK_EVERY_US, ask_event, r, NULL);
+	fake_at(f, -1, POLL_INTERVAL_US, poll_event, r, NULL);
 	if (r->deaf)
 		return;
 	a = g_new0(struct answer, 1);
 	a->relay = r->index;
 	a->life = r->life;
 	a->catalog = fake_catalog(f);
-	a->asked_us = f->now_us;
+	a->asked_at_us = f->now_us;
 	fake_at(f, (int)r->index, fake_random(f, 2 * MS, 200 * MS),
 		answer_event, a, answer_free);
 }
@@ -99,7 +99,7 @@
 	unsigned i;
 
 	for (i = 0; i < f->n_relays; i++)
-		fake_at(f, -1, i * MS, ask_event, &f->relays[i], NULL);
+		fake_at(f, -1, i * MS, poll_event, &f->relays[i], NULL);
 }
 
 void fake_take_key(struct fake *f, unsigned account, bool take)
--- a/packages/relay/tests/support_group.c
+++ b/packages/relay/tests/support_group.c
@@ -3,21 +3,21 @@
 
 #include <string.h>
 
-#define CONNECT_US (10 * MS) /* delay of a connection's opening */
-#define CONNECT_LIMIT_US (500 * MS)
+#define CONNECT_DELAY_US (10 * MS) /* delay of a connection's opening */
+#define CONNECT_TIMEOUT_US (500 * MS)
 /* How long until the far end drops a broken connection. */
-#define DROP_US (3 * USEC_PER_SEC)
+#define DROP_DELAY_US (3 * USEC_PER_SEC)
 
 /* A message on a connection, in either direction. */
 struct message {
 	uint64_t key;
 	struct relay_statement st;
 	struct relay_answer answer;
-	char *words[4];
+	char *texts[4];
 	enum { M_OPENED, M_ANSWER, M_LOST, M_REFUSED } kind;
 };
 
-static uint64_t way_us(struct fake *f)
+static uint64_t network_delay_us(struct fake *f)
 {
 	return fake_random(f, MS / 2, 3 * MS / 2);
 }
@@ -37,14 +37,14 @@
 	       g_array_index(s->log, unsigned, at - 1) == commit;
 }
 
-static bool is_parted(const struct fake *f, const struct fake_conn *c)
+static bool is_partitioned(const struct fake *f, const struct fake_conn *c)
 {
 	return c->peer && f->side[c->relay] != f->side[c->peer->index];
 }
 
 static bool is_blocked(const struct fake *f, const struct fake_conn *c)
 {
-	return c->broken || is_parted(f, c) ||
+	return c->broken || is_partitioned(f, c) ||
 	       (c->server &&
 		(c->server->dark || f->cut[c->relay][c->server->index]));
 }
@@ -59,15 +59,15 @@
 	struct message *m = data;
 	unsigned i;
 
-	for (i = 0; i < G_N_ELEMENTS(m->words); i++)
-		g_free(m->words[i]);
+	for (i = 0; i < G_N_ELEMENTS(m->texts); i++)
+		g_free(m->texts[i]);
 	g_free(m);
 }
 
 static struct str keep(struct message *m, unsigned i, struct str s)
 {
-	m->words[i] = g_strndup(s.len ? s.data : "", s.len);
-	return (struct str){ .data = m->words[i], .len = s.len };
+	m->texts[i] = g_strndup(s.len ? s.data : "", s.len);
+	return (struct str){ .data = m->texts[i], .len = s.len };
 }
 
 static void conn_free(gpointer data)
@@ -84,7 +84,7 @@
 }
 
 /* Index of the relay at the far end; -1: a server, or a dead relay. */
-static int far_end(const struct fake_conn *c)
+static int far_relay(const struct fake_conn *c)
 {
 	return c->peer && !c->peer->dead ? (int)c->peer->index : -1;
 }
@@ -101,7 +101,7 @@
 
 static void drop_later(struct fake *f, struct fake_conn *c, uint64_t us)
 {
-	fake_at(f, far_end(c), us, drop_event,
+	fake_at(f, far_relay(c), us, drop_event,
 		g_memdup2(&c->key, sizeof(c->key)), g_free);
 }
 
@@ -111,7 +111,7 @@
 	if (!is_blocked(f, c))
 		return false;
 	if (!c->broken)
-		drop_later(f, c, DROP_US);
+		drop_later(f, c, DROP_DELAY_US);
 	c->broken = true;
 	return true;
 }
@@ -120,8 +120,9 @@
 static uint64_t arrival_us(struct fake *f, struct fake_conn *c, unsigned way,
 			   uint64_t delay_us)
 {
-	c->last_us[way] = MAX(c->last_us[way], f->now_us + delay_us);
-	return c->last_us[way] - f->now_us;
+	c->last_arrival_us[way] =
+		MAX(c->last_arrival_us[way], f->now_us + delay_us);
+	return c->last_arrival_us[way] - f->now_us;
 }
 
 static void relay_event(struct fake *f, void *data)
@@ -138,19 +139,20 @@
 		relay_conn_lost(r, id, m->kind == M_REFUSED, f->now_us);
 }
 
-static void tell(struct fake *f, struct fake_conn *c, struct message *m,
-		 uint64_t delay_us)
+static void send_to_relay(struct fake *f, struct fake_conn *c,
+			  struct message *m, uint64_t delay_us)
 {
 	if (is_lost(f, c)) {
 		message_free(m);
 		return;
 	}
 	m->key = c->key;
-	fake_at(f, (int)c->relay, arrival_us(f, c, 1, delay_us + way_us(f)),
+	fake_at(f, (int)c->relay,
+		arrival_us(f, c, 1, delay_us + network_delay_us(f)),
 		relay_event, m, message_free);
 }
 
-static struct position shown(const struct fake_server *s)
+static struct position position_of(const struct fake_server *s)
 {
 	return (struct position){ .term = s->term, .index = s->applied };
 }
@@ -185,8 +187,9 @@
 }
 
 /* Runs a relay's own command, or its preparation of a caller's statement. */
-static void run_own(struct fake_conn *c, const struct relay_statement *st,
-		    struct relay_answer *a)
+static void run_relay_statement(struct fake_conn *c,
+				const struct relay_statement *st,
+				struct relay_answer *a)
 {
 	struct fake_server *s = c->server;
 
@@ -265,12 +268,12 @@
 
 static uint64_t *earliest_slot(struct fake_server *s)
 {
-	uint64_t *best = s->free_us;
+	uint64_t *best = s->free_at_us;
 	unsigned i;
 
 	for (i = 1; i < FAKE_SLOTS; i++)
-		if (s->free_us[i] < *best)
-			best = &s->free_us[i];
+		if (s->free_at_us[i] < *best)
+			best = &s->free_at_us[i];
 	return best;
 }
 
@@ -281,7 +284,7 @@
 }
 
 /* Occupies a slot; returns the time until the statement is done. */
-static uint64_t slot_us(const struct fake *f, struct fake_server *s)
+static uint64_t occupy_slot(const struct fake *f, struct fake_server *s)
 {
 	uint64_t *slot = earliest_slot(s);
 
@@ -319,8 +322,8 @@
 }
 
 /* Runs a caller's statement: the history checks it, then it takes effect. */
-static void run_callers(struct fake *f, struct fake_conn *c, struct message *m,
-			struct relay_answer *a)
+static void run_caller_statement(struct fake *f, struct fake_conn *c,
+				 struct message *m, struct relay_answer *a)
 {
 	const struct hist_statement *h = hist_find(f, m->st.id);
 
@@ -356,18 +359,18 @@
 		return;
 	}
 	if (m->st.id.len)
-		run_callers(f, c, m, &a);
+		run_caller_statement(f, c, m, &a);
 	else if (m->st.verb == RELAY_BEGIN || m->st.verb == RELAY_BEGIN_READ)
 		run_begin(f, c, &m->st, &a);
 	else
-		run_own(c, &m->st, &a);
+		run_relay_statement(c, &m->st, &a);
 	if (m->st.id.len && a.code == RELAY_OK)
-		work_us = slot_us(f, c->server);
+		work_us = occupy_slot(f, c->server);
 	out = g_new0(struct message, 1);
 	out->kind = M_ANSWER;
 	out->answer = a;
 	out->answer.state = c->state;
-	out->answer.position = shown(c->server);
+	out->answer.position = position_of(c->server);
 	out->answer.rows = keep(out, 0, a.rows);
 	if (m->st.id.len &&
 	    (fake_chance(f, f->lose_answers) ||
@@ -378,8 +381,9 @@
 			c->broken = true;
 		drop_later(f, c, 0);
 	}
-	tell(f, c, out,
-	     work_us + (m->st.id.len ? fake_random(f, MS, 5 * MS) : 0));
+	send_to_relay(f, c, out,
+		      work_us +
+			      (m->st.id.len ? fake_random(f, MS, 5 * MS) : 0));
 }
 
 static void open_peer(struct fake *f, struct fake_conn *c)
@@ -395,7 +399,7 @@
 						  f->now_us);
 	if (!c->open)
 		drop_later(f, c, 0);
-	tell(f, c, m, 0);
+	send_to_relay(f, c, m, 0);
 }
 
 static void opened_event(struct fake *f, void *data)
@@ -405,7 +409,7 @@
 
 	if (!c)
 		return;
-	if (c->peer && !is_parted(f, c)) {
+	if (c->peer && !is_partitioned(f, c)) {
 		open_peer(f, c);
 		return;
 	}
@@ -413,7 +417,7 @@
 	if (c->peer || c->server->dark || f->cut[c->relay][c->server->index]) {
 		m->kind = M_LOST;
 		m->key = c->key;
-		fake_at(f, (int)c->relay, CONNECT_LIMIT_US, relay_event, m,
+		fake_at(f, (int)c->relay, CONNECT_TIMEOUT_US, relay_event, m,
 			message_free);
 		drop_later(f, c, 0);
 		return;
@@ -432,8 +436,8 @@
 		c->server->n_conns++;
 	}
 	m->answer.state = 'I';
-	m->answer.position = shown(c->server);
-	tell(f, c, m, 0);
+	m->answer.position = position_of(c->server);
+	send_to_relay(f, c, m, 0);
 }
 
 /* Opens a connection; the far end accepts, refuses or doesn't respond. */
@@ -462,7 +466,7 @@
 	c->prepared =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_hash_table_insert(r->fake->conns, &c->key, c);
-	fake_at(r->fake, far_end(c), CONNECT_US, opened_event,
+	fake_at(r->fake, far_relay(c), CONNECT_DELAY_US, opened_event,
 		g_memdup2(&c->key, sizeof(c->key)), g_free);
 }
 
@@ -484,12 +488,12 @@
 	m->st.name = keep(m, 1, st->name);
 	m->st.text = keep(m, 2, st->text);
 	m->st.account = keep(m, 3, st->account);
-	delay_us = arrival_us(r->fake, c, 0, way_us(r->fake));
+	delay_us = arrival_us(r->fake, c, 0, network_delay_us(r->fake));
 	if (c->peer && st->id.len)
-		hist_passed_on(r->fake, c, st->id);
+		hist_forwarded(r->fake, c, st->id);
 	else if (st->id.len)
 		delay_us += c->server->slow_us;
-	fake_at(r->fake, far_end(c), delay_us, server_event, m, message_free);
+	fake_at(r->fake, far_relay(c), delay_us, server_event, m, message_free);
 }
 
 /* The relay closes a connection; the far end learns it after a delay. */
@@ -501,12 +505,13 @@
 
 	if (c && !is_lost(r->fake, c))
 		drop_later(r->fake, c,
-			   arrival_us(r->fake, c, 0, way_us(r->fake)));
+			   arrival_us(r->fake, c, 0,
+				      network_delay_us(r->fake)));
 }
 
 /* Sends a message to the relay that opened the peer session. */
-static void tell_relay(struct fake *f, uint64_t session, int kind,
-		       const struct relay_answer *a)
+static void send_to_peer(struct fake *f, uint64_t session, int kind,
+			 const struct relay_answer *a)
 {
 	uint64_t key = session ^ PEER_SESSION;
 	struct fake_conn *c = g_hash_table_lookup(f->conns, &key);
@@ -519,7 +524,7 @@
 	m->answer = *a;
 	m->answer.rows = keep(m, 0, a->rows);
 	m->answer.text = keep(m, 1, a->text);
-	tell(f, c, m, 0);
+	send_to_relay(f, c, m, 0);
 	if (kind == M_LOST)
 		drop_later(f, c, 0);
 }
@@ -529,7 +534,7 @@
 {
 	if (session < PEER_SESSION)
 		hist_answer(ctx, session, a);
-	tell_relay(((struct fake_relay *)ctx)->fake, session, M_ANSWER, a);
+	send_to_peer(((struct fake_relay *)ctx)->fake, session, M_ANSWER, a);
 }
 
 /* Tells a caller or another relay that the session ended. */
@@ -539,7 +544,7 @@
 
 	if (session < PEER_SESSION)
 		hist_hang_up(ctx, session);
-	tell_relay(((struct fake_relay *)ctx)->fake, session, M_LOST, &none);
+	send_to_peer(((struct fake_relay *)ctx)->fake, session, M_LOST, &none);
 }
 
 /* The table of connections: key -> struct fake_conn. */
--- a/packages/relay/tests/support_group.h
+++ b/packages/relay/tests/support_group.h
@@ -33,8 +33,8 @@
 	bool deaf; /* cut off from the store: no duty record, no claims */
 	bool list_held; /* lists of servers are dropped on their way to it */
 	uint64_t list_lag_us; /* additional delay of lists of servers */
-	unsigned n_lists_due; /* lists in flight to it */
-	bool list_missed; /* the newest list to arrive was dropped */
+	unsigned n_lists_in_flight; /* lists in flight to it */
+	bool list_dropped; /* the newest list to arrive was dropped */
 	uint64_t list_revision; /* store revision of the newest list received */
 	unsigned life; /* process number; events for others are dropped */
 	uint64_t known; /* newest store revision that it was told */
@@ -50,23 +50,24 @@
 	bool leaving; /* shuts down soon, as planned */
 	bool listed; /* in the list of servers */
 	bool replaced; /* ended for good; a new id may have its log */
-	bool led; /* was primary of its term; a restart forgets a step-down */
+	bool was_primary; /* was primary of its term; a restart forgets a
+			     step-down */
 	uint64_t born_ms; /* start time of its process, as listed */
 	enum server_role role;
 	uint64_t term;
 	uint64_t held; /* paused: follows no primary of a lower term, 0: not */
 	uint64_t lag_us; /* replication lag: commits are applied after it,
 			  * received after half of it */
-	uint64_t down_us; /* when it crashed */
+	uint64_t down_at_us; /* when it crashed */
 	uint64_t slow_us; /* queueing delay of callers' statements */
 	uint64_t work_us; /* time that a caller's statement occupies a slot */
 	uint64_t queue_us; /* longest wait for a slot before it sheds load */
-	uint64_t free_us[FAKE_SLOTS]; /* when each slot becomes free */
+	uint64_t free_at_us[FAKE_SLOTS]; /* when each slot becomes free */
 	double sheds; /* share of callers' statements that it refuses */
 	double mutes; /* share of its answers to callers that get lost */
 	unsigned n_ran; /* callers' statements that it received */
-	uint64_t reaches_us; /* since when an old primary reaches the new one,
-			      * 0: it doesn't */
+	uint64_t reachable_since_us; /* since when an old primary reaches the
+				      * new one, 0: it doesn't */
 	GArray *log; /* unsigned: numbers of the commits received */
 	unsigned applied; /* length of the applied prefix of the log */
 	unsigned n_conns; /* open connections */
@@ -84,7 +85,7 @@
 	char *account; /* client account that the relay opened it for */
 	bool open;
 	bool broken; /* delivers nothing any more */
-	uint64_t last_us[2]; /* latest arrivals at far end and relay */
+	uint64_t last_arrival_us[2]; /* latest arrivals at far end and relay */
 	GHashTable *values; /* session variables: name -> value */
 	GHashTable *prepared; /* name -> kind and shape */
 	char state; /* 'I' idle, 'T' in a transaction, 'E' in a failed one */
@@ -127,15 +128,15 @@
 	double busy; /* share of callers' statements that servers refuse */
 	double lose_claims; /* share of claims and of promotion calls whose
 			     * reply is lost */
-	bool lose_words; /* replies to promotion calls are lost */
-	unsigned void_promotions; /* next promotion calls to drop */
+	bool lose_promote_replies; /* replies to promotion calls are lost */
+	unsigned n_promotions_to_drop; /* next promotion calls to drop */
 	uint64_t promote_late_us; /* additional delay of promotion calls */
 	uint64_t promote_us; /* from the call until a promotion takes effect */
 	GArray *commits; /* struct fake_commit; the first is unused */
 	uint64_t top_term[MAX_GROUPS]; /* highest term of each group */
 	unsigned n_promotions; /* that took effect */
 	uint64_t last_token; /* newest token that a relay sent */
-	unsigned last_holder; /* index of the relay that sent it */
+	unsigned last_token_relay; /* index of the relay that sent it */
 	uint64_t platform_token; /* highest token that reached the platform */
 	uint64_t revision; /* store revision of lists and of the duty record */
 	uint64_t duty_revision; /* revision of the duty record, 0: no claim */
@@ -161,7 +162,7 @@
 #define FAKE_SLACK 8
 #define FAKE_OVERAGE 0.1
 /* Operations of an account that may run in one window (2 s). */
-#define FAKE_WINDOW_MOST                                                \
+#define FAKE_WINDOW_MAX                                                 \
 	((unsigned)((FAKE_RATE * 2 + FAKE_BURST) * (1 + FAKE_OVERAGE) + \
 		    FAKE_SLACK))
 #define FAKE_LIMIT_US (2 * USEC_PER_SEC) /* statement time-out */
@@ -184,9 +185,10 @@
 
 struct fake_server *fake_primary(struct fake *f, unsigned group);
 /* Stores the indices of the group's servers that run and stay; their number. */
-unsigned fake_members(const struct fake *f, unsigned group, unsigned *out);
+unsigned fake_running_servers(const struct fake *f, unsigned group,
+			      unsigned *out);
 /* Whether the server runs and stays, and another of its group does too. */
-bool fake_may_go(const struct fake *f, unsigned server);
+bool fake_may_stop(const struct fake *f, unsigned server);
 void fake_crash(struct fake *f, unsigned server);
 void fake_restart(struct fake *f, unsigned server);
 /* Its process ends and restarts at once under the same id. */
--- a/packages/relay/tests/support_history.c
+++ b/packages/relay/tests/support_history.c
@@ -2,15 +2,16 @@
 
 #include <string.h>
 
-#define LOOK_BACK 300 /* newest commits that a read is checked against */
-#define ANSWER_LIMIT_US (10 * USEC_PER_SEC)
+#define CHECKED_COMMITS_MAX \
+	300 /* newest commits that a read is checked against */
+#define ANSWER_TIMEOUT_US (10 * USEC_PER_SEC)
 #define REPORT_MAX 2000 /* bytes; later violations are not reported */
 
 /* An operation that a server ran, for the check of the rate limits. */
 struct operation {
 	unsigned account;
 	uint64_t sent_us;
-	uint64_t ran_us;
+	uint64_t ran_at_us;
 };
 
 /* A transaction, or a statement outside of one. */
@@ -18,9 +19,10 @@
 	unsigned session;
 	unsigned n_commits; /* how often it was stored */
 	unsigned commit; /* the newest of these */
-	bool promised; /* refused: its caller was told that it isn't stored */
+	bool told_not_stored; /* refused: its caller was told that it isn't
+				 stored */
 	bool acked; /* its caller was told that it succeeded */
-	uint64_t acked_us;
+	uint64_t acked_at_us;
 	unsigned conn; /* serial of the connection that ran `first`, 0: none */
 	unsigned first; /* number of its first statement in the transaction */
 	bool ran; /* a server has run a statement of it */
@@ -96,7 +98,7 @@
 }
 
 /* Records that a guarantee was violated. */
-void hist_wrong(struct fake *f, const char *format, ...)
+void hist_violation(struct fake *f, const char *format, ...)
 {
 	GString *out = f->hist->wrong;
 	va_list args;
@@ -166,7 +168,7 @@
 	s->open = relay_session_open(f->relays[relay].relay, s->number,
 				     database, key, &answer, f->now_us);
 	if (!s->open && !f->accounts)
-		hist_wrong(f, "%s is not known", database);
+		hist_violation(f, "%s is not known", database);
 	g_free(key);
 	g_free(database);
 	return s;
@@ -217,7 +219,7 @@
 		s->begun_us = f->now_us;
 	}
 	h->attempt = s->attempt;
-	h->since_us = s->begun_us;
+	h->started_at_us = s->begun_us;
 	h->sent_us = f->now_us;
 	h->values = values_text(s->values);
 	h->shape = g_strdup(g_hash_table_lookup(s->prepared, name));
@@ -238,7 +240,7 @@
 			 enum relay_verb verb, const char *name,
 			 const char *text)
 {
-	uint64_t until_us = f->now_us + ANSWER_LIMIT_US;
+	uint64_t until_us = f->now_us + ANSWER_TIMEOUT_US;
 	struct hist_statement *h;
 
 	hist_start(f, s, verb, name, text);
@@ -249,7 +251,7 @@
 }
 
 /* Opens new sessions, which retry until their writes are stored. */
-bool hist_serves(struct fake *f, uint64_t limit_us)
+bool hist_accepts_writes(struct fake *f, uint64_t limit_us)
 {
 	uint64_t until_us = f->now_us + limit_us;
 	unsigned i;
@@ -269,12 +271,13 @@
 	return true;
 }
 
-static bool is_promise(enum relay_code code)
+static bool means_not_stored(enum relay_code code)
 {
 	return code >= RELAY_BUSY && code <= RELAY_TOO_MANY;
 }
 
-static void note_done(struct hist_session *s, const struct hist_statement *h)
+static void apply_success(struct hist_session *s,
+			  const struct hist_statement *h)
 {
 	bool writes = h->verb == RELAY_PREPARE_WRITE;
 
@@ -302,12 +305,12 @@
 	if (h->in_transaction ? h->verb != RELAY_COMMIT : !h->writes)
 		return;
 	a->acked = true;
-	a->acked_us = f->now_us;
+	a->acked_at_us = f->now_us;
 	if (a->n_commits)
 		g_array_append_val(f->hist->acked, a->commit);
 	else if (h->writes)
-		hist_wrong(f, "%u acknowledged, but nothing is stored",
-			   h->number);
+		hist_violation(f, "%u acknowledged, but nothing is stored",
+			       h->number);
 }
 
 /* Records and checks a relay's answer to a caller. */
@@ -320,7 +323,7 @@
 	char *id;
 
 	if (!s->open || !h) {
-		hist_wrong(f, "unsolicited answer");
+		hist_violation(f, "unsolicited answer");
 		return;
 	}
 	id = g_strdup_printf("%u", h->number);
@@ -332,13 +335,13 @@
 	g_snprintf(s->said, sizeof(s->said), "%.*s", (int)a->text.len,
 		   a->text.data);
 	if (a->code == RELAY_OK) {
-		note_done(s, h);
+		apply_success(s, h);
 		note_acked(f, h);
 		if (needs_server(h) && !str_eq(a->rows, str_from_c(id)))
-			hist_wrong(f, "%s got another's rows", id);
+			hist_violation(f, "%s got another's rows", id);
 	}
-	if (is_promise(a->code))
-		attempt_of(f, h->attempt)->promised = true;
+	if (means_not_stored(a->code))
+		attempt_of(f, h->attempt)->told_not_stored = true;
 	g_free(id);
 	if (s->next)
 		fake_at(f, -1, MS, s->next, s, NULL);
@@ -378,14 +381,14 @@
 }
 
 /* Checks that only the relay of the caller's session forwards a statement. */
-void hist_passed_on(struct fake *f, const struct fake_conn *c, struct str id)
+void hist_forwarded(struct fake *f, const struct fake_conn *c, struct str id)
 {
 	const struct hist_statement *h = hist_find(f, id);
 	const struct hist_session *s =
 		g_ptr_array_index(f->hist->sessions, h->session - 1);
 
 	if (s->relay != c->relay)
-		hist_wrong(f, "%u was passed on twice", h->number);
+		hist_violation(f, "%u was passed on twice", h->number);
 }
 
 static bool must_see(const struct fake *f, const struct hist_session *s,
@@ -399,9 +402,9 @@
 	if (c->group != s->group)
 		return false;
 	if (s->kind == RELAY_KIND_OWN_WRITES && a->session == s->number &&
-	    a->acked_us < h->since_us)
+	    a->acked_at_us < h->started_at_us)
 		return true;
-	return a->acked_us + age_us < h->since_us;
+	return a->acked_at_us + age_us < h->started_at_us;
 }
 
 static void check_fresh(struct fake *f, const struct fake_server *server,
@@ -411,7 +414,7 @@
 		g_ptr_array_index(f->hist->sessions, h->session - 1);
 	unsigned i, n = f->hist->acked->len;
 
-	for (i = n; i && i + LOOK_BACK > n; i--) {
+	for (i = n; i && i + CHECKED_COMMITS_MAX > n; i--) {
 		struct missed m = { .statement = h->number, .us = f->now_us };
 
 		m.commit = g_array_index(f->hist->acked, unsigned, i - 1);
@@ -427,18 +430,18 @@
 	struct attempt *a = attempt_of(f, h->attempt);
 
 	if (h->in_transaction != (c->state == 'T')) {
-		hist_wrong(f, "%u wrongly in or out of a transaction",
-			   h->number);
+		hist_violation(f, "%u wrongly in or out of a transaction",
+			       h->number);
 		return;
 	}
 	if (!h->in_transaction)
 		return;
 	if (c->attempt && c->attempt != h->attempt)
-		hist_wrong(f, "%u in another operation's transaction",
-			   h->number);
+		hist_violation(f, "%u in another operation's transaction",
+			       h->number);
 	c->attempt = h->attempt;
 	if (a->conn && a->conn != c->serial && a->first != h->number)
-		hist_wrong(f, "%u leaves its connection", h->number);
+		hist_violation(f, "%u leaves its connection", h->number);
 	if (!a->conn || a->first == h->number) {
 		a->conn = c->serial;
 		a->first = h->number;
@@ -467,11 +470,12 @@
 	char *name = accounts_name(s->account);
 
 	if (strcmp(c->account, name))
-		hist_wrong(f, "%u of %s runs on a connection of '%s'",
-			   h->number, name, c->account);
+		hist_violation(f, "%u of %s runs on a connection of '%s'",
+			       h->number, name, c->account);
 	if (gone_us && h->sent_us > gone_us + FAKE_KEY_AGE_US)
-		hist_wrong(f, "%u runs, %u ms after its key was revoked",
-			   h->number, (unsigned)((h->sent_us - gone_us) / MS));
+		hist_violation(f, "%u runs, %u ms after its key was revoked",
+			       h->number,
+			       (unsigned)((h->sent_us - gone_us) / MS));
 	note_operation(f, s, h);
 	g_free(name);
 }
@@ -485,13 +489,13 @@
 	const char *shape = g_hash_table_lookup(c->prepared, name);
 
 	if (strcmp(values, h->values))
-		hist_wrong(f, "%u runs with variables %snot %s", h->number,
-			   values, h->values);
+		hist_violation(f, "%u runs with variables %snot %s", h->number,
+			       values, h->values);
 	if (h->verb == RELAY_EXECUTE && g_strcmp0(shape, h->shape))
-		hist_wrong(f, "%u runs prepared as %s not %s", h->number, shape,
-			   h->shape);
+		hist_violation(f, "%u runs prepared as %s not %s", h->number,
+			       shape, h->shape);
 	if (h->verb != st->verb || !str_eq(st->text, str_from_c(h->text)))
-		hist_wrong(f, "%u was changed", h->number);
+		hist_violation(f, "%u was changed", h->number);
 	check_transaction(f, c, h);
 	if (f->accounts)
 		check_account(f, c, h);
@@ -511,7 +515,8 @@
 
 	a->commit = commit;
 	if (++a->n_commits > 1)
-		hist_wrong(f, "session %u: operation stored twice", a->session);
+		hist_violation(f, "session %u: operation stored twice",
+			       a->session);
 }
 
 unsigned hist_acknowledged(const struct fake *f)
@@ -535,7 +540,7 @@
 							   struct operation, i);
 
 		n += o->account == account && o->sent_us >= from_us &&
-		     o->ran_us < from_us + FAKE_WINDOW_US;
+		     o->ran_at_us < from_us + FAKE_WINDOW_US;
 	}
 	return n;
 }
@@ -549,9 +554,11 @@
 							   struct operation, i);
 		unsigned n = count_window(f, o->account, o->sent_us);
 
-		if (n > FAKE_WINDOW_MOST)
-			hist_wrong(f, "%u operations of account %u from %u ms",
-				   n, o->account, (unsigned)(o->sent_us / MS));
+		if (n > FAKE_WINDOW_MAX)
+			hist_violation(f,
+				       "%u operations of account %u from %u ms",
+				       n, o->account,
+				       (unsigned)(o->sent_us / MS));
 	}
 }
 
@@ -566,12 +573,12 @@
 
 		if (!a->n_commits)
 			continue;
-		if (a->promised)
-			hist_wrong(f,
-				   "session %u: refused, but stored as %u.%u",
-				   a->session, (unsigned)c->term, c->number);
+		if (a->told_not_stored)
+			hist_violation(
+				f, "session %u: refused, but stored as %u.%u",
+				a->session, (unsigned)c->term, c->number);
 		if (a->acked && c->stale)
-			hist_wrong(
+			hist_violation(
 				f,
 				"session %u: an old primary's %u.%u acknowledged",
 				a->session, (unsigned)c->term, c->number);
@@ -596,9 +603,9 @@
 			f->commits, struct fake_commit, m->commit);
 
 		if (!c->lost)
-			hist_wrong(f, "%u at %u ms missed %u.%u", m->statement,
-				   (unsigned)(m->us / MS), (unsigned)c->term,
-				   c->number);
+			hist_violation(f, "%u at %u ms missed %u.%u",
+				       m->statement, (unsigned)(m->us / MS),
+				       (unsigned)c->term, c->number);
 	}
 	return f->hist->wrong->str;
 }
--- a/packages/relay/tests/support_history.h
+++ b/packages/relay/tests/support_history.h
@@ -18,7 +18,7 @@
 	bool in_transaction;
 	char *values; /* session variables that its caller has set */
 	char *shape; /* kind and text of the prepared statement */
-	uint64_t since_us; /* start of its operation */
+	uint64_t started_at_us; /* start of its operation */
 	uint64_t sent_us; /* when its caller sent it */
 	char *name;
 	char *text;
@@ -57,7 +57,7 @@
 			 enum relay_verb verb, const char *name,
 			 const char *text);
 /* Whether each relay accepts a write to each group, all within limit_us. */
-bool hist_serves(struct fake *f, uint64_t limit_us);
+bool hist_accepts_writes(struct fake *f, uint64_t limit_us);
 /* Returns the id of the newest statement; the caller frees it. */
 char *hist_last_id(const struct fake *f);
 /* Number of operations that servers ran. */
@@ -68,11 +68,12 @@
 const char *hist_check(struct fake *f);
 
 /* Called by the fake. */
-void hist_wrong(struct fake *f, const char *format, ...) G_GNUC_PRINTF(2, 3);
+void hist_violation(struct fake *f, const char *format, ...)
+	G_GNUC_PRINTF(2, 3);
 void hist_answer(void *relay, uint64_t session, const struct relay_answer *a);
 void hist_hang_up(void *relay, uint64_t session);
 void hist_relay_ended(struct fake *f, unsigned relay);
-void hist_passed_on(struct fake *f, const struct fake_conn *c, struct str id);
+void hist_forwarded(struct fake *f, const struct fake_conn *c, struct str id);
 const struct hist_statement *hist_find(struct fake *f, struct str id);
 void hist_ran(struct fake *f, struct fake_conn *c,
 	      const struct hist_statement *h, const struct relay_statement *st);
--- a/packages/relay/tests/support_log.c
+++ b/packages/relay/tests/support_log.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 /* Source of the log's time stamps. */
-static const struct fake *logged;
+static const struct fake *clock_source;
 
 static uint64_t fake_clock_us(void)
 {
-	return logged->now_us;
+	return clock_source->now_us;
 }
 
 /* All relays log as the node "proxy", with time stamps of the fake's clock. */
@@ -18,7 +18,7 @@
 	FILE *log = tmpfile();
 
 	g_assert(log);
-	logged = f;
+	clock_source = f;
 	log_event_set_clock(fake_clock_us);
 	log_event_set_node("proxy");
 	log_sink_open(fileno(log), &budget);
@@ -30,7 +30,7 @@
 {
 	log_sink_open(-1, NULL);
 	log_event_set_clock(NULL);
-	logged = NULL;
+	clock_source = NULL;
 	fclose(log);
 }
 
--- a/packages/relay/tests/support_platform.c
+++ b/packages/relay/tests/support_platform.c
@@ -7,13 +7,13 @@
 
 #include <string.h>
 
-#define STREAM_US (4 * MS) /* replication interval */
+#define REPLICATION_INTERVAL_US (4 * MS) /* replication interval */
 /* How long an old primary reaches the new one before it follows. */
-#define FOLLOW_US USEC_PER_SEC
-#define UNLIST_US (3 * USEC_PER_SEC) /* from a crash to its unlisting */
-#define CALL_LIMIT_US (400 * MS) /* time-out of a claim */
+#define FOLLOW_DELAY_US USEC_PER_SEC
+#define UNLIST_DELAY_US (3 * USEC_PER_SEC) /* from a crash to its unlisting */
+#define CLAIM_TIMEOUT_US (400 * MS) /* time-out of a claim */
 #define DROP_US (3 * USEC_PER_SEC)
-#define REBORN_US (20 * MS) /* duration of a quick restart */
+#define QUICK_RESTART_US (20 * MS) /* duration of a quick restart */
 
 /* A relay's call to the store or the platform, or a reply to it. */
 struct call {
@@ -26,7 +26,7 @@
 	bool accepted; /* promotion: carried out; claim: its reply arrives */
 };
 
-static bool is_on_line(const struct fake_server *s)
+static bool is_reachable(const struct fake_server *s)
 {
 	return !s->down && !s->dark;
 }
@@ -40,7 +40,7 @@
 	for (i = 0; i < f->n_servers; i++) {
 		struct fake_server *s = &f->servers[i];
 
-		if (s->group == group && is_on_line(s) &&
+		if (s->group == group && is_reachable(s) &&
 		    s->role == ROLE_PRIMARY && (!best || s->term > best->term))
 			best = s;
 	}
@@ -48,7 +48,8 @@
 }
 
 /* The servers that a test may crash or have leave. */
-unsigned fake_members(const struct fake *f, unsigned group, unsigned *out)
+unsigned fake_running_servers(const struct fake *f, unsigned group,
+			      unsigned *out)
 {
 	unsigned i, n = 0;
 
@@ -63,28 +64,29 @@
 }
 
 /* Tests never leave a group without a server. */
-bool fake_may_go(const struct fake *f, unsigned server)
+bool fake_may_stop(const struct fake *f, unsigned server)
 {
 	const struct fake_server *s = &f->servers[server];
 	unsigned all[MAX_SERVERS];
 
-	return !s->down && !s->leaving && fake_members(f, s->group, all) > 1;
+	return !s->down && !s->leaving &&
+	       fake_running_servers(f, s->group, all) > 1;
 }
 
 /* Rolls back what the primary's log lacks, and joins its term. */
 static void join_term(struct fake_server *s, const struct fake_server *p)
 {
-	unsigned n = 0, most = MIN(s->log->len, p->log->len);
+	unsigned n = 0, n_max = MIN(s->log->len, p->log->len);
 
-	while (n < most && g_array_index(s->log, unsigned, n) ==
-				   g_array_index(p->log, unsigned, n))
+	while (n < n_max && g_array_index(s->log, unsigned, n) ==
+				    g_array_index(p->log, unsigned, n))
 		n++;
 	g_array_set_size(s->log, n);
 	s->applied = MIN(s->applied, n);
 	s->term = p->term;
 	s->role = ROLE_REPLICA;
-	s->led = false;
-	s->reaches_us = 0;
+	s->was_primary = false;
+	s->reachable_since_us = 0;
 }
 
 static void receive(struct fake *f, struct fake_server *s,
@@ -117,37 +119,37 @@
 }
 
 /* A primary that stepped down still sends what it stored before. */
-static void receive_left(struct fake *f, struct fake_server *s)
+static void receive_from_old_primary(struct fake *f, struct fake_server *s)
 {
 	unsigned i;
 
 	for (i = 0; i < f->n_servers; i++) {
 		const struct fake_server *old = &f->servers[i];
 
-		if (old->group == s->group && is_on_line(old) &&
+		if (old->group == s->group && is_reachable(old) &&
 		    old->term == s->term && old->role == ROLE_REPLICA)
 			receive(f, s, old);
 	}
 }
 
-static void stream(struct fake *f, struct fake_server *s)
+static void replicate(struct fake *f, struct fake_server *s)
 {
 	struct fake_server *p = fake_primary(f, s->group);
 
-	if (!is_on_line(s))
-		s->reaches_us = 0;
+	if (!is_reachable(s))
+		s->reachable_since_us = 0;
 	if (s->down || s == p)
 		return;
 	if (s->role == ROLE_REPLICA)
 		apply(f, s);
-	if (!p && is_on_line(s) && s->held <= s->term)
-		receive_left(f, s);
-	if (!p || !is_on_line(s) || p->term < s->term || s->held > p->term)
+	if (!p && is_reachable(s) && s->held <= s->term)
+		receive_from_old_primary(f, s);
+	if (!p || !is_reachable(s) || p->term < s->term || s->held > p->term)
 		return;
 	if (s->role == ROLE_PRIMARY) {
-		if (!s->reaches_us)
-			s->reaches_us = f->now_us;
-		if (f->now_us < s->reaches_us + FOLLOW_US)
+		if (!s->reachable_since_us)
+			s->reachable_since_us = f->now_us;
+		if (f->now_us < s->reachable_since_us + FOLLOW_DELAY_US)
 			return;
 	}
 	if (s->role == ROLE_PRIMARY || s->term < p->term)
@@ -156,13 +158,13 @@
 	apply(f, s);
 }
 
-static void stream_event(struct fake *f, void *data)
+static void replicate_event(struct fake *f, void *data)
 {
 	unsigned i;
 
 	for (i = 0; i < f->n_servers; i++)
-		stream(f, &f->servers[i]);
-	fake_at(f, -1, STREAM_US, stream_event, data, NULL);
+		replicate(f, &f->servers[i]);
+	fake_at(f, -1, REPLICATION_INTERVAL_US, replicate_event, data, NULL);
 }
 
 /* A promotion ends all pauses, before other servers learn its term. */
@@ -186,7 +188,7 @@
 		return;
 	s->applied = s->log->len;
 	s->role = ROLE_PRIMARY;
-	s->led = true;
+	s->was_primary = true;
 	s->term = ++f->top_term[s->group];
 	end_pauses(f, s->group);
 	f->n_promotions++;
@@ -200,16 +202,16 @@
 }
 
 /* Whether the process that made the call or awaits the message still runs. */
-static bool is_its_life(const struct fake *f, const struct call *call)
+static bool is_current_process(const struct fake *f, const struct call *call)
 {
 	return call->life == f->relays[call->relay].life;
 }
 
-static void told_event(struct fake *f, void *data)
+static void promote_reply_event(struct fake *f, void *data)
 {
 	const struct call *call = data;
 
-	if (!is_its_life(f, call))
+	if (!is_current_process(f, call))
 		return;
 	relay_on_promoted(f->relays[call->relay].relay,
 			  f->servers[call->server].service, call->accepted,
@@ -227,15 +229,15 @@
 
 	call->accepted = !s->down && call->number >= f->platform_token;
 	f->platform_token = MAX(f->platform_token, call->number);
-	if (f->void_promotions) {
-		f->void_promotions--;
+	if (f->n_promotions_to_drop) {
+		f->n_promotions_to_drop--;
 		return;
 	}
 	if (call->accepted)
 		fake_at(f, -1, f->promote_us, promoted_event,
 			g_memdup2(call, sizeof(*call)), g_free);
-	if (!fake_chance(f, f->lose_claims) && !f->lose_words)
-		fake_at(f, (int)call->relay, 5 * MS, told_event,
+	if (!fake_chance(f, f->lose_claims) && !f->lose_promote_replies)
+		fake_at(f, (int)call->relay, 5 * MS, promote_reply_event,
 			g_memdup2(call, sizeof(*call)), g_free);
 }
 
@@ -243,12 +245,13 @@
 static void note_token(struct fake *f, const struct call *call)
 {
 	if (call->number < f->last_token ||
-	    (call->number == f->last_token && call->relay != f->last_holder))
-		hist_wrong(f, "token %u of relay %u after %u of relay %u",
-			   (unsigned)call->number, call->relay,
-			   (unsigned)f->last_token, f->last_holder);
+	    (call->number == f->last_token &&
+	     call->relay != f->last_token_relay))
+		hist_violation(f, "token %u of relay %u after %u of relay %u",
+			       (unsigned)call->number, call->relay,
+			       (unsigned)f->last_token, f->last_token_relay);
 	f->last_token = call->number;
-	f->last_holder = call->relay;
+	f->last_token_relay = call->relay;
 }
 
 static void on_promote(void *ctx, const char *service, const char *server,
@@ -268,10 +271,10 @@
 }
 
 /* Tells the relay a revision, unless a list is in flight or was dropped. */
-static void tell_known(struct fake_relay *r, uint64_t revision)
+static void send_revision(struct fake_relay *r, uint64_t revision)
 {
 	r->known = MAX(r->known, revision);
-	if (!r->n_lists_due && !r->list_missed)
+	if (!r->n_lists_in_flight && !r->list_dropped)
 		relay_on_revision(r->relay, r->known);
 }
 
@@ -279,14 +282,14 @@
 {
 	const struct call *call = data;
 
-	if (f->relays[call->relay].deaf || !is_its_life(f, call))
+	if (f->relays[call->relay].deaf || !is_current_process(f, call))
 		return;
 	relay_on_duty(f->relays[call->relay].relay, f->duty_revision,
 		      *f->duty_holder ? f->duty_holder : NULL, f->now_us);
-	tell_known(&f->relays[call->relay], call->revision);
+	send_revision(&f->relays[call->relay], call->revision);
 }
 
-static void tell_duty(struct fake *f)
+static void send_duty(struct fake *f)
 {
 	struct call call = { .revision = f->duty_revision };
 
@@ -301,7 +304,7 @@
 {
 	const struct call *call = data;
 
-	if (!is_its_life(f, call))
+	if (!is_current_process(f, call))
 		return;
 	relay_on_claimed(f->relays[call->relay].relay, call->outcome,
 			 call->revision, f->now_us);
@@ -318,7 +321,7 @@
 		f->duty_revision = f->revision;
 		g_strlcpy(f->duty_holder, f->relays[call->relay].name,
 			  sizeof(f->duty_holder));
-		tell_duty(f);
+		send_duty(f);
 	}
 	call->revision = f->duty_revision;
 	if (call->accepted)
@@ -338,13 +341,13 @@
 
 	call.outcome = RELAY_CLAIM_UNKNOWN;
 	if (r->deaf) {
-		fake_at(f, (int)r->index, CALL_LIMIT_US, claimed_event,
+		fake_at(f, (int)r->index, CLAIM_TIMEOUT_US, claimed_event,
 			g_memdup2(&call, sizeof(call)), g_free);
 		return;
 	}
 	call.accepted = !fake_chance(f, f->lose_claims);
 	if (!call.accepted) {
-		fake_at(f, (int)r->index, CALL_LIMIT_US, claimed_event,
+		fake_at(f, (int)r->index, CLAIM_TIMEOUT_US, claimed_event,
 			g_memdup2(&call, sizeof(call)), g_free);
 		delay_us = fake_random(f, 2 * MS, 3000 * MS);
 	}
@@ -354,7 +357,7 @@
 }
 
 /* A list of servers in flight to a relay. */
-struct list_news {
+struct list_message {
 	struct fake_relay *relay;
 	unsigned life;
 	uint64_t revision;
@@ -362,7 +365,7 @@
 	unsigned n;
 };
 
-static void tell_peers(struct fake *f, struct fake_relay *r)
+static void send_peers(struct fake *f, struct fake_relay *r)
 {
 	struct relay_server_info infos[MAX_RELAYS] = { 0 };
 	unsigned i, n = 0;
@@ -380,28 +383,28 @@
 
 static void list_event(struct fake *f, void *data)
 {
-	const struct list_news *news = data;
+	const struct list_message *news = data;
 	struct fake_relay *r = news->relay;
 
 	if (news->life != r->life)
 		return;
-	r->n_lists_due--;
+	r->n_lists_in_flight--;
 	if (news->revision < r->list_revision) {
-		tell_known(r, news->revision);
+		send_revision(r, news->revision);
 		return;
 	}
-	r->list_missed = r->list_held;
+	r->list_dropped = r->list_held;
 	if (!r->list_held) {
 		r->list_revision = news->revision;
 		relay_on_servers(r->relay, news->infos, news->n, f->now_us);
 	}
-	tell_peers(f, r);
-	tell_known(r, news->revision);
+	send_peers(f, r);
+	send_revision(r, news->revision);
 }
 
 static void send_list(struct fake *f, struct fake_relay *r)
 {
-	struct list_news *news = g_new0(struct list_news, 1);
+	struct list_message *news = g_new0(struct list_message, 1);
 	unsigned i;
 
 	news->relay = r;
@@ -424,7 +427,7 @@
 			.born_ms = s->born_ms,
 		};
 	}
-	r->n_lists_due++;
+	r->n_lists_in_flight++;
 	fake_at(f, (int)r->index, 5 * MS + r->list_lag_us, list_event, news,
 		g_free);
 }
@@ -443,7 +446,7 @@
 {
 	struct fake_server *s = data;
 
-	if (!s->down || f->now_us < s->down_us + UNLIST_US)
+	if (!s->down || f->now_us < s->down_at_us + UNLIST_DELAY_US)
 		return;
 	s->listed = false;
 	fake_list(f);
@@ -465,7 +468,7 @@
 	gpointer value;
 
 	s->down = true;
-	s->down_us = f->now_us;
+	s->down_at_us = f->now_us;
 	s->held = 0;
 	g_hash_table_iter_init(&iter, f->conns);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -478,7 +481,7 @@
 				g_memdup2(&c->key, sizeof(c->key)), g_free);
 		g_hash_table_iter_remove(&iter);
 	}
-	fake_at(f, -1, UNLIST_US, unlist_event, s, NULL);
+	fake_at(f, -1, UNLIST_DELAY_US, unlist_event, s, NULL);
 }
 
 /* Restarts a crashed server with its log, as a replica if its term is old. */
@@ -495,12 +498,12 @@
 	fake_list(f);
 }
 
-static void reborn_event(struct fake *f, void *data)
+static void quick_restart_event(struct fake *f, void *data)
 {
 	struct fake_server *s = data;
 
 	s->born_ms++;
-	if (s->led)
+	if (s->was_primary)
 		s->role = ROLE_PRIMARY;
 	fake_restart(f, s->index);
 }
@@ -519,7 +522,7 @@
 		g_array_set_size(s->log, 0);
 		s->applied = 0;
 	}
-	fake_at(f, -1, REBORN_US, reborn_event, s, NULL);
+	fake_at(f, -1, QUICK_RESTART_US, quick_restart_event, s, NULL);
 }
 
 /* Blocks all messages between the two; a message breaks its connection. */
@@ -542,7 +545,7 @@
 	memset(f->cut, 0, sizeof(f->cut));
 	memset(f->side, 0, sizeof(f->side));
 	f->lose_answers = f->lose_claims = f->busy = 0;
-	f->lose_words = false;
+	f->lose_promote_replies = false;
 	f->promote_late_us = 0;
 	for (i = 0; i < f->n_servers; i++) {
 		f->servers[i].dark = false;
@@ -635,7 +638,7 @@
 }
 
 /* Sends the store's whole state, as at the start of a watch. */
-static void tell_all(struct fake *f, struct fake_relay *r)
+static void send_all(struct fake *f, struct fake_relay *r)
 {
 	struct call call = { .relay = r->index,
 			     .life = r->life,
@@ -654,7 +657,7 @@
 	f->relays[relay].deaf = !answers;
 	relay_on_store(f->relays[relay].relay, answers, f->now_us);
 	if (is_back)
-		tell_all(f, &f->relays[relay]);
+		send_all(f, &f->relays[relay]);
 }
 
 /* Ends the callers' sessions, and connections after messages in flight. */
@@ -689,8 +692,8 @@
 
 	end_relay(f, r);
 	r->life++;
-	r->n_lists_due = 0;
-	r->list_missed = false;
+	r->n_lists_in_flight = 0;
+	r->list_dropped = false;
 	r->known = r->list_revision = 0;
 	r->frozen_until_us = 0;
 	start_relay(r, catalog);
@@ -700,7 +703,7 @@
 	relay_destroy(old);
 	counter_set_destroy(counters);
 	if (!r->deaf)
-		tell_all(f, r);
+		send_all(f, r);
 }
 
 static struct fake_server *add_server(struct fake *f, unsigned group,
@@ -715,7 +718,7 @@
 	g_snprintf(s->service, sizeof(s->service), "group%u", group);
 	s->listed = true;
 	s->role = role;
-	s->led = role == ROLE_PRIMARY;
+	s->was_primary = role == ROLE_PRIMARY;
 	s->born_ms = 1;
 	s->term = 1;
 	s->lag_us = 5 * MS;
@@ -740,7 +743,7 @@
 	for (i = 0; i < f->n_servers; i++) {
 		const struct fake_server *s = &f->servers[i];
 
-		if (s->group != group || !is_on_line(s))
+		if (s->group != group || !is_reachable(s))
 			continue;
 		if (!best || s->term > best->term ||
 		    (s->term == best->term && s->log->len > best->log->len))
@@ -769,14 +772,14 @@
 
 	old->replaced = true;
 	copy_log(s, old);
-	s->led = old->led;
-	if (s->led && s->term == f->top_term[s->group])
+	s->was_primary = old->was_primary;
+	if (s->was_primary && s->term == f->top_term[s->group])
 		s->role = ROLE_PRIMARY;
 	fake_list(f);
 	return s->index;
 }
 
-static void left_event(struct fake *f, void *data)
+static void stop_event(struct fake *f, void *data)
 {
 	struct fake_server *s = data;
 
@@ -791,7 +794,7 @@
 {
 	f->servers[server].leaving = true;
 	fake_list(f);
-	fake_at(f, -1, drain_us, left_event, &f->servers[server], NULL);
+	fake_at(f, -1, drain_us, stop_event, &f->servers[server], NULL);
 }
 
 /* Creates idle groups and relays, and schedules their periodic events. */
@@ -824,7 +827,7 @@
 		create_relay(f, i, catalog);
 	relay_catalog_unref(catalog);
 	fake_list(f);
-	fake_at(f, -1, 0, stream_event, NULL, NULL);
+	fake_at(f, -1, 0, replicate_event, NULL, NULL);
 	if (accounts)
 		accounts_start(f);
 	return f;
--- a/packages/relay/tests/support_story.c
+++ b/packages/relay/tests/support_story.c
@@ -3,11 +3,11 @@
 #include <check.h>
 #include <string.h>
 
-#define CHANGE_LIMIT_US (20 * USEC_PER_SEC) /* for reaching a phase */
-#define REST_US (9 * USEC_PER_SEC) /* for recovery from the faults */
+#define PHASE_TIMEOUT_US (20 * USEC_PER_SEC) /* for reaching a phase */
+#define RECOVERY_US (9 * USEC_PER_SEC) /* for recovery from the faults */
 
 /* Offset in struct relay_guards of the guard to switch off. */
-static size_t guard_off = STORY_ALL_GUARDS;
+static size_t guard_off = SCENARIO_ALL_GUARDS;
 
 static void next_event(struct fake *f, void *data)
 {
@@ -43,7 +43,7 @@
 {
 	unsigned i;
 
-	if (guard_off == STORY_ALL_GUARDS)
+	if (guard_off == SCENARIO_ALL_GUARDS)
 		return;
 	for (i = 0; i < STORY_RELAYS; i++) {
 		struct relay_guards *g = relay_guards_of(f->relays[i].relay);
@@ -77,7 +77,7 @@
 	}
 	fake_heal(f);
 	fake_list(f);
-	fake_run(f, REST_US);
+	fake_run(f, RECOVERY_US);
 	story_callers_come(f);
 	acked = hist_acknowledged(f);
 	fake_run(f, USEC_PER_SEC);
@@ -96,7 +96,7 @@
 }
 
 /* The relay that is in that phase of a change, or -1. */
-static int changer_in(const struct fake *f, enum rphase phase)
+static int relay_in_phase(const struct fake *f, enum rphase phase)
 {
 	unsigned i;
 
@@ -109,18 +109,18 @@
 /* Polls each millisecond. */
 int story_run_until(struct fake *f, enum rphase phase)
 {
-	uint64_t limit_us = f->now_us + CHANGE_LIMIT_US;
+	uint64_t limit_us = f->now_us + PHASE_TIMEOUT_US;
 
-	while (changer_in(f, phase) < 0 && f->now_us < limit_us)
+	while (relay_in_phase(f, phase) < 0 && f->now_us < limit_us)
 		fake_run(f, MS);
-	return changer_in(f, phase);
+	return relay_in_phase(f, phase);
 }
 
 static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD, PHASE_PROMOTE,
 				      PHASE_SETTLE };
 
 /* Returns the proxy that was first in the phase, or -1. */
-int story_run_into_a_phase(struct fake *f, uint32_t seed)
+int scenario_run_into_phase(struct fake *f, uint32_t seed)
 {
 	int changer = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
 
@@ -128,12 +128,12 @@
 	return changer;
 }
 
-void story_check_promises(story_fn story)
+void story_check_promises(scenario_fn scenario)
 {
 	uint32_t seed;
 
-	for (seed = 0; seed < STORY_SEEDS; seed++) {
-		char *wrong = story(seed);
+	for (seed = 0; seed < SCENARIO_SEEDS; seed++) {
+		char *wrong = scenario(seed);
 
 		ck_assert_msg(!*wrong, "seed %u: %s", seed, wrong);
 		g_free(wrong);
@@ -141,18 +141,18 @@
 }
 
 /* Stops at the first seed with a violation. */
-void story_check_is_noticed(story_fn story, size_t guard)
+void scenario_check_guard_is_needed(scenario_fn scenario, size_t guard)
 {
 	bool noticed = false;
 	uint32_t seed;
 
 	guard_off = guard;
-	for (seed = 0; seed < STORY_SEEDS && !noticed; seed++) {
-		char *wrong = story(seed);
+	for (seed = 0; seed < SCENARIO_SEEDS && !noticed; seed++) {
+		char *wrong = scenario(seed);
 
 		noticed = *wrong;
 		g_free(wrong);
 	}
-	guard_off = STORY_ALL_GUARDS;
+	guard_off = SCENARIO_ALL_GUARDS;
 	ck_assert_msg(noticed, "no seed shows what the guard prevents");
 }
--- a/packages/relay/tests/support_story.h
+++ b/packages/relay/tests/support_story.h
@@ -10,13 +10,13 @@
 #include "support_history.h"
 
 #define STORY_RELAYS 3
-#define STORY_SEEDS 60
+#define SCENARIO_SEEDS 60
 
 /* In place of a guard's offset in struct relay_guards: none is off. */
-#define STORY_ALL_GUARDS SIZE_MAX
+#define SCENARIO_ALL_GUARDS SIZE_MAX
 
 /* Returns the violations found, "" if none; the caller frees it. */
-typedef char *(*story_fn)(uint32_t seed);
+typedef char *(*scenario_fn)(uint32_t seed);
 
 /* Runs the proxies for settle_us without callers. */
 struct fake *story_start(uint32_t seed, uint64_t settle_us);
@@ -24,7 +24,7 @@
 void story_callers_come(struct fake *f);
 /*
  * Ends all faults, checks that writes succeed again, and frees the fake;
- * returns the violations found like a story_fn.
+ * returns the violations found like a scenario_fn.
  */
 char *story_end(struct fake *f);
 /* The group as a proxy sees it. */
@@ -32,10 +32,10 @@
 /* The proxy that is first in that phase, -1: none within 20 s. */
 int story_run_until(struct fake *f, enum rphase phase);
 /* Runs into a phase that the seed selects, and up to 200 ms further. */
-int story_run_into_a_phase(struct fake *f, uint32_t seed);
+int scenario_run_into_phase(struct fake *f, uint32_t seed);
 /* No seed may show a violation. */
-void story_check_promises(story_fn story);
+void story_check_promises(scenario_fn scenario);
 /* At least one seed must show a violation when the guard is off. */
-void story_check_is_noticed(story_fn story, size_t guard);
+void scenario_check_guard_is_needed(scenario_fn scenario, size_t guard);
 
 #endif
--- a/packages/relay/tests/test_change.c
+++ b/packages/relay/tests/test_change.c
@@ -3,7 +3,7 @@
 #include <celeryquay/suite.h>
 
 /* Longer than 8 s, when a proxy replaces a primary that others still reach. */
-#define LONG_CUT_US (14 * USEC_PER_SEC)
+#define LONG_PARTITION_US (14 * USEC_PER_SEC)
 
 static struct hist_session *writers[3];
 
@@ -73,7 +73,7 @@
  * One proxy of three can't reach the primary for 2 s. Replacing the primary
  * would stop the writes of all others for a second.
  */
-START_TEST(test_short_cut_of_one_relay_changes_nothing)
+START_TEST(test_short_partition_of_one_relay_changes_nothing)
 {
 	struct fake *f = start(2);
 
@@ -91,12 +91,12 @@
  * old primary, which keeps running. Commits that it stores after the promotion
  * are rolled back later and must not be acknowledged.
  */
-START_TEST(test_old_primary_is_not_believed)
+START_TEST(test_old_primary_is_not_relied_on)
 {
 	struct fake *f = start((uint32_t)_i + 10);
 
 	fake_cut(f, 0, 0, true);
-	fake_run(f, LONG_CUT_US);
+	fake_run(f, LONG_PARTITION_US);
 	ck_assert_uint_ge(f->n_promotions, 1);
 	end(f);
 }
@@ -112,19 +112,19 @@
 	struct fake *f = start((uint32_t)_i + 20);
 
 	fake_cut(f, 0, 0, true);
-	fake_run(f, LONG_CUT_US);
+	fake_run(f, LONG_PARTITION_US);
 	ck_assert_uint_ge(f->n_promotions, 1);
 	fake_heal(f);
 	fake_run(f, 4 * USEC_PER_SEC);
 	fake_cut(f, 0, fake_primary(f, 0)->index, true);
-	fake_run(f, LONG_CUT_US);
+	fake_run(f, LONG_PARTITION_US);
 	ck_assert_uint_ge(f->n_promotions, 2);
 	end(f);
 }
 END_TEST
 
 /* Violations when one proxy of three is cut off from the store in a change. */
-static char *history_of_a_deaf_relay(uint32_t seed, bool guard)
+static char *change_without_store_access(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed);
 	unsigned i;
@@ -153,9 +153,9 @@
  * replica, the replica would confirm the old primary, and writes acknowledged
  * there would be lost with the promotion.
  */
-START_TEST(test_a_deaf_proxy_ends_no_pause)
+START_TEST(test_proxy_without_store_resumes_no_replica)
 {
-	char *wrong = history_of_a_deaf_relay((uint32_t)_i, true);
+	char *wrong = change_without_store_access((uint32_t)_i, true);
 
 	ck_assert_str_eq(wrong, "");
 	g_free(wrong);
@@ -163,12 +163,12 @@
 END_TEST
 
 /* Without the guard resume_under_duty the checker finds that fault. */
-START_TEST(test_ended_pauses_are_noticed)
+START_TEST(test_checker_finds_resumed_replica)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < 40; i++) {
-		char *wrong = history_of_a_deaf_relay(i, false);
+		char *wrong = change_without_store_access(i, false);
 
 		n += *wrong != 0;
 		g_free(wrong);
@@ -182,7 +182,7 @@
  * not request the promotion of another server: that would replace the new
  * primary without a fence.
  */
-START_TEST(test_lost_word_promotes_no_other)
+START_TEST(test_lost_reply_promotes_no_other_server)
 {
 	struct fake *f = start((uint32_t)_i + 30);
 
@@ -190,7 +190,7 @@
 	while (!f->duty_revision)
 		fake_run(f, MS / 2);
 	fake_run(f, 5 * MS);
-	f->lose_words = true;
+	f->lose_promote_replies = true;
 	fake_run(f, 3 * USEC_PER_SEC);
 	ck_assert_uint_eq(f->n_promotions, 1);
 	end(f);
@@ -201,7 +201,7 @@
  * A primary is replaced as planned while its replicas lag by 100 ms. No commit
  * may be lost.
  */
-START_TEST(test_planned_move_loses_nothing)
+START_TEST(test_planned_change_loses_no_commit)
 {
 	struct fake *f = start(3);
 	unsigned i, lost = 0;
@@ -229,7 +229,7 @@
  * through that proxy would miss what was written to the new primary 100 ms
  * earlier.
  */
-START_TEST(test_a_planned_move_waits_for_leases)
+START_TEST(test_planned_change_waits_for_leases)
 {
 	struct fake *f = start((uint32_t)_i + 100);
 	struct hist_session *reader;
@@ -297,7 +297,7 @@
 END_TEST
 
 /* Without the guard fresh_claim the checker finds that fault. */
-START_TEST(test_old_claim_is_noticed)
+START_TEST(test_checker_finds_old_claim)
 {
 	unsigned seed, i;
 	bool caught = false;
@@ -337,7 +337,7 @@
  * still stores the write, but its log is rolled back later, so the write must
  * not be acknowledged.
  */
-START_TEST(test_late_write_is_not_told)
+START_TEST(test_late_write_is_not_acknowledged)
 {
 	struct fake *f = start((uint32_t)_i + 60);
 
@@ -348,7 +348,7 @@
 END_TEST
 
 /* Without the guard confirm_writes the checker finds that fault. */
-START_TEST(test_late_write_is_noticed)
+START_TEST(test_checker_finds_late_write)
 {
 	struct fake *f = start(60);
 	unsigned i;
@@ -384,19 +384,20 @@
 	TCase *tc = tcase_create("change");
 
 	tcase_add_loop_test(tc, test_dead_primary_is_replaced, 0, 2);
-	tcase_add_loop_test(tc, test_a_deaf_proxy_ends_no_pause, 0, 40);
-	tcase_add_test(tc, test_ended_pauses_are_noticed);
-	tcase_add_test(tc, test_short_cut_of_one_relay_changes_nothing);
-	tcase_add_loop_test(tc, test_old_primary_is_not_believed, 0, 5);
+	tcase_add_loop_test(tc, test_proxy_without_store_resumes_no_replica, 0,
+			    40);
+	tcase_add_test(tc, test_checker_finds_resumed_replica);
+	tcase_add_test(tc, test_short_partition_of_one_relay_changes_nothing);
+	tcase_add_loop_test(tc, test_old_primary_is_not_relied_on, 0, 5);
 	tcase_add_loop_test(tc, test_second_change_fences_too, 0, 5);
-	tcase_add_loop_test(tc, test_lost_word_promotes_no_other, 0, 5);
-	tcase_add_test(tc, test_planned_move_loses_nothing);
-	tcase_add_loop_test(tc, test_a_planned_move_waits_for_leases, 0, 12);
+	tcase_add_loop_test(tc, test_lost_reply_promotes_no_other_server, 0, 5);
+	tcase_add_test(tc, test_planned_change_loses_no_commit);
+	tcase_add_loop_test(tc, test_planned_change_waits_for_leases, 0, 12);
 	tcase_add_test(tc, test_unlisted_primary_steps_down);
 	tcase_add_loop_test(tc, test_suspended_relay_uses_no_old_claim, 0, 5);
-	tcase_add_test(tc, test_old_claim_is_noticed);
-	tcase_add_loop_test(tc, test_late_write_is_not_told, 0, 5);
-	tcase_add_test(tc, test_late_write_is_noticed);
+	tcase_add_test(tc, test_checker_finds_old_claim);
+	tcase_add_loop_test(tc, test_late_write_is_not_acknowledged, 0, 5);
+	tcase_add_test(tc, test_checker_finds_late_write);
 	tcase_add_loop_test(tc, test_lone_replica_is_not_promoted, 0, 5);
 	return suite_main("change", tc);
 }
--- a/packages/relay/tests/test_late_news.c
+++ b/packages/relay/tests/test_late_news.c
@@ -16,7 +16,7 @@
 	return f;
 }
 
-static char *promotion_that_takes_effect_late(uint32_t seed)
+static char *late_promotion(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
@@ -33,14 +33,14 @@
 	return story_end(f);
 }
 
-static char *promotions_that_are_given_up(uint32_t seed)
+static char *abandoned_promotions(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
 	f->promote_late_us = fake_random(f, 2000, 3000) * MS;
 	f->promote_us = 1000 * MS;
-	f->lose_words = true;
-	f->void_promotions = seed / 2 % 4;
+	f->lose_promote_replies = true;
+	f->n_promotions_to_drop = seed / 2 % 4;
 	fake_crash(f, 0);
 	story_run_until(f, PHASE_PROMOTE);
 	fake_run(f, fake_random(f, 0, 3000) * MS);
@@ -57,26 +57,27 @@
  * replica, without the store; the other proxies are with the store and the
  * other replica, the only server that is still listed.
  */
-static void part(struct fake *f, unsigned lonely, unsigned replica)
+static void partition_network(struct fake *f, unsigned separated,
+			      unsigned replica)
 {
 	unsigned i, server;
 
-	f->relays[lonely].deaf = true;
-	f->relays[lonely].list_held = true;
+	f->relays[separated].deaf = true;
+	f->relays[separated].list_held = true;
 	for (i = 0; i < STORY_RELAYS; i++)
 		for (server = 0; server < GROUP_SIZE; server++)
 			fake_cut(f, i, server,
-				 (i == lonely) == (server == replica));
+				 (i == separated) == (server == replica));
 	for (server = 0; server < GROUP_SIZE; server++)
 		f->servers[server].listed = server == replica;
 	fake_list(f);
 }
 
-static char *servers_that_are_gone_elsewhere(uint32_t seed)
+static char *servers_lost_beyond_partition(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
-	part(f, seed % STORY_RELAYS, 1 + seed / STORY_RELAYS % 2);
+	partition_network(f, seed % STORY_RELAYS, 1 + seed / STORY_RELAYS % 2);
 	fake_run(f, 14 * USEC_PER_SEC);
 	return story_end(f);
 }
@@ -84,19 +85,19 @@
 static char *new_server_beyond_a_partition(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	unsigned lonely = seed % STORY_RELAYS;
+	unsigned separated = seed % STORY_RELAYS;
 	unsigned replica = 1 + seed / STORY_RELAYS % 2;
 
 	fake_leave(f, replica, 60 * USEC_PER_SEC);
 	fake_run(f, 500 * MS);
-	part(f, lonely, replica);
+	partition_network(f, separated, replica);
 	fake_run(f, fake_random(f, 0, 1000) * MS);
-	fake_cut(f, lonely, fake_join(f, 0), true);
+	fake_cut(f, separated, fake_join(f, 0), true);
 	fake_run(f, 14 * USEC_PER_SEC);
 	return story_end(f);
 }
 
-static void list_alone(struct fake *f, unsigned relay, unsigned server)
+static void send_list_of_one(struct fake *f, unsigned relay, unsigned server)
 {
 	struct fake_server *s = &f->servers[server];
 	struct relay_server_info info = { .id = s->id,
@@ -123,7 +124,7 @@
 	story_run_until(f, PHASE_PROMOTE);
 	for (i = 0; i < last; i++)
 		f->relays[i].list_held = true;
-	list_alone(f, last, fake_return(f, 0));
+	send_list_of_one(f, last, fake_return(f, 0));
 	fake_run(f, 4 * USEC_PER_SEC);
 	return story_end(f);
 }
@@ -147,7 +148,7 @@
 	return g_strdup("nothing is stored within 10 s");
 }
 
-static char *step_down_that_is_forgotten_late(uint32_t seed)
+static char *step_down_forgotten_late(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned i;
@@ -167,9 +168,9 @@
  * The platform accepts a promotion, but its reply is lost. The promotion takes
  * effect after the change was abandoned, when the old primary serves again.
  */
-START_TEST(test_a_promotion_that_takes_effect_late)
+START_TEST(test_late_promotion)
 {
-	story_check_promises(promotion_that_takes_effect_late);
+	story_check_promises(late_promotion);
 }
 END_TEST
 
@@ -178,9 +179,9 @@
  * The proxy abandons the change and resumes the replicas; the old primary is
  * back, they confirm it, and then the last call takes effect.
  */
-START_TEST(test_promotions_that_are_given_up)
+START_TEST(test_abandoned_promotions)
 {
-	story_check_promises(promotions_that_are_given_up);
+	story_check_promises(abandoned_promotions);
 }
 END_TEST
 
@@ -190,9 +191,9 @@
  * the last replica. What the old primary stores from then on is rolled back
  * when the partition ends and must not be acknowledged.
  */
-START_TEST(test_servers_that_are_gone_elsewhere)
+START_TEST(test_servers_lost_beyond_partition)
 {
-	story_check_promises(servers_that_are_gone_elsewhere);
+	story_check_promises(servers_lost_beyond_partition);
 }
 END_TEST
 
@@ -200,17 +201,18 @@
  * The same, but the replica on the other side is about to leave, and a server
  * is promoted that the separated proxy has never seen in a list.
  */
-START_TEST(test_a_new_server_beyond_a_partition)
+START_TEST(test_new_server_beyond_partition)
 {
 	story_check_promises(new_server_beyond_a_partition);
 }
 END_TEST
 
 /* Without the guard check_list_age the checker finds that fault. */
-START_TEST(test_servers_that_are_gone_are_noticed)
+START_TEST(test_checker_finds_servers_lost_beyond_partition)
 {
-	story_check_is_noticed(servers_that_are_gone_elsewhere,
-			       offsetof(struct relay_guards, check_list_age));
+	scenario_check_guard_is_needed(servers_lost_beyond_partition,
+				       offsetof(struct relay_guards,
+						check_list_age));
 }
 END_TEST
 
@@ -219,7 +221,7 @@
  * the old primary, which came back while another is promoted. The entries of
  * the other servers expired in an outage of the store.
  */
-START_TEST(test_a_list_with_the_old_primary_alone)
+START_TEST(test_list_with_old_primary_alone)
 {
 	story_check_promises(list_with_the_old_primary_alone);
 }
@@ -230,7 +232,7 @@
  * one replica. It must not restart the fence again and again: there is no
  * primary meanwhile.
  */
-START_TEST(test_a_replica_that_is_not_reached)
+START_TEST(test_planned_change_with_unreached_replica)
 {
 	story_check_promises(planned_change_with_an_unreached_replica);
 }
@@ -241,9 +243,9 @@
  * forgotten its step-down; the replica that was not paused confirms it to the
  * other proxies.
  */
-START_TEST(test_a_step_down_that_is_forgotten_late)
+START_TEST(test_step_down_forgotten_late)
 {
-	story_check_promises(step_down_that_is_forgotten_late);
+	story_check_promises(step_down_forgotten_late);
 }
 END_TEST
 
@@ -251,13 +253,13 @@
 {
 	TCase *tc = tcase_create("late_news");
 
-	tcase_add_test(tc, test_a_promotion_that_takes_effect_late);
-	tcase_add_test(tc, test_promotions_that_are_given_up);
-	tcase_add_test(tc, test_servers_that_are_gone_elsewhere);
-	tcase_add_test(tc, test_a_new_server_beyond_a_partition);
-	tcase_add_test(tc, test_servers_that_are_gone_are_noticed);
-	tcase_add_test(tc, test_a_list_with_the_old_primary_alone);
-	tcase_add_test(tc, test_a_replica_that_is_not_reached);
-	tcase_add_test(tc, test_a_step_down_that_is_forgotten_late);
+	tcase_add_test(tc, test_late_promotion);
+	tcase_add_test(tc, test_abandoned_promotions);
+	tcase_add_test(tc, test_servers_lost_beyond_partition);
+	tcase_add_test(tc, test_new_server_beyond_partition);
+	tcase_add_test(tc, test_checker_finds_servers_lost_beyond_partition);
+	tcase_add_test(tc, test_list_with_old_primary_alone);
+	tcase_add_test(tc, test_planned_change_with_unreached_replica);
+	tcase_add_test(tc, test_step_down_forgotten_late);
 	return suite_main("late_news", tc);
 }
--- a/packages/relay/tests/test_lease_log.c
+++ b/packages/relay/tests/test_lease_log.c
@@ -73,7 +73,7 @@
 }
 
 /* Why the server's confirmation was last ignored, "" if it never was. */
-static const char *last_why(const char *by)
+static const char *last_reason(const char *by)
 {
 	static char why[16];
 	GPtrArray *lines = fake_log_lines(log_file, "word-left-aside");
@@ -95,7 +95,7 @@
  * confirmation the lease on the new primary rests on, the evidence for it, and
  * how long that replica had been listed.
  */
-START_TEST(test_a_change_names_whose_word_counts)
+START_TEST(test_change_logs_confirming_replica)
 {
 	const struct fake_server *p;
 	GPtrArray *lines;
@@ -133,7 +133,7 @@
  * Checks that no two lines of the event agree in server, term and evidence;
  * returns the number of lines.
  */
-static unsigned check_one_a_server(const char *event)
+static unsigned check_no_duplicate_lines(const char *event)
 {
 	GPtrArray *lines = fake_log_lines(log_file, event);
 	GHashTable *told =
@@ -173,8 +173,8 @@
 		fake_restart(fake, p->index);
 		fake_run(fake, 6 * USEC_PER_SEC);
 	}
-	ck_assert_uint_ge(check_one_a_server("primary-confirmed"), 5);
-	ck_assert_uint_ge(check_one_a_server("word-left-aside"), 4);
+	ck_assert_uint_ge(check_no_duplicate_lines("primary-confirmed"), 5);
+	ck_assert_uint_ge(check_no_duplicate_lines("word-left-aside"), 4);
 	lines = fake_log_lines(log_file, "primary");
 	ck_assert_uint_eq(lines->len, 5);
 	g_ptr_array_unref(lines);
@@ -186,7 +186,7 @@
 END_TEST
 
 /* The log says that a newly listed server's confirmation is ignored. */
-START_TEST(test_a_new_servers_word_is_left_aside)
+START_TEST(test_new_servers_confirmation_is_ignored)
 {
 	unsigned number;
 
@@ -201,7 +201,7 @@
 END_TEST
 
 /* The same for a restarted replica while the other replica is down. */
-START_TEST(test_a_restarted_servers_word_is_left_aside)
+START_TEST(test_restarted_servers_confirmation_is_ignored)
 {
 	unsigned n;
 
@@ -210,7 +210,7 @@
 	fake_crash(fake, 2);
 	fake_reborn(fake, 1, true);
 	fake_run(fake, 3 * USEC_PER_SEC);
-	ck_assert_str_eq(last_why("s1"), "restarted");
+	ck_assert_str_eq(last_reason("s1"), "restarted");
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n + 1);
 	end();
 }
@@ -220,7 +220,7 @@
  * The store is unreachable and a replica is down: with an outdated list the
  * other replica's confirmation alone is ignored.
  */
-START_TEST(test_a_word_is_left_aside_by_an_old_list)
+START_TEST(test_confirmation_with_outdated_list_is_ignored)
 {
 	unsigned n;
 
@@ -231,7 +231,7 @@
 	fake_run(fake, 3500 * MS);
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n);
 	fake_run(fake, 2 * USEC_PER_SEC);
-	ck_assert_str_eq(last_why("s1"), "old-list");
+	ck_assert_str_eq(last_reason("s1"), "old-list");
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n + 1);
 	end();
 }
@@ -241,10 +241,10 @@
 {
 	TCase *tc = tcase_create("lease_log");
 
-	tcase_add_test(tc, test_a_change_names_whose_word_counts);
+	tcase_add_test(tc, test_change_logs_confirming_replica);
 	tcase_add_test(tc, test_lines_of_a_change_are_bounded);
-	tcase_add_test(tc, test_a_new_servers_word_is_left_aside);
-	tcase_add_test(tc, test_a_restarted_servers_word_is_left_aside);
-	tcase_add_test(tc, test_a_word_is_left_aside_by_an_old_list);
+	tcase_add_test(tc, test_new_servers_confirmation_is_ignored);
+	tcase_add_test(tc, test_restarted_servers_confirmation_is_ignored);
+	tcase_add_test(tc, test_confirmation_with_outdated_list_is_ignored);
 	return suite_main("lease_log", tc);
 }
--- a/packages/relay/tests/test_member_days.c
+++ b/packages/relay/tests/test_member_days.c
@@ -14,17 +14,19 @@
 #define GROUPS 2
 #define SESSIONS 6
 #define EPISODES 5
-#define AROUND_MS 1500 /* before and after the fault members change */
+#define MEMBER_CHANGE_SPAN_MS \
+	1500 /* before and after the fault members change */
 #define MAX_MEMBERS 5 /* running servers of a group */
-#define REST_US (10 * USEC_PER_SEC) /* after the last episode */
-#define SERVICE_LIMIT_US (15 * USEC_PER_SEC) /* for writes to succeed again */
+#define RECOVERY_US (10 * USEC_PER_SEC) /* after the last episode */
+#define WRITES_TIMEOUT_US (15 * USEC_PER_SEC) /* for writes to succeed again \
+					       */
 
 static void next_event(struct fake *f, void *data);
 
 static struct hist_session *callers[SESSIONS];
 
 /* Opens a session for each caller that has none. */
-static void come(struct fake *f)
+static void open_sessions(struct fake *f)
 {
 	unsigned i;
 
@@ -48,7 +50,7 @@
 		return;
 	if (fake_chance(f, 0.01)) {
 		hist_close(f, s);
-		come(f);
+		open_sessions(f);
 	} else if (s->state == 'E') {
 		hist_start(f, s, RELAY_ROLLBACK, "", "");
 	} else if (s->state != 'I' && !s->left) {
@@ -63,27 +65,28 @@
 	}
 }
 
-static bool is_away(const struct fake *f, unsigned server)
+static bool may_restart(const struct fake *f, unsigned server)
 {
 	return f->servers[server].down && !f->servers[server].replaced;
 }
 
 static void return_event(struct fake *f, void *data)
 {
-	if (is_away(f, GPOINTER_TO_UINT(data)) && f->n_servers < MAX_SERVERS)
+	if (may_restart(f, GPOINTER_TO_UINT(data)) &&
+	    f->n_servers < MAX_SERVERS)
 		fake_return(f, GPOINTER_TO_UINT(data));
 }
 
-static void reborn_event(struct fake *f, void *data)
+static void restart_event(struct fake *f, void *data)
 {
-	if (is_away(f, GPOINTER_TO_UINT(data)))
+	if (may_restart(f, GPOINTER_TO_UINT(data)))
 		fake_reborn(f, GPOINTER_TO_UINT(data), true);
 }
 
 /* The server returns soon, with a new id or its own, or when faults end. */
 static void crash(struct fake *f, unsigned server)
 {
-	fake_fn back = fake_chance(f, 0.6) ? return_event : reborn_event;
+	fake_fn back = fake_chance(f, 0.6) ? return_event : restart_event;
 
 	fake_crash(f, server);
 	if (fake_chance(f, 0.8))
@@ -91,23 +94,23 @@
 			GUINT_TO_POINTER(server), NULL);
 }
 
-static void hear_event(struct fake *f, void *data)
+static void reconnect_event(struct fake *f, void *data)
 {
 	f->relays[GPOINTER_TO_UINT(data)].list_held = false;
 	fake_store(f, GPOINTER_TO_UINT(data), true);
 }
 
-static void cut_off(struct fake *f, unsigned relay)
+static void cut_off_from_store(struct fake *f, unsigned relay)
 {
 	fake_store(f, relay, false);
 	f->relays[relay].list_held = true;
 	if (fake_chance(f, 0.5))
-		fake_at(f, -1, fake_random(f, 200, 3000) * MS, hear_event,
+		fake_at(f, -1, fake_random(f, 200, 3000) * MS, reconnect_event,
 			GUINT_TO_POINTER(relay), NULL);
 }
 
 /* Injects a random fault of the platform or of a relay. */
-static void platform_trouble(struct fake *f, unsigned relay)
+static void inject_fault(struct fake *f, unsigned relay)
 {
 	switch (fake_random(f, 0, 8)) {
 	case 0:
@@ -117,11 +120,11 @@
 		f->promote_late_us = fake_random(f, 200, 2500) * MS;
 		break;
 	case 2:
-		f->lose_words = true;
-		f->void_promotions = (unsigned)fake_random(f, 0, 3);
+		f->lose_promote_replies = true;
+		f->n_promotions_to_drop = (unsigned)fake_random(f, 0, 3);
 		break;
 	case 3:
-		cut_off(f, relay);
+		cut_off_from_store(f, relay);
 		break;
 	case 4:
 		f->relays[relay].list_held = true;
@@ -138,7 +141,7 @@
 static void member_event(struct fake *f, void *data)
 {
 	unsigned group = GPOINTER_TO_UINT(data), all[MAX_SERVERS];
-	unsigned n = fake_members(f, group, all);
+	unsigned n = fake_running_servers(f, group, all);
 	unsigned server = n ? all[fake_random(f, 0, n)] : 0;
 	unsigned relay = (unsigned)fake_random(f, 0, RELAYS);
 
@@ -150,12 +153,12 @@
 			fake_join(f, group);
 		break;
 	case 2:
-		if (fake_may_go(f, server))
+		if (fake_may_stop(f, server))
 			fake_leave(f, server, fake_random(f, 1000, 7000) * MS);
 		break;
 	case 3:
 	case 4:
-		if (fake_may_go(f, server))
+		if (fake_may_stop(f, server))
 			crash(f, server);
 		break;
 	case 5:
@@ -169,18 +172,18 @@
 		fake_cut(f, relay, server, true);
 		break;
 	default:
-		platform_trouble(f, relay);
+		inject_fault(f, relay);
 		break;
 	}
 }
 
 /* Ends the primary, or makes it unreachable for some proxies or all. */
-static void end_event(struct fake *f, void *data)
+static void end_primary_event(struct fake *f, void *data)
 {
 	struct fake_server *p = fake_primary(f, GPOINTER_TO_UINT(data));
 	unsigned n_cut = (unsigned)fake_random(f, 0, 2 * RELAYS);
 
-	if (!p || !fake_may_go(f, p->index))
+	if (!p || !fake_may_stop(f, p->index))
 		return;
 	if (n_cut > RELAYS)
 		crash(f, p->index);
@@ -199,12 +202,14 @@
 	unsigned group = (unsigned)fake_random(f, 0, GROUPS);
 	unsigned i, n = (unsigned)fake_random(f, 2, 7);
 
-	fake_at(f, -1, AROUND_MS * MS, end_event, GUINT_TO_POINTER(group),
-		NULL);
+	fake_at(f, -1, MEMBER_CHANGE_SPAN_MS * MS, end_primary_event,
+		GUINT_TO_POINTER(group), NULL);
 	for (i = 0; i < n; i++)
-		fake_at(f, -1, fake_random(f, 0, 2 * AROUND_MS + 1) * MS,
+		fake_at(f, -1,
+			fake_random(f, 0, 2 * MEMBER_CHANGE_SPAN_MS + 1) * MS,
 			member_event, GUINT_TO_POINTER(group), NULL);
-	fake_run(f, 2 * AROUND_MS * MS + fake_random(f, 500, 4500) * MS);
+	fake_run(f, 2 * MEMBER_CHANGE_SPAN_MS * MS +
+			    fake_random(f, 500, 4500) * MS);
 }
 
 static void heal(struct fake *f)
@@ -212,14 +217,14 @@
 	unsigned i, all[MAX_SERVERS];
 
 	fake_heal(f);
-	f->void_promotions = 0;
+	f->n_promotions_to_drop = 0;
 	for (i = 0; i < RELAYS; i++) {
 		f->relays[i].list_lag_us = 0;
 		f->relays[i].list_held = false;
 		fake_store(f, i, true);
 	}
 	for (i = 0; i < GROUPS; i++)
-		if (fake_members(f, i, all) < GROUP_SIZE &&
+		if (fake_running_servers(f, i, all) < GROUP_SIZE &&
 		    fake_primary(f, i) && f->n_servers < MAX_SERVERS)
 			fake_join(f, i);
 	fake_list(f);
@@ -233,7 +238,7 @@
 	memset(callers, 0, sizeof(callers));
 	f->promote_us = fake_random(f, 400, 1001) * MS;
 	for (i = 0; i < EPISODES; i++) {
-		come(f);
+		open_sessions(f);
 		f->busy = 0.01;
 		fake_run(f, fake_random(f, 500, 1500) * MS);
 		episode(f);
@@ -241,10 +246,10 @@
 		/* The next faults may begin before recovery is complete. */
 		fake_run(f, fake_random(f, 0, 4000) * MS);
 	}
-	fake_run(f, REST_US);
+	fake_run(f, RECOVERY_US);
 }
 
-static unsigned number_of(const char *name, unsigned none)
+static unsigned env_number(const char *name, unsigned none)
 {
 	const char *value = g_getenv(name);
 
@@ -257,23 +262,23 @@
  * meanwhile. Whatever the order of events, no guarantee to callers may be
  * broken, and writes succeed again afterwards.
  */
-START_TEST(test_days_of_members_keep_their_promises)
+START_TEST(test_member_changes_keep_guarantees)
 {
-	unsigned first = number_of("CQ_FIRST_SEED", 1);
-	unsigned n = number_of("CQ_SEEDS", SEEDS);
+	unsigned first = env_number("CQ_FIRST_SEED", 1);
+	unsigned n = env_number("CQ_SEEDS", SEEDS);
 	unsigned seed, promotions = 0, acked = 0, bad = 0;
 
 	for (seed = first; seed < first + n; seed++) {
 		struct fake *f = fake_create(seed, RELAYS, GROUPS);
-		bool is_served;
+		bool is_writable;
 
 		fake_run(f, 6 * USEC_PER_SEC);
 		day(f);
-		is_served = hist_serves(f, SERVICE_LIMIT_US);
-		if (*hist_check(f) || !is_served) {
+		is_writable = hist_accepts_writes(f, WRITES_TIMEOUT_US);
+		if (*hist_check(f) || !is_writable) {
 			bad++;
 			g_printerr("seed %u: %s%s\n", seed, hist_check(f),
-				   is_served ? "" : "not writable again");
+				   is_writable ? "" : "not writable again");
 		}
 		promotions += f->n_promotions;
 		acked += hist_acknowledged(f);
@@ -289,6 +294,6 @@
 {
 	TCase *tc = tcase_create("member-days");
 
-	tcase_add_test(tc, test_days_of_members_keep_their_promises);
+	tcase_add_test(tc, test_member_changes_keep_guarantees);
 	return suite_main("member-days", tc);
 }
--- a/packages/relay/tests/test_member_stories.c
+++ b/packages/relay/tests/test_member_stories.c
@@ -33,11 +33,11 @@
  * The other replica is leaving, or has left, or restarts as well, and the proxy
  * that makes the change can't reach it to pause it again.
  */
-static char *target_starts_anew(uint32_t seed)
+static char *target_restarts(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned target;
-	int changer;
+	int coordinator;
 
 	if (seed % 3 == 0)
 		fake_leave(f, 2, 9 * USEC_PER_SEC);
@@ -46,11 +46,11 @@
 	fake_run(f, 8 * USEC_PER_SEC);
 	f->promote_us = 1000 * MS;
 	fake_crash(f, 0);
-	changer = story_run_until(f, PHASE_SETTLE);
-	target = changer < 0 ? 1 : target_of(f, changer);
+	coordinator = story_run_until(f, PHASE_SETTLE);
+	target = coordinator < 0 ? 1 : target_of(f, coordinator);
 	fake_run(f, fake_random(f, 0, 300) * MS);
 	if (seed % 3 == 2) {
-		fake_cut(f, (unsigned)MAX(changer, 0), 3 - target, true);
+		fake_cut(f, (unsigned)MAX(coordinator, 0), 3 - target, true);
 		fake_reborn(f, 3 - target, true);
 	}
 	fake_reborn(f, target, true);
@@ -68,14 +68,14 @@
 static char *change_that_outlives_its_claim(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	int changer;
+	int coordinator;
 
 	f->promote_late_us = fake_random(f, 1000, 2500) * MS;
 	f->promote_us = 400 * MS;
 	fake_leave(f, 0, 5500 * MS);
-	changer = story_run_until(f, PHASE_CATCH_UP);
-	if (changer >= 0)
-		fake_cut(f, (unsigned)changer, 1, true);
+	coordinator = story_run_until(f, PHASE_CATCH_UP);
+	if (coordinator >= 0)
+		fake_cut(f, (unsigned)coordinator, 1, true);
 	fake_crash(f, 2);
 	fake_run(f, fake_random(f, 1700, 2000) * MS);
 	fake_reborn(f, 2, true);
@@ -86,20 +86,21 @@
 }
 
 /* A proxy restarts in some phase of its own change or of another proxy's. */
-static char *proxy_starts_anew(uint32_t seed)
+static char *proxy_restarts(uint32_t seed)
 {
 	static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD,
 					      PHASE_PROMOTE, PHASE_SETTLE };
 	struct fake *f = start(seed);
-	int changer;
+	int coordinator;
 
 	fake_crash(f, 0);
-	changer = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
+	coordinator = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
 	fake_run(f, fake_random(f, 0, 100) * MS);
-	if (changer >= 0 && seed / 4 % 2)
-		fake_restart_relay(f, (unsigned)changer);
+	if (coordinator >= 0 && seed / 4 % 2)
+		fake_restart_relay(f, (unsigned)coordinator);
 	else
-		fake_restart_relay(f, ((unsigned)changer + 1) % STORY_RELAYS);
+		fake_restart_relay(f,
+				   ((unsigned)coordinator + 1) % STORY_RELAYS);
 	story_callers_come(f);
 	fake_run(f, fake_random(f, 0, 100) * MS);
 	if (seed / 8 % 2)
@@ -116,9 +117,9 @@
  * replica, the only one to ask, confirms it. A write acknowledged there would
  * be lost with the promotion.
  */
-START_TEST(test_a_target_that_starts_anew)
+START_TEST(test_target_restarts)
 {
-	story_check_promises(target_starts_anew);
+	story_check_promises(target_restarts);
 }
 END_TEST
 
@@ -128,7 +129,7 @@
  * claims it back at once for its second fence, and both call the platform: the
  * older token must not be sent after the newer one.
  */
-START_TEST(test_a_change_that_outlives_its_claim)
+START_TEST(test_change_outlives_its_claim)
 {
 	story_check_promises(change_that_outlives_its_claim);
 }
@@ -139,9 +140,9 @@
  * are new to it. The old primary returns under a new id, and the restarted
  * proxy must not rely on it either.
  */
-START_TEST(test_a_proxy_that_starts_anew)
+START_TEST(test_proxy_restarts)
 {
-	story_check_promises(proxy_starts_anew);
+	story_check_promises(proxy_restarts);
 }
 END_TEST
 
@@ -149,8 +150,8 @@
 {
 	TCase *tc = tcase_create("member-stories");
 
-	tcase_add_test(tc, test_a_target_that_starts_anew);
-	tcase_add_test(tc, test_a_change_that_outlives_its_claim);
-	tcase_add_test(tc, test_a_proxy_that_starts_anew);
+	tcase_add_test(tc, test_target_restarts);
+	tcase_add_test(tc, test_change_outlives_its_claim);
+	tcase_add_test(tc, test_proxy_restarts);
 	return suite_main("member-stories", tc);
 }
--- a/packages/relay/tests/test_newcomers.c
+++ b/packages/relay/tests/test_newcomers.c
@@ -21,7 +21,7 @@
 	struct fake *f = start(seed);
 
 	fake_crash(f, 0);
-	story_run_into_a_phase(f, seed);
+	scenario_run_into_phase(f, seed);
 	fake_join(f, 0);
 	fake_run(f, fake_random(f, 20, 400) * MS);
 	fake_return(f, 0);
@@ -29,15 +29,15 @@
 	return story_end(f);
 }
 
-static char *new_server_that_the_changer_sees_late(uint32_t seed)
+static char *new_server_that_coordinator_learns_late(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	int changer;
+	int coordinator;
 
 	fake_crash(f, 0);
-	changer = story_run_until(f, PHASE_FENCE);
-	if (changer >= 0)
-		f->relays[changer].list_lag_us = 2 * USEC_PER_SEC;
+	coordinator = story_run_until(f, PHASE_FENCE);
+	if (coordinator >= 0)
+		f->relays[coordinator].list_lag_us = 2 * USEC_PER_SEC;
 	if (seed % 2)
 		story_run_until(f, PHASE_HOLD);
 	fake_run(f, fake_random(f, 0, 10) * MS);
@@ -48,15 +48,15 @@
 	return story_end(f);
 }
 
-static char *new_server_after_the_platform_was_told(uint32_t seed)
+static char *new_server_after_promotion_call(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	int changer;
+	int coordinator;
 
 	fake_crash(f, 0);
-	changer = story_run_until(f, PHASE_PROMOTE);
-	if (changer >= 0)
-		f->relays[changer].list_lag_us = 2 * USEC_PER_SEC;
+	coordinator = story_run_until(f, PHASE_PROMOTE);
+	if (coordinator >= 0)
+		f->relays[coordinator].list_lag_us = 2 * USEC_PER_SEC;
 	fake_join(f, 0);
 	fake_run(f, fake_random(f, 20, 200) * MS);
 	fake_return(f, 0);
@@ -82,13 +82,13 @@
 	return story_end(f);
 }
 
-static char *paused_replica_comes_back_as_another(uint32_t seed)
+static char *paused_replica_returns_with_new_id(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned replica = 1 + seed / 4 % 2;
 
 	fake_crash(f, 0);
-	story_run_into_a_phase(f, seed);
+	scenario_run_into_phase(f, seed);
 	fake_crash(f, replica);
 	fake_run(f, fake_random(f, 20, 300) * MS);
 	fake_return(f, replica);
@@ -98,7 +98,7 @@
 	return story_end(f);
 }
 
-static char *planned_change_of_all_servers(uint32_t seed)
+static char *planned_replacement_of_all_servers(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned i;
@@ -109,7 +109,7 @@
 		fake_leave(f, i, 7 * USEC_PER_SEC);
 		fake_run(f, fake_random(f, 0, 500) * MS);
 	}
-	story_run_into_a_phase(f, seed);
+	scenario_run_into_phase(f, seed);
 	fake_crash(f, fake_random(f, 0, GROUP_SIZE));
 	fake_run(f, 9 * USEC_PER_SEC);
 	return story_end(f);
@@ -124,24 +124,25 @@
  * the log as primary-confirmed by the new server 50 ms after it was listed; no
  * such line is logged without the fault.
  */
-START_TEST(test_a_server_that_is_listed_in_a_change)
+START_TEST(test_server_listed_in_change)
 {
 	story_check_promises(new_server_in_a_change);
 }
 END_TEST
 
 /* The same after the promotion call, when the change can't be abandoned. */
-START_TEST(test_a_server_that_is_listed_at_last)
+START_TEST(test_server_listed_after_promotion_call)
 {
-	story_check_promises(new_server_after_the_platform_was_told);
+	story_check_promises(new_server_after_promotion_call);
 }
 END_TEST
 
 /* Without the guard doubt_newcomers the checker finds that fault. */
-START_TEST(test_what_new_servers_say_is_noticed)
+START_TEST(test_checker_finds_new_servers_confirmation)
 {
-	story_check_is_noticed(new_server_after_the_platform_was_told,
-			       offsetof(struct relay_guards, doubt_newcomers));
+	scenario_check_guard_is_needed(new_server_after_promotion_call,
+				       offsetof(struct relay_guards,
+						doubt_newcomers));
 }
 END_TEST
 
@@ -149,9 +150,9 @@
  * The same, but the proxy that replaces the primary is the last to learn of the
  * new server, after its promotion call.
  */
-START_TEST(test_a_server_that_the_changer_sees_late)
+START_TEST(test_server_that_coordinator_learns_late)
 {
-	story_check_promises(new_server_that_the_changer_sees_late);
+	story_check_promises(new_server_that_coordinator_learns_late);
 }
 END_TEST
 
@@ -160,18 +161,18 @@
  * primary crashes. The third proxy doesn't know the new server when it pauses
  * the others and has one promoted.
  */
-START_TEST(test_a_server_that_the_changer_never_paused)
+START_TEST(test_server_never_paused)
 {
 	story_check_promises(new_server_just_before_the_pauses);
 }
 END_TEST
 
 /* Without the guard claim_after_fence the checker finds that fault. */
-START_TEST(test_a_server_that_was_not_paused_is_noticed)
+START_TEST(test_checker_finds_server_never_paused)
 {
-	story_check_is_noticed(new_server_just_before_the_pauses,
-			       offsetof(struct relay_guards,
-					claim_after_fence));
+	scenario_check_guard_is_needed(new_server_just_before_the_pauses,
+				       offsetof(struct relay_guards,
+						claim_after_fence));
 }
 END_TEST
 
@@ -179,16 +180,16 @@
  * A paused replica crashes and returns with its log under a new id, without its
  * pause; then the old primary does so, too, and the replica confirms it.
  */
-START_TEST(test_a_pause_that_is_gone_with_its_id)
+START_TEST(test_pause_lost_with_server_id)
 {
-	story_check_promises(paused_replica_comes_back_as_another);
+	story_check_promises(paused_replica_returns_with_new_id);
 }
 END_TEST
 
 /* All servers are replaced as planned, and one more crashes. */
-START_TEST(test_a_release_in_a_change)
+START_TEST(test_planned_replacement_of_all_servers)
 {
-	story_check_promises(planned_change_of_all_servers);
+	story_check_promises(planned_replacement_of_all_servers);
 }
 END_TEST
 
@@ -196,13 +197,13 @@
 {
 	TCase *tc = tcase_create("newcomers");
 
-	tcase_add_test(tc, test_a_server_that_is_listed_in_a_change);
-	tcase_add_test(tc, test_a_server_that_is_listed_at_last);
-	tcase_add_test(tc, test_what_new_servers_say_is_noticed);
-	tcase_add_test(tc, test_a_server_that_the_changer_sees_late);
-	tcase_add_test(tc, test_a_server_that_the_changer_never_paused);
-	tcase_add_test(tc, test_a_server_that_was_not_paused_is_noticed);
-	tcase_add_test(tc, test_a_pause_that_is_gone_with_its_id);
-	tcase_add_test(tc, test_a_release_in_a_change);
+	tcase_add_test(tc, test_server_listed_in_change);
+	tcase_add_test(tc, test_server_listed_after_promotion_call);
+	tcase_add_test(tc, test_checker_finds_new_servers_confirmation);
+	tcase_add_test(tc, test_server_that_coordinator_learns_late);
+	tcase_add_test(tc, test_server_never_paused);
+	tcase_add_test(tc, test_checker_finds_server_never_paused);
+	tcase_add_test(tc, test_pause_lost_with_server_id);
+	tcase_add_test(tc, test_planned_replacement_of_all_servers);
 	return suite_main("newcomers", tc);
 }
--- a/packages/relay/tests/test_reborn.c
+++ b/packages/relay/tests/test_reborn.c
@@ -96,7 +96,7 @@
  * replica restarts meanwhile. The third proxy learns of the restart from the
  * list, or only from connections that break.
  */
-static char *replica_in_a_change(uint32_t seed, bool guard)
+static char *replica_restarts_in_change(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed, guard);
 
@@ -112,7 +112,7 @@
 }
 
 /* The primary steps down as planned, and restarts before the promotion. */
-static char *primary_in_a_planned_change(uint32_t seed, bool guard)
+static char *primary_restarts_in_planned_change(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed, guard);
 
@@ -129,7 +129,7 @@
 }
 
 /* A primary restarts at once with an empty log. */
-static char *primary_without_its_log(uint32_t seed, bool guard)
+static char *primary_restarts_without_log(uint32_t seed, bool guard)
 {
 	struct fake *f = start(seed, guard);
 
@@ -140,27 +140,27 @@
 	return end(f);
 }
 
-typedef char *(*story_fn)(uint32_t seed, bool guard);
+typedef char *(*scenario_fn)(uint32_t seed, bool guard);
 
-static void check_promises(story_fn story)
+static void check_guarantees(scenario_fn scenario)
 {
 	uint32_t seed;
 
 	for (seed = 0; seed < SEEDS; seed++) {
-		char *wrong = story(seed, true);
+		char *wrong = scenario(seed, true);
 
 		ck_assert_msg(!*wrong, "seed %u: %s", seed, wrong);
 		g_free(wrong);
 	}
 }
 
-static void check_is_noticed(story_fn story)
+static void check_guards_are_needed(scenario_fn scenario)
 {
 	unsigned n = 0;
 	uint32_t seed;
 
 	for (seed = 0; seed < SEEDS; seed++) {
-		char *wrong = story(seed, false);
+		char *wrong = scenario(seed, false);
 
 		n += *wrong != 0;
 		g_free(wrong);
@@ -174,16 +174,16 @@
  * went on confirming the old primary, writes acknowledged there would be lost
  * with the promotion.
  */
-START_TEST(test_a_pause_that_is_forgotten)
+START_TEST(test_replica_forgets_pause)
 {
-	check_promises(replica_in_a_change);
+	check_guarantees(replica_restarts_in_change);
 }
 END_TEST
 
 /* Without the guards the checker finds that fault. */
-START_TEST(test_a_forgotten_pause_is_noticed)
+START_TEST(test_checker_finds_forgotten_pause)
 {
-	check_is_noticed(replica_in_a_change);
+	check_guards_are_needed(replica_restarts_in_change);
 }
 END_TEST
 
@@ -192,16 +192,16 @@
  * promotion takes effect. It is primary again, its replicas confirm it, and
  * what it stores until the promotion would be lost.
  */
-START_TEST(test_a_step_down_that_is_forgotten)
+START_TEST(test_primary_forgets_step_down)
 {
-	check_promises(primary_in_a_planned_change);
+	check_guarantees(primary_restarts_in_planned_change);
 }
 END_TEST
 
 /* Without the guards the checker finds that fault. */
-START_TEST(test_a_forgotten_step_down_is_noticed)
+START_TEST(test_checker_finds_forgotten_step_down)
 {
-	check_is_noticed(primary_in_a_planned_change);
+	check_guards_are_needed(primary_restarts_in_planned_change);
 }
 END_TEST
 
@@ -209,16 +209,16 @@
  * A primary restarts without its log and is primary of the same term with an
  * empty one. Reads must not miss acknowledged writes, which both replicas have.
  */
-START_TEST(test_an_empty_log_is_not_fresh)
+START_TEST(test_primary_loses_log)
 {
-	check_promises(primary_without_its_log);
+	check_guarantees(primary_restarts_without_log);
 }
 END_TEST
 
 /* Without the guards the checker finds that fault. */
-START_TEST(test_an_empty_log_is_noticed)
+START_TEST(test_checker_finds_lost_log)
 {
-	check_is_noticed(primary_without_its_log);
+	check_guards_are_needed(primary_restarts_without_log);
 }
 END_TEST
 
@@ -226,11 +226,11 @@
 {
 	TCase *tc = tcase_create("reborn");
 
-	tcase_add_test(tc, test_a_pause_that_is_forgotten);
-	tcase_add_test(tc, test_a_forgotten_pause_is_noticed);
-	tcase_add_test(tc, test_a_step_down_that_is_forgotten);
-	tcase_add_test(tc, test_a_forgotten_step_down_is_noticed);
-	tcase_add_test(tc, test_an_empty_log_is_not_fresh);
-	tcase_add_test(tc, test_an_empty_log_is_noticed);
+	tcase_add_test(tc, test_replica_forgets_pause);
+	tcase_add_test(tc, test_checker_finds_forgotten_pause);
+	tcase_add_test(tc, test_primary_forgets_step_down);
+	tcase_add_test(tc, test_checker_finds_forgotten_step_down);
+	tcase_add_test(tc, test_primary_loses_log);
+	tcase_add_test(tc, test_checker_finds_lost_log);
 	return suite_main("reborn", tc);
 }
