--- a/packages/relay/tests/support_group.h
+++ b/packages/relay/tests/support_group.h
@@ -50,8 +50,7 @@
 	bool leaving; /* shuts down soon, as planned */
 	bool listed; /* in the list of servers */
 	bool replaced; /* ended for good; a new id may have its log */
-	bool was_primary; /* was primary of its term; a restart forgets a
-			     step-down */
+	bool was_primary; /* of its term; kept after a step-down */
 	uint64_t born_ms; /* start time of its process, as listed */
 	enum server_role role;
 	uint64_t term;
--- a/packages/relay/tests/support_history.c
+++ b/packages/relay/tests/support_history.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define CHECKED_COMMITS_MAX \
-	300 /* newest commits that a read is checked against */
+/* Number of newest acknowledged commits that a read is checked against. */
+#define CHECKED_COMMITS_MAX 300
 #define ANSWER_TIMEOUT_US (10 * USEC_PER_SEC)
 #define REPORT_MAX 2000 /* bytes; later violations are not reported */
 
@@ -19,8 +19,7 @@
 	unsigned session;
 	unsigned n_commits; /* how often it was stored */
 	unsigned commit; /* the newest of these */
-	bool told_not_stored; /* refused: its caller was told that it isn't
-				 stored */
+	bool told_not_stored; /* its caller was refused */
 	bool acked; /* its caller was told that it succeeded */
 	uint64_t acked_at_us;
 	unsigned conn; /* serial of the connection that ran `first`, 0: none */
--- a/packages/relay/tests/support_platform.c
+++ b/packages/relay/tests/support_platform.c
@@ -7,13 +7,13 @@
 
 #include <string.h>
 
-#define REPLICATION_INTERVAL_US (4 * MS) /* replication interval */
+#define REPLICATION_INTERVAL_US (4 * MS) /* between fetches of a replica */
 /* How long an old primary reaches the new one before it follows. */
 #define FOLLOW_DELAY_US USEC_PER_SEC
 #define UNLIST_DELAY_US (3 * USEC_PER_SEC) /* from a crash to its unlisting */
-#define CLAIM_TIMEOUT_US (400 * MS) /* time-out of a claim */
+#define CLAIM_TIMEOUT_US (400 * MS)
 #define DROP_US (3 * USEC_PER_SEC)
-#define QUICK_RESTART_US (20 * MS) /* duration of a quick restart */
+#define QUICK_RESTART_US (20 * MS) /* downtime of a quick restart */
 
 /* A relay's call to the store or the platform, or a reply to it. */
 struct call {
@@ -383,39 +383,40 @@
 
 static void list_event(struct fake *f, void *data)
 {
-	const struct list_message *news = data;
-	struct fake_relay *r = news->relay;
+	const struct list_message *message = data;
+	struct fake_relay *r = message->relay;
 
-	if (news->life != r->life)
+	if (message->life != r->life)
 		return;
 	r->n_lists_in_flight--;
-	if (news->revision < r->list_revision) {
-		send_revision(r, news->revision);
+	if (message->revision < r->list_revision) {
+		send_revision(r, message->revision);
 		return;
 	}
 	r->list_dropped = r->list_held;
 	if (!r->list_held) {
-		r->list_revision = news->revision;
-		relay_on_servers(r->relay, news->infos, news->n, f->now_us);
+		r->list_revision = message->revision;
+		relay_on_servers(r->relay, message->infos, message->n,
+				 f->now_us);
 	}
 	send_peers(f, r);
-	send_revision(r, news->revision);
+	send_revision(r, message->revision);
 }
 
 static void send_list(struct fake *f, struct fake_relay *r)
 {
-	struct list_message *news = g_new0(struct list_message, 1);
+	struct list_message *message = g_new0(struct list_message, 1);
 	unsigned i;
 
-	news->relay = r;
-	news->life = r->life;
-	news->revision = f->revision;
+	message->relay = r;
+	message->life = r->life;
+	message->revision = f->revision;
 	for (i = 0; i < f->n_servers; i++) {
 		struct fake_server *s = &f->servers[i];
 
 		if (!s->listed)
 			continue;
-		news->infos[news->n++] = (struct relay_server_info){
+		message->infos[message->n++] = (struct relay_server_info){
 			.id = s->id,
 			.service = s->service,
 			.host = "10.0.0.1",
@@ -428,7 +429,7 @@
 		};
 	}
 	r->n_lists_in_flight++;
-	fake_at(f, (int)r->index, 5 * MS + r->list_lag_us, list_event, news,
+	fake_at(f, (int)r->index, 5 * MS + r->list_lag_us, list_event, message,
 		g_free);
 }
 
--- a/packages/relay/tests/test_member_days.c
+++ b/packages/relay/tests/test_member_days.c
@@ -14,12 +14,12 @@
 #define GROUPS 2
 #define SESSIONS 6
 #define EPISODES 5
-#define MEMBER_CHANGE_SPAN_MS \
-	1500 /* before and after the fault members change */
+/* Members change within this time before and after the primary's fault. */
+#define MEMBER_CHANGE_SPAN_MS 1500
 #define MAX_MEMBERS 5 /* running servers of a group */
 #define RECOVERY_US (10 * USEC_PER_SEC) /* after the last episode */
-#define WRITES_TIMEOUT_US (15 * USEC_PER_SEC) /* for writes to succeed again \
-					       */
+/* How long until writes succeed again, at most. */
+#define WRITES_TIMEOUT_US (15 * USEC_PER_SEC)
 
 static void next_event(struct fake *f, void *data);
 
