--- a/packages/relay/tests/test_lease_log.c
+++ b/packages/relay/tests/test_lease_log.c
@@ -136,7 +136,7 @@
 static unsigned check_no_duplicate_lines(const char *event)
 {
 	GPtrArray *lines = fake_log_lines(log_file, event);
-	GHashTable *told =
+	GHashTable *seen_keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	unsigned i, n = lines->len;
 
@@ -148,11 +148,11 @@
 			json_object_get_string_member_with_default(
 				line, "evidence", "word"));
 
-		ck_assert_msg(!g_hash_table_contains(told, key), "%s: %s twice",
-			      event, key);
-		g_hash_table_add(told, key);
+		ck_assert_msg(!g_hash_table_contains(seen_keys, key),
+			      "%s: %s twice", event, key);
+		g_hash_table_add(seen_keys, key);
 	}
-	g_hash_table_destroy(told);
+	g_hash_table_destroy(seen_keys);
 	g_ptr_array_unref(lines);
 	return n;
 }
