--- a/packages/relay/tests/support_platform.c
+++ b/packages/relay/tests/support_platform.c
@@ -1,35 +1,37 @@
 /*
- * The platform's part of the fake: replication, promotions, the duty record,
- * the list of servers, and the faults.
+ * The platform side of the fake: replication, promotions, the duty record, the
+ * lists of servers and relays, and fault injection.
  */
 #include "support_group.h"
 #include "support_history.h"
 
 #include <string.h>
 
-#define STREAM_US (4 * MS) /* between two looks of a replica at its primary */
-#define FOLLOW_US USEC_PER_SEC
-#define UNLIST_US (3 * USEC_PER_SEC)
-#define CALL_LIMIT_US (400 * MS)
+#define REPLICATION_INTERVAL_US (4 * MS) /* between fetches of a replica */
+/* How long an old primary reaches the new one before it follows. */
+#define FOLLOW_DELAY_US USEC_PER_SEC
+#define UNLIST_DELAY_US (3 * USEC_PER_SEC) /* from a crash to its unlisting */
+#define CLAIM_TIMEOUT_US (400 * MS)
 #define DROP_US (3 * USEC_PER_SEC)
-#define REBORN_US (20 * MS)
+#define QUICK_RESTART_US (20 * MS) /* downtime of a quick restart */
 
+/* A relay's call to the store or the platform, or a reply to it. */
 struct call {
 	unsigned relay;
-	unsigned life; /* the relay's */
-	uint64_t number; /* expected revision, or the token */
-	uint64_t revision;
-	enum relay_claim outcome;
-	unsigned server;
-	bool accepted;
+	unsigned life; /* of the relay's process */
+	uint64_t number; /* a claim's expected revision, a promotion's token */
+	uint64_t revision; /* of the duty record */
+	enum relay_claim outcome; /* of a claim */
+	unsigned server; /* to promote */
+	bool accepted; /* promotion: carried out; claim: its reply arrives */
 };
 
-static bool is_on_line(const struct fake_server *s)
+static bool is_reachable(const struct fake_server *s)
 {
 	return !s->down && !s->dark;
 }
 
-/* The primary of the highest term, NULL when none runs. */
+/* The reachable primary of the highest term, or NULL. */
 struct fake_server *fake_primary(struct fake *f, unsigned group)
 {
 	struct fake_server *best = NULL;
@@ -38,15 +40,16 @@
 	for (i = 0; i < f->n_servers; i++) {
 		struct fake_server *s = &f->servers[i];
 
-		if (s->group == group && is_on_line(s) &&
+		if (s->group == group && is_reachable(s) &&
 		    s->role == ROLE_PRIMARY && (!best || s->term > best->term))
 			best = s;
 	}
 	return best;
 }
 
-/* Whom a test may crash, or tell to leave. */
-unsigned fake_members(const struct fake *f, unsigned group, unsigned *out)
+/* The servers that a test may crash or have leave. */
+unsigned fake_running_servers(const struct fake *f, unsigned group,
+			      unsigned *out)
 {
 	unsigned i, n = 0;
 
@@ -60,29 +63,30 @@
 	return n;
 }
 
-/* A group is never left without a server. */
-bool fake_may_go(const struct fake *f, unsigned server)
+/* Tests never leave a group without a server. */
+bool fake_may_stop(const struct fake *f, unsigned server)
 {
 	const struct fake_server *s = &f->servers[server];
 	unsigned all[MAX_SERVERS];
 
-	return !s->down && !s->leaving && fake_members(f, s->group, all) > 1;
+	return !s->down && !s->leaving &&
+	       fake_running_servers(f, s->group, all) > 1;
 }
 
-/* Rolls back what the primary's log hasn't, and follows its term. */
+/* Rolls back what the primary's log lacks, and joins its term. */
 static void join_term(struct fake_server *s, const struct fake_server *p)
 {
-	unsigned n = 0, most = MIN(s->log->len, p->log->len);
+	unsigned n = 0, n_max = MIN(s->log->len, p->log->len);
 
-	while (n < most && g_array_index(s->log, unsigned, n) ==
-				   g_array_index(p->log, unsigned, n))
+	while (n < n_max && g_array_index(s->log, unsigned, n) ==
+				    g_array_index(p->log, unsigned, n))
 		n++;
 	g_array_set_size(s->log, n);
 	s->applied = MIN(s->applied, n);
 	s->term = p->term;
 	s->role = ROLE_REPLICA;
-	s->led = false;
-	s->reaches_us = 0;
+	s->was_primary = false;
+	s->reachable_since_us = 0;
 }
 
 static void receive(struct fake *f, struct fake_server *s,
@@ -114,38 +118,38 @@
 	}
 }
 
-/* A primary that stepped down has sent all that it stored before. */
-static void receive_left(struct fake *f, struct fake_server *s)
+/* A primary that stepped down still sends what it stored before. */
+static void receive_from_old_primary(struct fake *f, struct fake_server *s)
 {
 	unsigned i;
 
 	for (i = 0; i < f->n_servers; i++) {
 		const struct fake_server *old = &f->servers[i];
 
-		if (old->group == s->group && is_on_line(old) &&
+		if (old->group == s->group && is_reachable(old) &&
 		    old->term == s->term && old->role == ROLE_REPLICA)
 			receive(f, s, old);
 	}
 }
 
-static void stream(struct fake *f, struct fake_server *s)
+static void replicate(struct fake *f, struct fake_server *s)
 {
 	struct fake_server *p = fake_primary(f, s->group);
 
-	if (!is_on_line(s))
-		s->reaches_us = 0;
+	if (!is_reachable(s))
+		s->reachable_since_us = 0;
 	if (s->down || s == p)
 		return;
 	if (s->role == ROLE_REPLICA)
 		apply(f, s);
-	if (!p && is_on_line(s) && s->held <= s->term)
-		receive_left(f, s);
-	if (!p || !is_on_line(s) || p->term < s->term || s->held > p->term)
+	if (!p && is_reachable(s) && s->held <= s->term)
+		receive_from_old_primary(f, s);
+	if (!p || !is_reachable(s) || p->term < s->term || s->held > p->term)
 		return;
 	if (s->role == ROLE_PRIMARY) {
-		if (!s->reaches_us)
-			s->reaches_us = f->now_us;
-		if (f->now_us < s->reaches_us + FOLLOW_US)
+		if (!s->reachable_since_us)
+			s->reachable_since_us = f->now_us;
+		if (f->now_us < s->reachable_since_us + FOLLOW_DELAY_US)
 			return;
 	}
 	if (s->role == ROLE_PRIMARY || s->term < p->term)
@@ -154,16 +158,16 @@
 	apply(f, s);
 }
 
-static void stream_event(struct fake *f, void *data)
+static void replicate_event(struct fake *f, void *data)
 {
 	unsigned i;
 
 	for (i = 0; i < f->n_servers; i++)
-		stream(f, &f->servers[i]);
-	fake_at(f, -1, STREAM_US, stream_event, data, NULL);
+		replicate(f, &f->servers[i]);
+	fake_at(f, -1, REPLICATION_INTERVAL_US, replicate_event, data, NULL);
 }
 
-/* A promotion ends them everywhere, before others know of its term. */
+/* A promotion ends all pauses, before other servers learn its term. */
 static void end_pauses(struct fake *f, unsigned group)
 {
 	unsigned i;
@@ -173,7 +177,7 @@
 			f->servers[i].held = 0;
 }
 
-/* What isn't in the new primary's log is lost, acknowledged or not. */
+/* Commits missing in the new primary's log are lost, even if acknowledged. */
 static void promoted_event(struct fake *f, void *data)
 {
 	const struct call *call = data;
@@ -184,7 +188,7 @@
 		return;
 	s->applied = s->log->len;
 	s->role = ROLE_PRIMARY;
-	s->led = true;
+	s->was_primary = true;
 	s->term = ++f->top_term[s->group];
 	end_pauses(f, s->group);
 	f->n_promotions++;
@@ -197,17 +201,17 @@
 	}
 }
 
-/* Whether the process that made the call, or awaits the news, still runs. */
-static bool is_its_life(const struct fake *f, const struct call *call)
+/* Whether the process that made the call or awaits the message still runs. */
+static bool is_current_process(const struct fake *f, const struct call *call)
 {
 	return call->life == f->relays[call->relay].life;
 }
 
-static void told_event(struct fake *f, void *data)
+static void promote_reply_event(struct fake *f, void *data)
 {
 	const struct call *call = data;
 
-	if (!is_its_life(f, call))
+	if (!is_current_process(f, call))
 		return;
 	relay_on_promoted(f->relays[call->relay].relay,
 			  f->servers[call->server].service, call->accepted,
@@ -215,8 +219,8 @@
 }
 
 /*
- * A call that another overtook on its way has the lower token by then, and the
- * platform refuses it.
+ * Promotion calls can overtake each other; the platform refuses one with a
+ * lower token than it has seen.
  */
 static void promote_event(struct fake *f, void *data)
 {
@@ -225,28 +229,29 @@
 
 	call->accepted = !s->down && call->number >= f->platform_token;
 	f->platform_token = MAX(f->platform_token, call->number);
-	if (f->void_promotions) {
-		f->void_promotions--;
+	if (f->n_promotions_to_drop) {
+		f->n_promotions_to_drop--;
 		return;
 	}
 	if (call->accepted)
 		fake_at(f, -1, f->promote_us, promoted_event,
 			g_memdup2(call, sizeof(*call)), g_free);
-	if (!fake_chance(f, f->lose_claims) && !f->lose_words)
-		fake_at(f, (int)call->relay, 5 * MS, told_event,
+	if (!fake_chance(f, f->lose_claims) && !f->lose_promote_replies)
+		fake_at(f, (int)call->relay, 5 * MS, promote_reply_event,
 			g_memdup2(call, sizeof(*call)), g_free);
 }
 
-/* No relay may send a token after another's that is not lower. */
+/* Tokens must not decrease; only the same relay may repeat its token. */
 static void note_token(struct fake *f, const struct call *call)
 {
 	if (call->number < f->last_token ||
-	    (call->number == f->last_token && call->relay != f->last_holder))
-		hist_wrong(f, "token %u of relay %u after %u of relay %u",
-			   (unsigned)call->number, call->relay,
-			   (unsigned)f->last_token, f->last_holder);
+	    (call->number == f->last_token &&
+	     call->relay != f->last_token_relay))
+		hist_violation(f, "token %u of relay %u after %u of relay %u",
+			       (unsigned)call->number, call->relay,
+			       (unsigned)f->last_token, f->last_token_relay);
 	f->last_token = call->number;
-	f->last_holder = call->relay;
+	f->last_token_relay = call->relay;
 }
 
 static void on_promote(void *ctx, const char *service, const char *server,
@@ -265,11 +270,11 @@
 		g_memdup2(&call, sizeof(call)), g_free);
 }
 
-/* All that came before is known, unless a list is on its way. */
-static void tell_known(struct fake_relay *r, uint64_t revision)
+/* Tells the relay a revision, unless a list is in flight or was dropped. */
+static void send_revision(struct fake_relay *r, uint64_t revision)
 {
 	r->known = MAX(r->known, revision);
-	if (!r->n_lists_due && !r->list_missed)
+	if (!r->n_lists_in_flight && !r->list_dropped)
 		relay_on_revision(r->relay, r->known);
 }
 
@@ -277,14 +282,14 @@
 {
 	const struct call *call = data;
 
-	if (f->relays[call->relay].deaf || !is_its_life(f, call))
+	if (f->relays[call->relay].deaf || !is_current_process(f, call))
 		return;
 	relay_on_duty(f->relays[call->relay].relay, f->duty_revision,
 		      *f->duty_holder ? f->duty_holder : NULL, f->now_us);
-	tell_known(&f->relays[call->relay], call->revision);
+	send_revision(&f->relays[call->relay], call->revision);
 }
 
-static void tell_duty(struct fake *f)
+static void send_duty(struct fake *f)
 {
 	struct call call = { .revision = f->duty_revision };
 
@@ -299,7 +304,7 @@
 {
 	const struct call *call = data;
 
-	if (!is_its_life(f, call))
+	if (!is_current_process(f, call))
 		return;
 	relay_on_claimed(f->relays[call->relay].relay, call->outcome,
 			 call->revision, f->now_us);
@@ -316,7 +321,7 @@
 		f->duty_revision = f->revision;
 		g_strlcpy(f->duty_holder, f->relays[call->relay].name,
 			  sizeof(f->duty_holder));
-		tell_duty(f);
+		send_duty(f);
 	}
 	call->revision = f->duty_revision;
 	if (call->accepted)
@@ -324,7 +329,7 @@
 			g_memdup2(call, sizeof(*call)), g_free);
 }
 
-/* A claim that times out may be carried out later, or never. */
+/* A claim whose reply is lost takes effect up to 3 s later, or never. */
 static void on_claim(void *ctx, uint64_t expected)
 {
 	struct fake_relay *r = ctx;
@@ -336,13 +341,13 @@
 
 	call.outcome = RELAY_CLAIM_UNKNOWN;
 	if (r->deaf) {
-		fake_at(f, (int)r->index, CALL_LIMIT_US, claimed_event,
+		fake_at(f, (int)r->index, CLAIM_TIMEOUT_US, claimed_event,
 			g_memdup2(&call, sizeof(call)), g_free);
 		return;
 	}
 	call.accepted = !fake_chance(f, f->lose_claims);
 	if (!call.accepted) {
-		fake_at(f, (int)r->index, CALL_LIMIT_US, claimed_event,
+		fake_at(f, (int)r->index, CLAIM_TIMEOUT_US, claimed_event,
 			g_memdup2(&call, sizeof(call)), g_free);
 		delay_us = fake_random(f, 2 * MS, 3000 * MS);
 	}
@@ -351,8 +356,8 @@
 			g_memdup2(&call, sizeof(call)), g_free);
 }
 
-/* A list of servers on its way to a relay. */
-struct list_news {
+/* A list of servers in flight to a relay. */
+struct list_message {
 	struct fake_relay *relay;
 	unsigned life;
 	uint64_t revision;
@@ -360,7 +365,7 @@
 	unsigned n;
 };
 
-static void tell_peers(struct fake *f, struct fake_relay *r)
+static void send_peers(struct fake *f, struct fake_relay *r)
 {
 	struct relay_server_info infos[MAX_RELAYS] = { 0 };
 	unsigned i, n = 0;
@@ -378,39 +383,40 @@
 
 static void list_event(struct fake *f, void *data)
 {
-	const struct list_news *news = data;
-	struct fake_relay *r = news->relay;
+	const struct list_message *message = data;
+	struct fake_relay *r = message->relay;
 
-	if (news->life != r->life)
+	if (message->life != r->life)
 		return;
-	r->n_lists_due--;
-	if (news->revision < r->list_revision) {
-		tell_known(r, news->revision);
+	r->n_lists_in_flight--;
+	if (message->revision < r->list_revision) {
+		send_revision(r, message->revision);
 		return;
 	}
-	r->list_missed = r->list_held;
+	r->list_dropped = r->list_held;
 	if (!r->list_held) {
-		r->list_revision = news->revision;
-		relay_on_servers(r->relay, news->infos, news->n, f->now_us);
+		r->list_revision = message->revision;
+		relay_on_servers(r->relay, message->infos, message->n,
+				 f->now_us);
 	}
-	tell_peers(f, r);
-	tell_known(r, news->revision);
+	send_peers(f, r);
+	send_revision(r, message->revision);
 }
 
 static void send_list(struct fake *f, struct fake_relay *r)
 {
-	struct list_news *news = g_new0(struct list_news, 1);
+	struct list_message *message = g_new0(struct list_message, 1);
 	unsigned i;
 
-	news->relay = r;
-	news->life = r->life;
-	news->revision = f->revision;
+	message->relay = r;
+	message->life = r->life;
+	message->revision = f->revision;
 	for (i = 0; i < f->n_servers; i++) {
 		struct fake_server *s = &f->servers[i];
 
 		if (!s->listed)
 			continue;
-		news->infos[news->n++] = (struct relay_server_info){
+		message->infos[message->n++] = (struct relay_server_info){
 			.id = s->id,
 			.service = s->service,
 			.host = "10.0.0.1",
@@ -422,12 +428,12 @@
 			.born_ms = s->born_ms,
 		};
 	}
-	r->n_lists_due++;
-	fake_at(f, (int)r->index, 5 * MS + r->list_lag_us, list_event, news,
+	r->n_lists_in_flight++;
+	fake_at(f, (int)r->index, 5 * MS + r->list_lag_us, list_event, message,
 		g_free);
 }
 
-/* The lists of servers and of relays reach all relays. */
+/* Sends the lists of servers and of relays to all relays. */
 void fake_list(struct fake *f)
 {
 	unsigned i;
@@ -441,7 +447,7 @@
 {
 	struct fake_server *s = data;
 
-	if (!s->down || f->now_us < s->down_us + UNLIST_US)
+	if (!s->down || f->now_us < s->down_at_us + UNLIST_DELAY_US)
 		return;
 	s->listed = false;
 	fake_list(f);
@@ -455,7 +461,7 @@
 			*key & (((uint64_t)1 << 48) - 1), false, f->now_us);
 }
 
-/* The server's process ends; its log stays. */
+/* Ends the server's process; its log stays. */
 void fake_crash(struct fake *f, unsigned server)
 {
 	struct fake_server *s = &f->servers[server];
@@ -463,7 +469,7 @@
 	gpointer value;
 
 	s->down = true;
-	s->down_us = f->now_us;
+	s->down_at_us = f->now_us;
 	s->held = 0;
 	g_hash_table_iter_init(&iter, f->conns);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -476,10 +482,10 @@
 				g_memdup2(&c->key, sizeof(c->key)), g_free);
 		g_hash_table_iter_remove(&iter);
 	}
-	fake_at(f, -1, UNLIST_US, unlist_event, s, NULL);
+	fake_at(f, -1, UNLIST_DELAY_US, unlist_event, s, NULL);
 }
 
-/* It comes back with its log, as what it was. */
+/* Restarts a crashed server with its log, as a replica if its term is old. */
 void fake_restart(struct fake *f, unsigned server)
 {
 	struct fake_server *s = &f->servers[server];
@@ -493,19 +499,20 @@
 	fake_list(f);
 }
 
-static void reborn_event(struct fake *f, void *data)
+static void quick_restart_event(struct fake *f, void *data)
 {
 	struct fake_server *s = data;
 
 	s->born_ms++;
-	if (s->led)
+	if (s->was_primary)
 		s->role = ROLE_PRIMARY;
 	fake_restart(f, s->index);
 }
 
 /*
- * A pause and a step-down are forgotten; its log is there, or is not. It leads
- * the term that it led, unless another was promoted meanwhile.
+ * The restarted process has forgotten a pause and a step-down. It is primary
+ * again if it was the primary of its term, unless another server was promoted
+ * meanwhile.
  */
 void fake_reborn(struct fake *f, unsigned server, bool keeps_log)
 {
@@ -516,22 +523,22 @@
 		g_array_set_size(s->log, 0);
 		s->applied = 0;
 	}
-	fake_at(f, -1, REBORN_US, reborn_event, s, NULL);
+	fake_at(f, -1, QUICK_RESTART_US, quick_restart_event, s, NULL);
 }
 
-/* Nothing passes between the two; what is sent breaks its connection. */
+/* Blocks all messages between the two; a message breaks its connection. */
 void fake_cut(struct fake *f, unsigned relay, unsigned server, bool cut)
 {
 	f->cut[relay][server] = cut;
 }
 
-/* The relay's VM is suspended; what reaches it waits. */
+/* Suspends the relay's VM; events for it are held. */
 void fake_freeze(struct fake *f, unsigned relay, uint64_t us)
 {
 	f->relays[relay].frozen_until_us = f->now_us + us;
 }
 
-/* All faults end. */
+/* Ends the faults of network, servers and calls; crashed servers restart. */
 void fake_heal(struct fake *f)
 {
 	unsigned i;
@@ -539,7 +546,7 @@
 	memset(f->cut, 0, sizeof(f->cut));
 	memset(f->side, 0, sizeof(f->side));
 	f->lose_answers = f->lose_claims = f->busy = 0;
-	f->lose_words = false;
+	f->lose_promote_replies = false;
 	f->promote_late_us = 0;
 	for (i = 0; i < f->n_servers; i++) {
 		f->servers[i].dark = false;
@@ -561,7 +568,7 @@
 		tick_event, r, NULL);
 }
 
-/* The operators' configuration as it is now. */
+/* The current configuration. */
 struct relay_catalog *fake_catalog(const struct fake *f)
 {
 	static const char *const kinds[] = { "primary", "bounded", "own" };
@@ -631,8 +638,8 @@
 	fake_at(f, (int)index, MS, tick_event, r, NULL);
 }
 
-/* The store tells it all, as when a watch begins. */
-static void tell_all(struct fake *f, struct fake_relay *r)
+/* Sends the store's whole state, as at the start of a watch. */
+static void send_all(struct fake *f, struct fake_relay *r)
 {
 	struct call call = { .relay = r->index,
 			     .life = r->life,
@@ -643,7 +650,7 @@
 		g_memdup2(&call, sizeof(call)), g_free);
 }
 
-/* Whether the store answers the relay; it hears of nothing else either. */
+/* Restores the relay's connection to the store, or cuts it off. */
 void fake_store(struct fake *f, unsigned relay, bool answers)
 {
 	bool is_back = answers && f->relays[relay].deaf;
@@ -651,10 +658,10 @@
 	f->relays[relay].deaf = !answers;
 	relay_on_store(f->relays[relay].relay, answers, f->now_us);
 	if (is_back)
-		tell_all(f, &f->relays[relay]);
+		send_all(f, &f->relays[relay]);
 }
 
-/* Its callers' sessions end, and its connections once all has arrived. */
+/* Ends the callers' sessions, and connections after messages in flight. */
 static void end_relay(struct fake *f, struct fake_relay *r)
 {
 	GHashTableIter iter;
@@ -674,8 +681,8 @@
 }
 
 /*
- * What the process knew, claimed and was told is gone; the number of its next
- * connection goes on, since the fake knows connections by it.
+ * The new process starts without the old one's state, except for the numbering
+ * of connections, which the fake identifies connections by.
  */
 void fake_restart_relay(struct fake *f, unsigned relay)
 {
@@ -686,8 +693,8 @@
 
 	end_relay(f, r);
 	r->life++;
-	r->n_lists_due = 0;
-	r->list_missed = false;
+	r->n_lists_in_flight = 0;
+	r->list_dropped = false;
 	r->known = r->list_revision = 0;
 	r->frozen_until_us = 0;
 	start_relay(r, catalog);
@@ -697,7 +704,7 @@
 	relay_destroy(old);
 	counter_set_destroy(counters);
 	if (!r->deaf)
-		tell_all(f, r);
+		send_all(f, r);
 }
 
 static struct fake_server *add_server(struct fake *f, unsigned group,
@@ -712,7 +719,7 @@
 	g_snprintf(s->service, sizeof(s->service), "group%u", group);
 	s->listed = true;
 	s->role = role;
-	s->led = role == ROLE_PRIMARY;
+	s->was_primary = role == ROLE_PRIMARY;
 	s->born_ms = 1;
 	s->term = 1;
 	s->lag_us = 5 * MS;
@@ -727,7 +734,7 @@
 	to->term = from->term;
 }
 
-/* The one that has most, of those that run. */
+/* The reachable server with the newest log. */
 static const struct fake_server *newest_log(const struct fake *f,
 					    unsigned group)
 {
@@ -737,7 +744,7 @@
 	for (i = 0; i < f->n_servers; i++) {
 		const struct fake_server *s = &f->servers[i];
 
-		if (s->group != group || !is_on_line(s))
+		if (s->group != group || !is_reachable(s))
 			continue;
 		if (!best || s->term > best->term ||
 		    (s->term == best->term && s->log->len > best->log->len))
@@ -746,7 +753,7 @@
 	return best;
 }
 
-/* It has what the newest of the others has, and no pause. */
+/* The new replica has the newest log of the group, and no pause. */
 unsigned fake_join(struct fake *f, unsigned group)
 {
 	const struct fake_server *from = newest_log(f, group);
@@ -758,7 +765,7 @@
 	return s->index;
 }
 
-/* It leads the term that it led, unless another was promoted meanwhile. */
+/* A primary of its term is primary again unless another was promoted. */
 unsigned fake_return(struct fake *f, unsigned server)
 {
 	struct fake_server *old = &f->servers[server];
@@ -766,14 +773,14 @@
 
 	old->replaced = true;
 	copy_log(s, old);
-	s->led = old->led;
-	if (s->led && s->term == f->top_term[s->group])
+	s->was_primary = old->was_primary;
+	if (s->was_primary && s->term == f->top_term[s->group])
 		s->role = ROLE_PRIMARY;
 	fake_list(f);
 	return s->index;
 }
 
-static void left_event(struct fake *f, void *data)
+static void stop_event(struct fake *f, void *data)
 {
 	struct fake_server *s = data;
 
@@ -783,15 +790,15 @@
 	fake_list(f);
 }
 
-/* Planned: it serves until it ends, and does not come back. */
+/* A planned shutdown: the server works until then, and doesn't return. */
 void fake_leave(struct fake *f, unsigned server, uint64_t drain_us)
 {
 	f->servers[server].leaving = true;
 	fake_list(f);
-	fake_at(f, -1, drain_us, left_event, &f->servers[server], NULL);
+	fake_at(f, -1, drain_us, stop_event, &f->servers[server], NULL);
 }
 
-/* Groups at rest, and relays that know of them; the rest follows by itself. */
+/* Creates idle groups and relays, and schedules their periodic events. */
 static struct fake *create(uint32_t seed, unsigned n_relays, unsigned n_groups,
 			   bool accounts)
 {
@@ -821,7 +828,7 @@
 		create_relay(f, i, catalog);
 	relay_catalog_unref(catalog);
 	fake_list(f);
-	fake_at(f, -1, 0, stream_event, NULL, NULL);
+	fake_at(f, -1, 0, replicate_event, NULL, NULL);
 	if (accounts)
 		accounts_start(f);
 	return f;
@@ -838,7 +845,7 @@
 	return create(seed, n_relays, n_groups, true);
 }
 
-/* Frees all, the relays too. */
+/* Frees the fake and its relays. */
 void fake_destroy(struct fake *f)
 {
 	unsigned i;
--- a/packages/relay/tests/support_story.h
+++ b/packages/relay/tests/support_story.h
@@ -2,33 +2,40 @@
 #define CELERYQUAY_TESTS_SUPPORT_STORY_H
 
 /*
- * Stories of one group of servers and three proxies with a caller each that
- * writes and reads all the while: something happens in a phase of a change of
- * primary, all heals, and the history is looked through.
+ * Scenarios with one group of servers and three proxies. A caller at each proxy
+ * writes and reads all the time. A fault occurs in some phase of a change of
+ * primary, all faults end, and the history is checked.
  */
 
 #include "support_history.h"
 
 #define STORY_RELAYS 3
-#define STORY_SEEDS 60
+#define SCENARIO_SEEDS 60
 
-/* The proxies run without a guard of struct relay_guards, or with all. */
-#define STORY_ALL_GUARDS SIZE_MAX
+/* In place of a guard's offset in struct relay_guards: none is off. */
+#define SCENARIO_ALL_GUARDS SIZE_MAX
 
-/* What was wrong, "" when nothing was; free it. */
-typedef char *(*story_fn)(uint32_t seed);
+/* Returns the violations found, "" if none; the caller frees it. */
+typedef char *(*scenario_fn)(uint32_t seed);
 
-/* The callers come after settle_us. */
+/* Runs the proxies for settle_us without callers. */
 struct fake *story_start(uint32_t seed, uint64_t settle_us);
+/* Opens a session at each proxy that has none. */
 void story_callers_come(struct fake *f);
+/*
+ * Ends all faults, checks that writes succeed again, and frees the fake;
+ * returns the violations found like a scenario_fn.
+ */
 char *story_end(struct fake *f);
+/* The group as a proxy sees it. */
 const struct rservice *story_service(const struct fake *f, unsigned relay);
-/* The proxy that comes to that phase first, -1: none does in 20 s. */
+/* The proxy that is first in that phase, -1: none within 20 s. */
 int story_run_until(struct fake *f, enum rphase phase);
-/* Into one of the phases, drawn from the seed, and up to 200 ms on. */
-int story_run_into_a_phase(struct fake *f, uint32_t seed);
-void story_check_promises(story_fn story);
-/* At least one seed shows the fault when the guard is off. */
-void story_check_is_noticed(story_fn story, size_t guard);
+/* Runs into a phase that the seed selects, and up to 200 ms further. */
+int scenario_run_into_phase(struct fake *f, uint32_t seed);
+/* No seed may show a violation. */
+void story_check_promises(scenario_fn scenario);
+/* At least one seed must show a violation when the guard is off. */
+void scenario_check_guard_is_needed(scenario_fn scenario, size_t guard);
 
 #endif
--- a/packages/relay/tests/test_late_news.c
+++ b/packages/relay/tests/test_late_news.c
@@ -3,8 +3,8 @@
 #include <celeryquay/suite.h>
 
 /*
- * What a proxy hears late or not at all while a primary is replaced: of the
- * platform's word, of the list, of a replica.
+ * A proxy that replaces a primary receives the platform's reply, the list of
+ * servers or a replica's status late or not at all.
  */
 
 static struct fake *start(uint32_t seed)
@@ -16,7 +16,7 @@
 	return f;
 }
 
-static char *promotion_that_takes_effect_late(uint32_t seed)
+static char *late_promotion(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
@@ -33,14 +33,14 @@
 	return story_end(f);
 }
 
-static char *promotions_that_are_given_up(uint32_t seed)
+static char *abandoned_promotions(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
 	f->promote_late_us = fake_random(f, 2000, 3000) * MS;
 	f->promote_us = 1000 * MS;
-	f->lose_words = true;
-	f->void_promotions = seed / 2 % 4;
+	f->lose_promote_replies = true;
+	f->n_promotions_to_drop = seed / 2 % 4;
 	fake_crash(f, 0);
 	story_run_until(f, PHASE_PROMOTE);
 	fake_run(f, fake_random(f, 0, 3000) * MS);
@@ -52,27 +52,32 @@
 	return story_end(f);
 }
 
-/* The store's side has one replica, the other side all else. */
-static void part(struct fake *f, unsigned lonely, unsigned replica)
+/*
+ * Partitions the network: the proxy `lonely` is with the primary and one
+ * replica, without the store; the other proxies are with the store and the
+ * other replica, the only server that is still listed.
+ */
+static void partition_network(struct fake *f, unsigned separated,
+			      unsigned replica)
 {
 	unsigned i, server;
 
-	f->relays[lonely].deaf = true;
-	f->relays[lonely].list_held = true;
+	f->relays[separated].deaf = true;
+	f->relays[separated].list_held = true;
 	for (i = 0; i < STORY_RELAYS; i++)
 		for (server = 0; server < GROUP_SIZE; server++)
 			fake_cut(f, i, server,
-				 (i == lonely) == (server == replica));
+				 (i == separated) == (server == replica));
 	for (server = 0; server < GROUP_SIZE; server++)
 		f->servers[server].listed = server == replica;
 	fake_list(f);
 }
 
-static char *servers_that_are_gone_elsewhere(uint32_t seed)
+static char *servers_lost_beyond_partition(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
-	part(f, seed % STORY_RELAYS, 1 + seed / STORY_RELAYS % 2);
+	partition_network(f, seed % STORY_RELAYS, 1 + seed / STORY_RELAYS % 2);
 	fake_run(f, 14 * USEC_PER_SEC);
 	return story_end(f);
 }
@@ -80,19 +85,19 @@
 static char *new_server_beyond_a_partition(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	unsigned lonely = seed % STORY_RELAYS;
+	unsigned separated = seed % STORY_RELAYS;
 	unsigned replica = 1 + seed / STORY_RELAYS % 2;
 
 	fake_leave(f, replica, 60 * USEC_PER_SEC);
 	fake_run(f, 500 * MS);
-	part(f, lonely, replica);
+	partition_network(f, separated, replica);
 	fake_run(f, fake_random(f, 0, 1000) * MS);
-	fake_cut(f, lonely, fake_join(f, 0), true);
+	fake_cut(f, separated, fake_join(f, 0), true);
 	fake_run(f, 14 * USEC_PER_SEC);
 	return story_end(f);
 }
 
-static void list_alone(struct fake *f, unsigned relay, unsigned server)
+static void send_list_of_one(struct fake *f, unsigned relay, unsigned server)
 {
 	struct fake_server *s = &f->servers[server];
 	struct relay_server_info info = { .id = s->id,
@@ -119,7 +124,7 @@
 	story_run_until(f, PHASE_PROMOTE);
 	for (i = 0; i < last; i++)
 		f->relays[i].list_held = true;
-	list_alone(f, last, fake_return(f, 0));
+	send_list_of_one(f, last, fake_return(f, 0));
 	fake_run(f, 4 * USEC_PER_SEC);
 	return story_end(f);
 }
@@ -140,10 +145,10 @@
 		return story_end(f);
 	wrong = story_end(f);
 	g_free(wrong);
-	return g_strdup("nothing is stored for 10 s");
+	return g_strdup("nothing is stored within 10 s");
 }
 
-static char *step_down_that_is_forgotten_late(uint32_t seed)
+static char *step_down_forgotten_late(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned i;
@@ -160,61 +165,63 @@
 }
 
 /*
- * The platform is told of a promotion and its answer is lost; it takes effect
- * when the change was given up, and an old primary serves again by then.
+ * The platform accepts a promotion, but its reply is lost. The promotion takes
+ * effect after the change was abandoned, when the old primary serves again.
  */
-START_TEST(test_a_promotion_that_takes_effect_late)
+START_TEST(test_late_promotion)
 {
-	story_check_promises(promotion_that_takes_effect_late);
+	story_check_promises(late_promotion);
 }
 END_TEST
 
 /*
- * Each try of a promotion goes unanswered, and the first ones come to nothing.
- * The proxy gives up and lets replicas receive again; the old primary is back,
- * they confirm it, and then the last try takes effect.
+ * No promotion call gets a reply, and up to three of the first are dropped.
+ * The proxy abandons the change and resumes the replicas; the old primary is
+ * back, they confirm it, and then the last call takes effect.
  */
-START_TEST(test_promotions_that_are_given_up)
+START_TEST(test_abandoned_promotions)
 {
-	story_check_promises(promotions_that_are_given_up);
+	story_check_promises(abandoned_promotions);
 }
 END_TEST
 
 /*
  * A partition leaves a proxy with the primary and one replica, without the
- * store. For all others both are gone after some seconds, and the last replica
- * is promoted; what the old primary goes on to store is thrown away when the
- * partition ends.
+ * store. The other proxies consider both lost after some seconds and promote
+ * the last replica. What the old primary stores from then on is rolled back
+ * when the partition ends and must not be acknowledged.
  */
-START_TEST(test_servers_that_are_gone_elsewhere)
+START_TEST(test_servers_lost_beyond_partition)
 {
-	story_check_promises(servers_that_are_gone_elsewhere);
+	story_check_promises(servers_lost_beyond_partition);
 }
 END_TEST
 
 /*
- * The same, where the replica on the other side is about to leave and a server
- * that the proxy has never heard of is promoted.
+ * The same, but the replica on the other side is about to leave, and a server
+ * is promoted that the separated proxy has never seen in a list.
  */
-START_TEST(test_a_new_server_beyond_a_partition)
+START_TEST(test_new_server_beyond_partition)
 {
 	story_check_promises(new_server_beyond_a_partition);
 }
 END_TEST
 
-START_TEST(test_servers_that_are_gone_are_noticed)
+/* Without the guard check_list_age the checker finds that fault. */
+START_TEST(test_checker_finds_servers_lost_beyond_partition)
 {
-	story_check_is_noticed(servers_that_are_gone_elsewhere,
-			       offsetof(struct relay_guards, check_list_age));
+	scenario_check_guard_is_needed(servers_lost_beyond_partition,
+				       offsetof(struct relay_guards,
+						check_list_age));
 }
 END_TEST
 
 /*
- * A proxy has just started, and of a service's servers the list has one alone:
+ * A proxy has just started, and its list has a single server of the service:
  * the old primary, which came back while another is promoted. The entries of
- * the others lapsed in an outage of the store.
+ * the other servers expired in an outage of the store.
  */
-START_TEST(test_a_list_with_the_old_primary_alone)
+START_TEST(test_list_with_old_primary_alone)
 {
 	story_check_promises(list_with_the_old_primary_alone);
 }
@@ -222,22 +229,23 @@
 
 /*
  * A primary steps down as planned, and the proxy that replaces it can't reach
- * one replica. It made the fence anew each time, and nobody led for as long.
+ * one replica. It must not restart the fence again and again: there is no
+ * primary meanwhile.
  */
-START_TEST(test_a_replica_that_is_not_reached)
+START_TEST(test_planned_change_with_unreached_replica)
 {
 	story_check_promises(planned_change_with_an_unreached_replica);
 }
 END_TEST
 
 /*
- * In the same change the old primary starts again just before the promotion,
- * has forgotten that it stepped down, and the replica that was not paused
- * confirms it to others.
+ * In the same change the old primary restarts just before the promotion and has
+ * forgotten its step-down; the replica that was not paused confirms it to the
+ * other proxies.
  */
-START_TEST(test_a_step_down_that_is_forgotten_late)
+START_TEST(test_step_down_forgotten_late)
 {
-	story_check_promises(step_down_that_is_forgotten_late);
+	story_check_promises(step_down_forgotten_late);
 }
 END_TEST
 
@@ -245,13 +253,13 @@
 {
 	TCase *tc = tcase_create("late_news");
 
-	tcase_add_test(tc, test_a_promotion_that_takes_effect_late);
-	tcase_add_test(tc, test_promotions_that_are_given_up);
-	tcase_add_test(tc, test_servers_that_are_gone_elsewhere);
-	tcase_add_test(tc, test_a_new_server_beyond_a_partition);
-	tcase_add_test(tc, test_servers_that_are_gone_are_noticed);
-	tcase_add_test(tc, test_a_list_with_the_old_primary_alone);
-	tcase_add_test(tc, test_a_replica_that_is_not_reached);
-	tcase_add_test(tc, test_a_step_down_that_is_forgotten_late);
+	tcase_add_test(tc, test_late_promotion);
+	tcase_add_test(tc, test_abandoned_promotions);
+	tcase_add_test(tc, test_servers_lost_beyond_partition);
+	tcase_add_test(tc, test_new_server_beyond_partition);
+	tcase_add_test(tc, test_checker_finds_servers_lost_beyond_partition);
+	tcase_add_test(tc, test_list_with_old_primary_alone);
+	tcase_add_test(tc, test_planned_change_with_unreached_replica);
+	tcase_add_test(tc, test_step_down_forgotten_late);
 	return suite_main("late_news", tc);
 }
--- a/packages/relay/tests/test_lease_log.c
+++ b/packages/relay/tests/test_lease_log.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /*
- * A write was told as stored and is gone. Its cause must be found in the logs
- * alone: on whose word did the proxy rely on that primary?
+ * If an acknowledged write is lost, the logs alone must show the cause: which
+ * replica's confirmation made the proxy rely on that primary.
  */
 
 static struct fake *fake;
@@ -17,7 +17,7 @@
 	hist_start(f, data, RELAY_WRITE, "", "1");
 }
 
-/* One proxy, so that each line is its own; a caller writes all the while. */
+/* Starts a single proxy, so that it writes all log lines, and a caller. */
 static void start(uint32_t seed)
 {
 	struct hist_session *s;
@@ -51,7 +51,7 @@
 	return json_object_get_int_member(line, key);
 }
 
-/* How many lines of the event a server has for a primary of that term. */
+/* Number of the event's lines that name replica `by` and that term. */
 static unsigned count(const char *event, const char *by, int64_t term,
 		      const char *why)
 {
@@ -72,8 +72,8 @@
 	return n;
 }
 
-/* Why the server's word was left aside last. */
-static const char *last_why(const char *by)
+/* Why the server's confirmation was last ignored, "" if it never was. */
+static const char *last_reason(const char *by)
 {
 	static char why[16];
 	GPtrArray *lines = fake_log_lines(log_file, "word-left-aside");
@@ -91,10 +91,11 @@
 }
 
 /*
- * A primary dies and is replaced. The log says whose word the lease on the new
- * one rests on, what showed it and how long that replica was listed.
+ * A primary crashes and is replaced. The log names the replica whose
+ * confirmation the lease on the new primary rests on, the evidence for it, and
+ * how long that replica had been listed.
  */
-START_TEST(test_a_change_names_whose_word_counts)
+START_TEST(test_change_logs_confirming_replica)
 {
 	const struct fake_server *p;
 	GPtrArray *lines;
@@ -128,11 +129,14 @@
 }
 END_TEST
 
-/* No two lines say the same of one server and one primary; how many. */
-static unsigned check_one_a_server(const char *event)
+/*
+ * Checks that no two lines of the event agree in server, term and evidence;
+ * returns the number of lines.
+ */
+static unsigned check_no_duplicate_lines(const char *event)
 {
 	GPtrArray *lines = fake_log_lines(log_file, event);
-	GHashTable *told =
+	GHashTable *seen_keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	unsigned i, n = lines->len;
 
@@ -144,16 +148,16 @@
 			json_object_get_string_member_with_default(
 				line, "evidence", "word"));
 
-		ck_assert_msg(!g_hash_table_contains(told, key), "%s: %s twice",
-			      event, key);
-		g_hash_table_add(told, key);
+		ck_assert_msg(!g_hash_table_contains(seen_keys, key),
+			      "%s: %s twice", event, key);
+		g_hash_table_add(seen_keys, key);
 	}
-	g_hash_table_destroy(told);
+	g_hash_table_destroy(seen_keys);
 	g_ptr_array_unref(lines);
 	return n;
 }
 
-/* A day of changes must not fill the log. */
+/* The number of log lines per change of primary is bounded. */
 START_TEST(test_lines_of_a_change_are_bounded)
 {
 	GPtrArray *lines;
@@ -169,8 +173,8 @@
 		fake_restart(fake, p->index);
 		fake_run(fake, 6 * USEC_PER_SEC);
 	}
-	ck_assert_uint_ge(check_one_a_server("primary-confirmed"), 5);
-	ck_assert_uint_ge(check_one_a_server("word-left-aside"), 4);
+	ck_assert_uint_ge(check_no_duplicate_lines("primary-confirmed"), 5);
+	ck_assert_uint_ge(check_no_duplicate_lines("word-left-aside"), 4);
 	lines = fake_log_lines(log_file, "primary");
 	ck_assert_uint_eq(lines->len, 5);
 	g_ptr_array_unref(lines);
@@ -181,8 +185,8 @@
 }
 END_TEST
 
-/* A server that is listed only now is not relied on, and the log says so. */
-START_TEST(test_a_new_servers_word_is_left_aside)
+/* The log says that a newly listed server's confirmation is ignored. */
+START_TEST(test_new_servers_confirmation_is_ignored)
 {
 	unsigned number;
 
@@ -196,8 +200,8 @@
 }
 END_TEST
 
-/* The same for a replica that started anew, beside one that is down. */
-START_TEST(test_a_restarted_servers_word_is_left_aside)
+/* The same for a restarted replica while the other replica is down. */
+START_TEST(test_restarted_servers_confirmation_is_ignored)
 {
 	unsigned n;
 
@@ -206,14 +210,17 @@
 	fake_crash(fake, 2);
 	fake_reborn(fake, 1, true);
 	fake_run(fake, 3 * USEC_PER_SEC);
-	ck_assert_str_eq(last_why("s1"), "restarted");
+	ck_assert_str_eq(last_reason("s1"), "restarted");
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n + 1);
 	end();
 }
 END_TEST
 
-/* The store is out and a replica is down: the other's word is not enough. */
-START_TEST(test_a_word_is_left_aside_by_an_old_list)
+/*
+ * The store is unreachable and a replica is down: with an outdated list the
+ * other replica's confirmation alone is ignored.
+ */
+START_TEST(test_confirmation_with_outdated_list_is_ignored)
 {
 	unsigned n;
 
@@ -224,7 +231,7 @@
 	fake_run(fake, 3500 * MS);
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n);
 	fake_run(fake, 2 * USEC_PER_SEC);
-	ck_assert_str_eq(last_why("s1"), "old-list");
+	ck_assert_str_eq(last_reason("s1"), "old-list");
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n + 1);
 	end();
 }
@@ -234,10 +241,10 @@
 {
 	TCase *tc = tcase_create("lease_log");
 
-	tcase_add_test(tc, test_a_change_names_whose_word_counts);
+	tcase_add_test(tc, test_change_logs_confirming_replica);
 	tcase_add_test(tc, test_lines_of_a_change_are_bounded);
-	tcase_add_test(tc, test_a_new_servers_word_is_left_aside);
-	tcase_add_test(tc, test_a_restarted_servers_word_is_left_aside);
-	tcase_add_test(tc, test_a_word_is_left_aside_by_an_old_list);
+	tcase_add_test(tc, test_new_servers_confirmation_is_ignored);
+	tcase_add_test(tc, test_restarted_servers_confirmation_is_ignored);
+	tcase_add_test(tc, test_confirmation_with_outdated_list_is_ignored);
 	return suite_main("lease_log", tc);
 }
--- a/packages/relay/tests/test_member_stories.c
+++ b/packages/relay/tests/test_member_stories.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 /*
- * Servers and proxies that start anew while a primary is replaced, as the days
- * of test_member_days.c found them.
+ * Servers and proxies restart while a primary is replaced: scenarios taken from
+ * the random histories of test_member_days.c.
  */
 
-/* After 6 s at rest, when the proxies know all servers. */
+/* Callers start after 6 s, when the proxies know all servers. */
 static struct fake *start(uint32_t seed)
 {
 	struct fake *f = story_start(seed, 6 * USEC_PER_SEC);
@@ -30,14 +30,14 @@
 }
 
 /*
- * The other replica is told to leave, or gone, or starts anew as well, where
- * the changing proxy can't pause it again.
+ * The other replica is leaving, or has left, or restarts as well, and the proxy
+ * that makes the change can't reach it to pause it again.
  */
-static char *target_starts_anew(uint32_t seed)
+static char *target_restarts(uint32_t seed)
 {
 	struct fake *f = start(seed);
 	unsigned target;
-	int changer;
+	int coordinator;
 
 	if (seed % 3 == 0)
 		fake_leave(f, 2, 9 * USEC_PER_SEC);
@@ -46,11 +46,11 @@
 	fake_run(f, 8 * USEC_PER_SEC);
 	f->promote_us = 1000 * MS;
 	fake_crash(f, 0);
-	changer = story_run_until(f, PHASE_SETTLE);
-	target = changer < 0 ? 1 : target_of(f, changer);
+	coordinator = story_run_until(f, PHASE_SETTLE);
+	target = coordinator < 0 ? 1 : target_of(f, coordinator);
 	fake_run(f, fake_random(f, 0, 300) * MS);
 	if (seed % 3 == 2) {
-		fake_cut(f, (unsigned)MAX(changer, 0), 3 - target, true);
+		fake_cut(f, (unsigned)MAX(coordinator, 0), 3 - target, true);
 		fake_reborn(f, 3 - target, true);
 	}
 	fake_reborn(f, target, true);
@@ -61,21 +61,21 @@
 }
 
 /*
- * The changing proxy reaches the primary, not the one replica that runs, and
- * the other starts again after two seconds; so its change goes on for longer
- * than its claim keeps others away.
+ * The proxy that makes the change reaches the primary, but not the only running
+ * replica, and the other replica restarts after about two seconds; so the
+ * change takes longer than the claim excludes other proxies.
  */
 static char *change_that_outlives_its_claim(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	int changer;
+	int coordinator;
 
 	f->promote_late_us = fake_random(f, 1000, 2500) * MS;
 	f->promote_us = 400 * MS;
 	fake_leave(f, 0, 5500 * MS);
-	changer = story_run_until(f, PHASE_CATCH_UP);
-	if (changer >= 0)
-		fake_cut(f, (unsigned)changer, 1, true);
+	coordinator = story_run_until(f, PHASE_CATCH_UP);
+	if (coordinator >= 0)
+		fake_cut(f, (unsigned)coordinator, 1, true);
 	fake_crash(f, 2);
 	fake_run(f, fake_random(f, 1700, 2000) * MS);
 	fake_reborn(f, 2, true);
@@ -85,21 +85,22 @@
 	return story_end(f);
 }
 
-/* A proxy's process begins anew in any phase, its own change or another's. */
-static char *proxy_starts_anew(uint32_t seed)
+/* A proxy restarts in some phase of its own change or of another proxy's. */
+static char *proxy_restarts(uint32_t seed)
 {
 	static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD,
 					      PHASE_PROMOTE, PHASE_SETTLE };
 	struct fake *f = start(seed);
-	int changer;
+	int coordinator;
 
 	fake_crash(f, 0);
-	changer = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
+	coordinator = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
 	fake_run(f, fake_random(f, 0, 100) * MS);
-	if (changer >= 0 && seed / 4 % 2)
-		fake_restart_relay(f, (unsigned)changer);
+	if (coordinator >= 0 && seed / 4 % 2)
+		fake_restart_relay(f, (unsigned)coordinator);
 	else
-		fake_restart_relay(f, ((unsigned)changer + 1) % STORY_RELAYS);
+		fake_restart_relay(f,
+				   ((unsigned)coordinator + 1) % STORY_RELAYS);
 	story_callers_come(f);
 	fake_run(f, fake_random(f, 0, 100) * MS);
 	if (seed / 8 % 2)
@@ -110,37 +111,38 @@
 }
 
 /*
- * A service has two servers left. Its primary dies, the replica is paused, and
- * its promotion is under way when it starts again under its id, without its
- * pause. The old primary starts again, too; the replica is the only one to be
- * asked, so all agree, and a code that is stored there is gone a moment later.
+ * A service has two servers left. The primary crashes, and the replica is
+ * paused. While its promotion is in progress, the replica restarts under the
+ * same id and has no pause any more. The old primary restarts, too, and the
+ * replica, the only one to ask, confirms it. A write acknowledged there would
+ * be lost with the promotion.
  */
-START_TEST(test_a_target_that_starts_anew)
+START_TEST(test_target_restarts)
 {
-	story_check_promises(target_starts_anew);
+	story_check_promises(target_restarts);
 }
 END_TEST
 
 /*
- * A planned change takes longer than its claim keeps others away, and another
- * proxy claims the duty and has a server promoted. The first claims it back for
- * its second fence, at once, and both tell the platform: the older token after
- * the newer one.
+ * A planned change takes longer than its claim excludes other proxies, and
+ * another proxy claims the duty and requests a promotion. The first proxy
+ * claims it back at once for its second fence, and both call the platform: the
+ * older token must not be sent after the newer one.
  */
-START_TEST(test_a_change_that_outlives_its_claim)
+START_TEST(test_change_outlives_its_claim)
 {
 	story_check_promises(change_that_outlives_its_claim);
 }
 END_TEST
 
 /*
- * A proxy's process ends while a primary is replaced, by it or by another, and
- * begins anew; servers are all new to it. The old primary comes back under
- * another id, and is not to be relied on there either.
+ * A proxy restarts while it or another proxy replaces a primary; all servers
+ * are new to it. The old primary returns under a new id, and the restarted
+ * proxy must not rely on it either.
  */
-START_TEST(test_a_proxy_that_starts_anew)
+START_TEST(test_proxy_restarts)
 {
-	story_check_promises(proxy_starts_anew);
+	story_check_promises(proxy_restarts);
 }
 END_TEST
 
@@ -148,8 +150,8 @@
 {
 	TCase *tc = tcase_create("member-stories");
 
-	tcase_add_test(tc, test_a_target_that_starts_anew);
-	tcase_add_test(tc, test_a_change_that_outlives_its_claim);
-	tcase_add_test(tc, test_a_proxy_that_starts_anew);
+	tcase_add_test(tc, test_target_restarts);
+	tcase_add_test(tc, test_change_outlives_its_claim);
+	tcase_add_test(tc, test_proxy_restarts);
 	return suite_main("member-stories", tc);
 }
