--- a/packages/relay/src/peer.c
+++ b/packages/relay/src/peer.c
@@ -1,5 +1,5 @@
 /*
- * Other proxies, as the store lists them.
+ * The other proxies, as listed in the store.
  */
 #define LOG_MODULE "peer"
 #include "relay_internal.h"
@@ -7,15 +7,19 @@
 #include <celeryquay/base/log.h>
 #include <celeryquay/relay/server_list.h>
 
-#define PEERS_HELD_US (8 * USEC_PER_SEC)
-/* Between two lists, for each proxy that is known. */
-#define PEERS_PAUSE_US USEC_PER_MSEC
-/* A list that grows no more for so long is whole. */
-#define PEERS_CALM_US (500 * USEC_PER_MSEC)
-/* Without such a list: the store takes no entries, or others come on and on. */
-#define PEERS_WAIT_US (4 * USEC_PER_SEC)
-/* A change of less than this part of all is small. */
-#define FEW_PEERS_SHARE 8
+/* A list that lost more than half of the proxies is applied after this. */
+#define SHORT_LIST_DELAY_US (8 * USEC_PER_SEC)
+/* Minimum interval between two lists, for each known proxy. */
+#define LIST_INTERVAL_PER_PROXY_US USEC_PER_MSEC
+/* A list that has not grown for this long is complete. */
+#define LIST_SETTLED_US (500 * USEC_PER_MSEC)
+/*
+ * Longest wait for a complete list, for a store that accepts no entries or a
+ * fleet that keeps growing.
+ */
+#define LIST_WAIT_MAX_US (4 * USEC_PER_SEC)
+/* A change of less than one in this many proxies is small. */
+#define SMALL_CHANGE_DIVISOR 8
 
 static bool is_self(const struct relay *r, const char *name)
 {
@@ -25,7 +29,7 @@
 /* Another proxy. */
 struct rpeer {
 	struct relay_server_info info;
-	unsigned list; /* the last that named it */
+	unsigned list; /* number of the last list that named it */
 };
 
 static void peer_free(gpointer data)
@@ -43,7 +47,7 @@
 				     peer_free);
 }
 
-/* Another proxy by its name, NULL when it isn't listed. */
+/* The other proxy of that name; NULL: not listed. */
 const struct relay_server_info *rpr_find(const struct relay *r,
 					 const char *name)
 {
@@ -53,47 +57,47 @@
 }
 
 static void add_peer(struct relay *r, const struct relay_server_info *info,
-		     GPtrArray *came)
+		     GPtrArray *added)
 {
 	struct rpeer *p = g_new0(struct rpeer, 1);
 
 	relay_server_info_copy(&p->info, info);
-	p->list = r->peers_lists;
+	p->list = r->n_peer_lists;
 	g_hash_table_insert(r->peers, g_strdup(p->info.id), p);
-	g_ptr_array_add(came, p->info.id);
+	g_ptr_array_add(added, p->info.id);
 }
 
-static void take_peer(struct relay *r, const struct relay_server_info *info,
-		      GPtrArray *came, uint64_t now_us)
+static void update_peer(struct relay *r, const struct relay_server_info *info,
+			GPtrArray *added, uint64_t now_us)
 {
 	struct rpeer *p = g_hash_table_lookup(r->peers, info->id);
 
 	if (!p) {
-		add_peer(r, info, came);
+		add_peer(r, info, added);
 		return;
 	}
-	p->list = r->peers_lists;
+	p->list = r->n_peer_lists;
 	if (relay_server_info_equal(&p->info, info))
 		return;
 	relay_server_info_replace(&p->info, info);
 	rvi_update_home(r, &p->info, now_us);
 }
 
-/* Adds the names that the newest list lacks. */
-static void find_gone(struct relay *r, GPtrArray *gone)
+/* Collects the names that the newest list lacks. */
+static void find_removed(struct relay *r, GPtrArray *removed)
 {
 	GHashTableIter iter;
 	gpointer name, value;
 
 	g_hash_table_iter_init(&iter, r->peers);
 	while (g_hash_table_iter_next(&iter, &name, &value))
-		if (((struct rpeer *)value)->list != r->peers_lists)
-			g_ptr_array_add(gone, name);
+		if (((struct rpeer *)value)->list != r->n_peer_lists)
+			g_ptr_array_add(removed, name);
 }
 
-/* Takes over who came and who went, a service at a time. */
-static void count_changes(struct relay *r, const GPtrArray *came,
-			  const GPtrArray *gone)
+/* Updates this proxy's rank in each service. */
+static void update_ranks(struct relay *r, const GPtrArray *added,
+			 const GPtrArray *removed)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -101,10 +105,10 @@
 
 	g_hash_table_iter_init(&iter, r->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		for (i = 0; i < came->len; i++)
-			rrk_on_come(value, g_ptr_array_index(came, i));
-		for (i = 0; i < gone->len; i++)
-			rrk_on_gone(value, g_ptr_array_index(gone, i));
+		for (i = 0; i < added->len; i++)
+			rrk_on_come(value, g_ptr_array_index(added, i));
+		for (i = 0; i < removed->len; i++)
+			rrk_on_gone(value, g_ptr_array_index(removed, i));
 	}
 }
 
@@ -124,22 +128,23 @@
 {
 	unsigned change = n > n_known ? n - n_known : n_known - n;
 
-	return change * FEW_PEERS_SHARE < n_known;
+	return change * SMALL_CHANGE_DIVISOR < n_known;
 }
 
 /*
- * Failure: a whole fleet starts for the first time. Each proxy knows of few
- * others or none, takes itself for one of few, and connects to all servers of
- * all services, which are more than it has descriptors for. Guard: nobody is a
- * home before a list has named this proxy, so that it is no older than its
- * start, and grows no more. A process that starts again is listed already, and
- * waits for nothing.
+ * Whether the list of proxies counts as complete. When a whole fleet starts for
+ * the first time, each proxy knows few others or none; taking the fleet to be
+ * that small, it would connect to all servers of all services, which are more
+ * than it has file descriptors for. So a proxy becomes a home only after a list
+ * has named it, and thus is no older than its start, and lists have stopped
+ * growing. A process that is restarted is already listed and does not wait.
  */
-static bool knows_fleet(const struct relay *r, uint64_t now_us)
+static bool is_list_complete(const struct relay *r, uint64_t now_us)
 {
-	if (now_us >= r->started_us + PEERS_WAIT_US)
+	if (now_us >= r->started_us + LIST_WAIT_MAX_US)
 		return true;
-	return r->self_listed && now_us >= r->peers_grew_us + PEERS_CALM_US;
+	return r->self_listed &&
+	       now_us >= r->peers_grew_at_us + LIST_SETTLED_US;
 }
 
 static bool names_self(const struct relay *r,
@@ -153,16 +158,17 @@
 	return false;
 }
 
+/* Notes whether the list names this proxy, and whether it has grown. */
 static void note_list(struct relay *r, const struct relay_server_info *infos,
 		      unsigned n, uint64_t now_us)
 {
-	bool is_first = !r->peers_lists && !r->peers_held;
+	bool is_first = !r->n_peer_lists && !r->peers_pending;
 	unsigned n_known = rrl_proxies(r);
 
 	r->self_listed = r->self_listed || names_self(r, infos, n);
 	if (is_first ? !r->self_listed :
 		       n > n_known && !is_small_change(n, n_known))
-		r->peers_grew_us = now_us;
+		r->peers_grew_at_us = now_us;
 	if (is_first)
 		r->knows_fleet = r->self_listed;
 }
@@ -177,89 +183,91 @@
 	return n_others;
 }
 
-/* Takes over what differs from the list before. */
-static void merge_peers(struct relay *r, const struct relay_server_info *infos,
-			unsigned n, uint64_t now_us)
+/* Applies the differences to the previous list. */
+static void merge_list(struct relay *r, const struct relay_server_info *infos,
+		       unsigned n, uint64_t now_us)
 {
-	GPtrArray *came = g_ptr_array_new(), *gone = g_ptr_array_new();
+	GPtrArray *added = g_ptr_array_new(), *removed = g_ptr_array_new();
 	unsigned i;
 
-	r->peers_lists++;
+	r->n_peer_lists++;
 	for (i = 0; i < n; i++)
 		if (!is_self(r, infos[i].id))
-			take_peer(r, &infos[i], came, now_us);
-	find_gone(r, gone);
-	count_changes(r, came, gone);
-	for (i = 0; i < gone->len; i++)
-		g_hash_table_remove(r->peers, g_ptr_array_index(gone, i));
-	if (came->len || gone->len)
+			update_peer(r, &infos[i], added, now_us);
+	find_removed(r, removed);
+	update_ranks(r, added, removed);
+	for (i = 0; i < removed->len; i++)
+		g_hash_table_remove(r->peers, g_ptr_array_index(removed, i));
+	if (added->len || removed->len)
 		r->peers_changed++;
-	g_ptr_array_unref(came);
-	g_ptr_array_unref(gone);
+	g_ptr_array_unref(added);
+	g_ptr_array_unref(removed);
 }
 
-static void take_peers(struct relay *r, const struct relay_server_info *infos,
+static void apply_list(struct relay *r, const struct relay_server_info *infos,
 		       unsigned n, uint64_t now_us)
 {
 	log_peers(r, "proxies", count_others(r, infos, n));
-	merge_peers(r, infos, n, now_us);
+	merge_list(r, infos, n, now_us);
 	if (rrl_update(r))
 		rrl_list_served(r);
 	rvi_list_all(r, now_us);
 	rrun_dispatch(r, now_us);
 }
 
-static void free_held(struct relay *r)
+static void free_pending_list(struct relay *r)
 {
 	unsigned i;
 
-	for (i = 0; i < r->n_held; i++)
-		relay_server_info_clear(&r->peers_held[i]);
-	g_clear_pointer(&r->peers_held, g_free);
-	r->n_held = 0;
+	for (i = 0; i < r->n_peers_pending; i++)
+		relay_server_info_clear(&r->peers_pending[i]);
+	g_clear_pointer(&r->peers_pending, g_free);
+	r->n_peers_pending = 0;
 }
 
-static void hold_peers(struct relay *r, const struct relay_server_info *infos,
+static void defer_list(struct relay *r, const struct relay_server_info *infos,
 		       unsigned n, uint64_t now_us)
 {
 	unsigned i;
 
 	log_peers(r, "proxies-held", count_others(r, infos, n));
-	r->peers_held = g_new(struct relay_server_info, n + 1);
+	r->peers_pending = g_new(struct relay_server_info, n + 1);
 	for (i = 0; i < n; i++)
-		relay_server_info_copy(&r->peers_held[i], &infos[i]);
-	r->n_held = n;
-	r->peers_held_us = now_us;
+		relay_server_info_copy(&r->peers_pending[i], &infos[i]);
+	r->n_peers_pending = n;
+	r->peers_pending_since_us = now_us;
 }
 
-/* Frees what is known of other proxies. */
+/* Frees the lists of other proxies and of served services. */
 void rpr_clear(struct relay *r)
 {
-	free_held(r);
+	free_pending_list(r);
 	g_hash_table_destroy(r->peers);
 	g_ptr_array_unref(r->served);
 }
 
 /*
- * In a large fleet proxies come and go all the time, and each list is work that
- * grows with the fleet. A small change may wait: whoever can't be reached any
- * more is noticed without the list. Grantors of limits go by its age.
+ * In a large fleet proxies start and stop all the time, and the work for each
+ * list grows with the fleet. A small change may wait, since a proxy that can't
+ * be reached any more is noticed without the list. With rate limits every list
+ * is taken, as the grantors of tokens depend on its age.
  */
 bool relay_takes_peers(const struct relay *r, unsigned n, uint64_t now_us)
 {
 	unsigned n_known = rrl_proxies(r);
 
 	return r->settings.limits || !is_small_change(n, n_known) ||
-	       now_us >= r->peers_us + n_known * PEERS_PAUSE_US;
+	       now_us >= r->peers_listed_at_us +
+				 n_known * LIST_INTERVAL_PER_PROXY_US;
 }
 
 /*
- * The proxies as they are now; this one is passed over.
+ * The current list of proxies; the entry of this one is skipped.
  *
- * Failure: leases run out in an outage of the store, the list is empty for a
- * moment, and each of many proxies takes itself for one of few and connects to
- * all servers. Guard: a list that lost more than half at once is believed only
- * after PEERS_HELD_US without another.
+ * When the proxies' leases in the store expire during an outage, the list is
+ * empty for a moment. Each of many proxies would take the fleet to be small and
+ * connect to all servers. So a list that lost more than half of the proxies at
+ * once is applied only after SHORT_LIST_DELAY_US without another list.
  */
 void relay_on_peers(struct relay *r, const struct relay_server_info *infos,
 		    unsigned n_infos, uint64_t now_us)
@@ -269,15 +277,15 @@
 	note_list(r, infos, n_infos, now_us);
 	feed_source_on_proxies(r->feed_source, infos, n_infos);
 	rgr_on_peers(r, infos, n_infos, now_us);
-	free_held(r);
-	r->peers_us = now_us;
+	free_pending_list(r);
+	r->peers_listed_at_us = now_us;
 	if (n_others * 2 >= g_hash_table_size(r->peers))
-		take_peers(r, infos, n_infos, now_us);
+		apply_list(r, infos, n_infos, now_us);
 	else
-		hold_peers(r, infos, n_infos, now_us);
+		defer_list(r, infos, n_infos, now_us);
 }
 
-/* Says nothing of homes, which go by all of them. */
+/* Leaves the homes as they are, since these depend on the whole list. */
 void relay_on_first_peers(struct relay *r,
 			  const struct relay_server_info *infos,
 			  unsigned n_infos, uint64_t now_us)
@@ -286,16 +294,16 @@
 	feed_source_on_proxies(r->feed_source, infos, n_infos);
 }
 
-/* Another configuration: the homes of its databases. */
+/* Updates homes after a change of the configuration. */
 void rpr_on_catalog(struct relay *r, uint64_t now_us)
 {
-	r->peers_changed++; /* other limits, other homes */
+	r->peers_changed++; /* homes depend on connection limits */
 	rrl_update(r);
-	rrl_list_served(r); /* also for services that come or go */
+	rrl_list_served(r); /* services may have been added or removed */
 	rvi_list_all(r, now_us);
 }
 
-/* Homes are taken over once it is known who else there is. */
+/* Takes on the role of home once the list of proxies is complete. */
 static void begin_serving(struct relay *r, uint64_t now_us)
 {
 	r->knows_fleet = true;
@@ -304,14 +312,15 @@
 	rvi_list_all(r, now_us);
 }
 
-/* Believes a short list that nothing has followed. */
+/* Applies a short list that no other list has followed. */
 void rpr_tick(struct relay *r, uint64_t now_us)
 {
-	if (!r->knows_fleet && knows_fleet(r, now_us))
+	if (!r->knows_fleet && is_list_complete(r, now_us))
 		begin_serving(r, now_us);
-	if (r->peers_held && now_us > r->peers_held_us + PEERS_HELD_US) {
-		take_peers(r, r->peers_held, r->n_held, now_us);
-		free_held(r);
+	if (r->peers_pending &&
+	    now_us > r->peers_pending_since_us + SHORT_LIST_DELAY_US) {
+		apply_list(r, r->peers_pending, r->n_peers_pending, now_us);
+		free_pending_list(r);
 	}
 	rrl_end_spares(r, now_us);
 }
--- a/packages/relay/src/rank.c
+++ b/packages/relay/src/rank.c
@@ -1,15 +1,15 @@
 /*
- * Where proxies stand among the homes of a service.
+ * The rank of proxies among the homes of a service, by rendezvous hashing.
  *
- * This proxy's own place is kept as a count of those before it, which one proxy
- * that comes or goes changes by one at most. Who the others are is worked out
- * only for services that somebody asks for.
+ * This proxy's own rank is kept as the number of proxies before it, which a
+ * proxy that is added or removed changes by one at most. The names of the
+ * others are computed only for services that are in use.
  */
 #include "relay_internal.h"
 
 #include <celeryquay/core/homes.h>
 
-/* A proxy's place: the higher draw is before the lower one. */
+/* Whether a proxy ranks before another: the higher draw comes first. */
 static bool is_before(uint64_t draw, const char *name, uint64_t other_draw,
 		      const char *other_name)
 {
@@ -24,7 +24,7 @@
 			 v->relay->name);
 }
 
-/* Among the proxies that are listed now. */
+/* Ranks this proxy among those that are listed now. */
 void rrk_init(struct rservice *v)
 {
 	struct database_conf conf = { .service = v->name, .name = v->name };
@@ -39,63 +39,66 @@
 		rrk_on_come(v, name);
 }
 
-/* Another proxy is listed. */
+/* Another proxy has been listed. */
 void rrk_on_come(struct rservice *v, const char *name)
 {
 	v->rank.n_before += is_before_self(v, name);
 }
 
-/* One that was listed is no more. */
+/* Another proxy has left the list. */
 void rrk_on_gone(struct rservice *v, const char *name)
 {
 	v->rank.n_before -= is_before_self(v, name);
 }
 
-/* A proxy among the first of a service. */
-struct place {
+/* A proxy and its draw for a service. */
+struct ranked_proxy {
 	const char *name;
 	uint64_t draw;
 };
 
-/* Inserts it among the first so far, at most max; returns how many. */
-static unsigned insert_place(struct place *first, unsigned n, unsigned max,
-			     struct place p)
+/*
+ * Inserts p into the n best so far and keeps at most max. Returns how many
+ * there are then.
+ */
+static unsigned insert_best(struct ranked_proxy *best, unsigned n, unsigned max,
+			    struct ranked_proxy p)
 {
 	unsigned i = n;
 
-	while (i > 0 && is_before(p.draw, p.name, first[i - 1].draw,
-				  first[i - 1].name)) {
+	while (i > 0 &&
+	       is_before(p.draw, p.name, best[i - 1].draw, best[i - 1].name)) {
 		if (i < max)
-			first[i] = first[i - 1];
+			best[i] = best[i - 1];
 		i--;
 	}
 	if (i == max)
 		return n;
-	first[i] = p;
+	best[i] = p;
 	return MIN(n + 1, max);
 }
 
 /*
- * The names of the first `max` proxies, best first, this one among them; the
- * array has room for as many. Returns how many there are.
+ * Writes the names of the best `max` proxies, this one included, best first.
+ * Returns how many there are.
  */
 unsigned rrk_first(const struct rservice *v, const char **names, unsigned max)
 {
-	struct place *first = g_new(struct place, max);
-	struct place p = { v->relay->name, v->rank.draw };
+	struct ranked_proxy *best = g_new(struct ranked_proxy, max);
+	struct ranked_proxy p = { v->relay->name, v->rank.draw };
 	GHashTableIter iter;
 	gpointer name;
 	unsigned i, n;
 
-	n = insert_place(first, 0, max, p);
+	n = insert_best(best, 0, max, p);
 	g_hash_table_iter_init(&iter, v->relay->peers);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
 		p.name = name;
 		p.draw = homes_draw(v->rank.seed, name);
-		n = insert_place(first, n, max, p);
+		n = insert_best(best, n, max, p);
 	}
 	for (i = 0; i < n; i++)
-		names[i] = first[i].name;
-	g_free(first);
+		names[i] = best[i].name;
+	g_free(best);
 	return n;
 }
--- a/packages/relay/src/listed.c
+++ b/packages/relay/src/registry.c
@@ -1,14 +1,16 @@
 /*
- * Services, and the servers that the platform lists for them.
+ * The registry of services, and of the servers that the platform lists for
+ * them.
  */
 #define LOG_MODULE "listed"
 #include "relay_internal.h"
 
 #include <string.h>
 
-#define SWEEP_US (200 * USEC_PER_MSEC)
+/* Interval between two removals of servers that have left the list. */
+#define SWEEP_INTERVAL_US (200 * USEC_PER_MSEC)
 
-/* The service of that name, made when it isn't there. */
+/* The service of that name; created if it is new. */
 struct rservice *rls_service(struct relay *r, const char *name)
 {
 	struct rservice *v = g_hash_table_lookup(r->services, name);
@@ -88,8 +90,11 @@
 	return false;
 }
 
-/* Takes a server out whose time after the list is over. */
-static bool sweep_server(struct relay *r, struct rserver *s, uint64_t now_us)
+/*
+ * Whether a server that left the list gone_after_us ago has to be removed from
+ * the table of servers; if so, all other references to it are dropped.
+ */
+static bool drop_if_expired(struct relay *r, struct rserver *s, uint64_t now_us)
 {
 	struct rservice *v = s->service;
 
@@ -109,42 +114,43 @@
 	return true;
 }
 
-/* Takes out the servers whose time after the list is over. */
+/* Removes the servers that left the list gone_after_us ago. */
 void rls_sweep(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (now_us < r->swept_us + SWEEP_US)
+	if (now_us < r->servers_swept_at_us + SWEEP_INTERVAL_US)
 		return;
-	r->swept_us = now_us;
+	r->servers_swept_at_us = now_us;
 	g_hash_table_iter_init(&iter, r->servers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (sweep_server(r, value, now_us))
+		if (drop_if_expired(r, value, now_us))
 			g_hash_table_iter_remove(&iter);
 }
 
-/* Marks those that the list names, and unlists the others. */
-static void unlist(struct relay *r, const struct relay_server_info *infos,
-		   unsigned n_infos, uint64_t now_us)
+/* Marks the servers that the list names, and unlists the others. */
+static void unlist_missing(struct relay *r,
+			   const struct relay_server_info *infos,
+			   unsigned n_infos, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 	unsigned i;
 
-	r->servers_lists++;
+	r->n_server_lists++;
 	for (i = 0; i < n_infos; i++) {
 		struct rserver *s =
 			g_hash_table_lookup(r->servers, infos[i].id);
 
 		if (s)
-			s->list = r->servers_lists;
+			s->list = r->n_server_lists;
 	}
 	g_hash_table_iter_init(&iter, r->servers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct rserver *s = value;
 
-		if (s->list == r->servers_lists || !s->listed ||
+		if (s->list == r->n_server_lists || !s->listed ||
 		    s->service->peers)
 			continue;
 		s->listed = false;
@@ -153,14 +159,14 @@
 	}
 }
 
-/* The list of servers as it is now. */
+/* Applies the current list of servers. */
 void relay_on_servers(struct relay *r, const struct relay_server_info *infos,
 		      unsigned n_infos, uint64_t now_us)
 {
 	unsigned i;
 
 	r->listed = true;
-	unlist(r, infos, n_infos, now_us);
+	unlist_missing(r, infos, n_infos, now_us);
 	for (i = 0; i < n_infos; i++) {
 		struct rserver *s =
 			g_hash_table_lookup(r->servers, infos[i].id);
--- a/packages/relay/src/relay_internal.h
+++ b/packages/relay/src/relay_internal.h
@@ -335,10 +335,10 @@
 struct relay {
 	struct relay_settings settings;
 	struct relay_guards guards;
-	unsigned members_changed; /* how often */
-	unsigned members_lists; /* how many came */
-	char *name;
-	char *zone;
+	unsigned members_changed; /* counts changes of `members` */
+	unsigned members_lists; /* lists of members received so far */
+	char *name; /* of this proxy */
+	char *zone; /* its data centre */
 	const struct relay_ops *ops;
 	void *ctx;
 	GRand *rng;
@@ -348,56 +348,78 @@
 	GHashTable *conns; /* id -> struct rconn */
 	GHashTable *sessions; /* id -> struct rsession */
 	GHashTable *peers; /* name -> struct rpeer: other proxies */
-	unsigned peers_lists; /* how many came */
-	unsigned peers_changed; /* how often homes may have changed */
-	uint64_t peers_us; /* the last came then */
-	uint64_t peers_grew_us; /* by more than a few */
-	GPtrArray *served; /* struct rservice to look after; see role.c */
-	GPtrArray *active; /* struct rserver, the same */
+	unsigned n_peer_lists; /* lists of proxies merged so far */
+	/* Counts changes of anything that decides who the homes are. */
+	unsigned peers_changed;
+	uint64_t peers_listed_at_us; /* time of the last list of proxies */
+	/*
+	 * Time of the last list that was larger by more than a few proxies, or
+	 * of the first one if it did not name this proxy.
+	 */
+	uint64_t peers_grew_at_us;
+	GPtrArray *served; /* struct rservice that the tick runs; see role.c */
+	GPtrArray *active; /* struct rserver that the tick runs */
 	struct feed_source *feed_source;
-	struct relay_server_info *peers_held; /* a list not believed yet */
-	uint64_t peers_held_us;
-	unsigned n_held; /* proxies in it */
-	bool active_stale; /* `active` is to be listed anew */
+	/* A list of proxies that is not applied yet, NULL: none; see peer.c */
+	struct relay_server_info *peers_pending;
+	uint64_t peers_pending_since_us; /* time at which it came */
+	unsigned n_peers_pending; /* entries in it */
+	bool active_stale; /* `active` must be rebuilt */
 	bool self_listed; /* a list has named this proxy */
-	bool knows_fleet; /* who else there is; see peer.c */
-	GHashTable
-		*via; /* database -> struct rservice whose servers are homes */
-	uint64_t next_conn;
+	bool knows_fleet; /* the list of proxies is complete; see peer.c */
+	/* Database -> struct rservice whose servers are its homes; see via.c */
+	GHashTable *via;
+	uint64_t next_conn; /* id of the next connection */
 	GQueue waiting; /* struct rrun by arrival */
 	GHashTable *limits; /* account -> struct rlimit */
-	GHashTable *limits_active; /* those that have something to do */
-	GHashTable *members; /* proxies that may grant; grantor.c */
+	GHashTable *limits_active; /* of these, the ones that the tick runs */
+	GHashTable *members; /* proxies that may grant tokens; grantor.c */
 	struct rservice *grantors; /* proxies that are asked for tokens */
-	uint64_t limits_us; /* they were looked after then */
-	uint64_t known_us; /* all that the store had then is known */
-	bool unreadable; /* a configuration that could not be read came */
-	uint64_t store_heard_us; /* the store's last answer */
-	uint64_t known_revision; /* what the store had then was told */
-	unsigned servers_lists; /* how often one came */
-	bool store_lost; /* it has not answered since */
-	bool listed; /* the list of servers came */
-	uint64_t started_us;
-	uint64_t ticked_us;
-	uint64_t swept_us; /* servers that are gone were taken out then */
-	uint64_t minded_us; /* homes were looked after then */
-	uint64_t isolated_us; /* since when hardly a home is reached, 0: not */
+	uint64_t limits_us; /* time at which the tick last ran the limits */
+	/* This proxy knows all that the store had at this time; 0: nothing. */
+	uint64_t known_us;
+	/* The newest configuration could not be read. */
+	bool unreadable;
+	uint64_t store_heard_us; /* time of the store's last answer */
+	/* All that the store had at this revision has been reported. */
+	uint64_t known_revision;
+	unsigned n_server_lists; /* lists of servers received so far */
+	bool store_lost; /* the store does not answer */
+	bool listed; /* a list of servers has been received */
+	uint64_t started_us; /* time of relay_create() */
+	uint64_t ticked_us; /* time of the last tick */
+	/* Time of the last removal of servers that had left the list. */
+	uint64_t servers_swept_at_us;
+	/* Time of the last check of the homes in use; see via.c */
+	uint64_t homes_checked_at_us;
+	/*
+	 * Since when more than half of the databases in use have had no
+	 * reachable home; 0: they have.
+	 */
+	uint64_t isolated_us;
 	struct retry_budget retries;
-	uint64_t stop_us;
+	uint64_t stop_us; /* start of a planned stop, if `stopping` */
 	bool stopping;
 
-	/* The duty of replacing primaries. */
-	bool duty_known;
-	uint64_t duty_revision;
-	char *duty_holder;
-	uint64_t duty_changed_us;
-	uint64_t duty_used_us; /* another may have been at a change then */
-	uint64_t duty_others_us; /* another claimed it then, 0: not since start
-				  */
-	bool claiming;
-	uint64_t claimed_us; /* start of the claim that gave the token */
-	uint64_t claim_sent_us;
-	uint64_t token; /* 0: none */
+	/*
+	 * The duty record: which proxy replaces failed primaries. A proxy
+	 * claims the duty by writing it.
+	 */
+	bool duty_known; /* the record, or its absence, has been read */
+	uint64_t duty_revision; /* the record's in the store, 0: no record */
+	char *duty_holder; /* name of the proxy that claimed last */
+	uint64_t duty_changed_us; /* time at which a new revision was seen */
+	/*
+	 * Last time at which another proxy was seen to have claimed the duty;
+	 * it may have been replacing a primary then.
+	 */
+	uint64_t duty_used_us;
+	/* The same, not counting the record as first read; 0: never. */
+	uint64_t duty_others_us;
+	bool claiming; /* a claim awaits its answer */
+	uint64_t claimed_us; /* start of the claim that gave `token` */
+	uint64_t claim_sent_us; /* start of the last claim */
+	uint64_t token; /* revision of this process's claim, 0: none */
 
 	struct counter *n_reads_replica;
 	struct counter *n_reads_primary;
--- a/packages/relay/src/role.c
+++ b/packages/relay/src/role.c
@@ -1,63 +1,72 @@
 /*
- * Which services this proxy is a home of, and who the other homes are.
+ * Which services this proxy is a home of, and which proxies the other homes
+ * are.
  *
- * A server's connections are for all proxies together. Where there are too many
- * proxies for each to have some, only a few of them, the service's homes,
- * connect to its servers; the others lend their sessions connections to homes.
- * A home treats these as sessions of its own, so every decision about servers
- * is made there; the session's values, prepared statements and floor come along
- * with each use: via.c.
+ * All proxies share the connections that a server accepts. If there are too
+ * many proxies for each to have some, only a few of them, the homes of the
+ * service, connect to its servers; the others connect to homes and run their
+ * sessions' statements there. A home treats these connections as sessions of
+ * its own, so every decision about servers is made there; the session's values,
+ * prepared statements and floor (the position that its reads must see) are sent
+ * along with each use. See via.c.
  */
 #define LOG_MODULE "role"
 #include "relay_internal.h"
 
-/* Tenths of a connection at a server, for a proxy that serves by itself. */
-#define DIRECT_TENTHS 25
-#define HOME_CONNS 5 /* at a server, for a home */
-#define HOMES_LEAST 4
-/* Each home probes each server, and knows of the others' load only by that. */
-#define HOMES_MOST 16
-#define HOMES_MAX 64
-/* Homes that each proxy is for others, where services share a fleet. */
-#define HOMES_A_PROXY 2
 /*
- * Proxies next in rank to the homes, for those that reach none. Of a split
- * that leaves a third of the proxies on one side, four more leave one service
- * in 6,561 without any on that side; four homes alone, one in 81.
+ * Tenths of a connection that each proxy must have at a server for all proxies
+ * to connect to it.
+ */
+#define DIRECT_CONN_TENTHS 25
+#define CONNS_PER_HOME 5 /* connections that a home should have at a server */
+/* Fewest and most homes where not all proxies connect to the servers. */
+#define LIMITED_HOMES_MIN 4
+/* Each home probes each server, and learns of other homes' load only so. */
+#define LIMITED_HOMES_MAX 16
+#define HOMES_MAX 64 /* most homes of any service */
+/* Services that each proxy should be a home of where services share a fleet. */
+#define HOMES_PER_PROXY 2
+/*
+ * Spares: the proxies that rank next to the homes, and stand in for these where
+ * no home can be reached. If a partition cuts off a third of the proxies, all
+ * four homes of one service in 81 are among that third; with four spares, all
+ * eight of one service in 6,561.
  */
 #define SPARES 4
-/* A spare that nobody has asked for so long is none any more. */
-#define SPARE_US (10 * USEC_PER_SEC)
+/* A spare stops being a home if nobody has asked it for this long. */
+#define SPARE_ACTIVE_US (10 * USEC_PER_SEC)
 
-/* This one included. */
+/* The number of proxies, this one included. */
 unsigned rrl_proxies(const struct relay *r)
 {
 	return g_hash_table_size(r->peers) + 1;
 }
 
 /*
- * A service's share of the fleet. A fleet is sized for what all services have
- * to do; where they are as many as the proxies, homes by the servers'
- * connections alone would keep a connection to each of these for hardly a
- * statement, and probe it all the same.
+ * How many of n proxies a service may have as homes if all services get equally
+ * many. A fleet is sized for the load of all services. With as many services as
+ * proxies, homes counted by the servers' connections alone would keep
+ * connections that hardly a statement uses, and that are probed all the same.
  */
 static unsigned fleet_share(const struct rservice *v, unsigned n)
 {
 	const struct relay_catalog *c = v->relay->catalog;
 	unsigned n_services = c ? relay_catalog_services(c) : 0;
 
-	return n * HOMES_A_PROXY / MAX(n_services, 1);
+	return n * HOMES_PER_PROXY / MAX(n_services, 1);
 }
 
 /* How many of n proxies are homes of the service. */
 static unsigned homes_wanted(const struct rservice *v, unsigned n)
 {
 	unsigned limit = v->max_connections;
-	unsigned most = MIN(HOMES_MOST, fleet_share(v, n));
+	unsigned max_homes = MIN(LIMITED_HOMES_MAX, fleet_share(v, n));
 
-	if (!limit || n * DIRECT_TENTHS <= limit * 10)
+	if (!limit || n * DIRECT_CONN_TENTHS <= limit * 10)
 		return MIN(n, HOMES_MAX);
-	return MIN(MAX(MIN(limit / HOME_CONNS, most), HOMES_LEAST), n);
+	return MIN(MAX(MIN(limit / CONNS_PER_HOME, max_homes),
+		       LIMITED_HOMES_MIN),
+		   n);
 }
 
 static void log_home(const struct rservice *v)
@@ -73,7 +82,10 @@
 	log_event_end(l);
 }
 
-/* Nobody was looked for before; it can't be missing yet. */
+/*
+ * The search for the service's primary starts now, so it does not count as
+ * missing yet.
+ */
 static void become_home(struct rservice *v)
 {
 	v->is_home = true;
@@ -82,20 +94,21 @@
 	log_home(v);
 }
 
-/* Whether this proxy stands in for homes that others don't reach. */
+/* Whether this proxy, as a spare, stands in for unreachable homes. */
 static bool is_spare_in_use(const struct rservice *v)
 {
-	return v->spare_us && v->relay->ticked_us < v->spare_us + SPARE_US;
+	return v->spare_us &&
+	       v->relay->ticked_us < v->spare_us + SPARE_ACTIVE_US;
 }
 
-static void end_home(struct rservice *v)
+static void stop_being_home(struct rservice *v)
 {
 	v->is_home = false;
 	if (v->servers->len)
 		log_home(v);
 }
 
-/* Becomes a home of the service, or ends being one; whether it did. */
+/* Becomes a home of the service, or stops being one. True: one of these. */
 static bool update_role(struct rservice *v)
 {
 	unsigned wanted = homes_wanted(v, rrl_proxies(v->relay));
@@ -107,13 +120,13 @@
 	if (is_home)
 		become_home(v);
 	else
-		end_home(v);
+		stop_being_home(v);
 	return true;
 }
 
 /*
- * Lists the services whose servers must be looked after here: the rest of a
- * large fleet's costs nothing between two changes.
+ * Lists the services whose servers the tick has to run. In a large fleet they
+ * are few; the others cost nothing until a list or configuration changes.
  */
 void rrl_list_served(struct relay *r)
 {
@@ -131,7 +144,10 @@
 	}
 }
 
-/* Takes over what lists and limits say now; whether a role was changed. */
+/*
+ * Adapts all roles to the current lists and connection limits. True: a role
+ * has changed.
+ */
 bool rrl_update(struct relay *r)
 {
 	GHashTableIter iter;
@@ -144,7 +160,7 @@
 	return changed;
 }
 
-/* Copies the names of others; whether they differ from those before. */
+/* Copies the names without `self`. True: they differ from those before. */
 static bool copy_names(GPtrArray *to, const char *const *names, unsigned n,
 		       const char *self)
 {
@@ -168,7 +184,7 @@
 	return differs;
 }
 
-/* Brings the names of the service's homes and spares up to date. */
+/* Updates the names of the service's homes and spares. */
 static void list_homes(struct rservice *v)
 {
 	const char *names[HOMES_MAX];
@@ -189,14 +205,14 @@
 	return v->homes;
 }
 
-/* The names of those next in rank; see via.c. */
+/* The names of the spares; see via.c. */
 GPtrArray *rrl_spares(struct rservice *v)
 {
 	rrl_homes(v);
 	return v->spares;
 }
 
-/* A service that nobody knew before. */
+/* A service is new. */
 void rrl_on_service(struct rservice *v)
 {
 	rrk_init(v);
@@ -204,8 +220,8 @@
 }
 
 /*
- * Another proxy wants the service served here. One that isn't a home becomes
- * one for a while: it is a spare, asked by proxies that reach no home.
+ * Another proxy asks this one to serve the service. If it isn't a home, it is a
+ * spare, asked by a proxy that reaches no home, and becomes a home for a while.
  */
 void rrl_on_asked(struct rservice *v, uint64_t now_us)
 {
@@ -218,7 +234,7 @@
 	rrl_list_served(v->relay);
 }
 
-/* Spares that are not asked any more end being homes. */
+/* Spares that are not asked any more stop being homes. */
 void rrl_end_spares(struct relay *r, uint64_t now_us)
 {
 	bool ended = false;
@@ -227,7 +243,7 @@
 	for (i = 0; i < r->served->len; i++) {
 		struct rservice *v = g_ptr_array_index(r->served, i);
 
-		if (!v->spare_us || now_us < v->spare_us + SPARE_US ||
+		if (!v->spare_us || now_us < v->spare_us + SPARE_ACTIVE_US ||
 		    rch_is_running(v))
 			continue;
 		v->spare_us = 0;
--- a/packages/relay/src/via.c
+++ b/packages/relay/src/via.c
@@ -1,39 +1,60 @@
 /*
- * The homes of a database's service, as servers that this proxy lends its
- * sessions connections to: which of them it knows, which one runs a statement,
- * and when one that is cut off is passed by.
+ * Sends statements through the homes of a service (role.c), which are proxies
+ * that this one treats as servers of the database: which homes it lists, which
+ * one runs a statement, and when one that is cut off is avoided.
  *
- * A proxy that can't reach a primary that others may reach goes through one of
- * them in the same way. What came from a proxy is never passed on again.
+ * A proxy that can't reach a primary which other proxies may reach goes through
+ * one of these in the same way. A statement that came from a proxy is never
+ * sent on to another one.
  */
 #define LOG_MODULE "via"
 #include "relay_internal.h"
 
-#define VIA_HOMES 3 /* that a proxy keeps connections to */
-#define HELP_TRIES 3 /* a queue's turn has room for no more */
-#define REFUSED_COST_US (200 * USEC_PER_MSEC) /* above what load costs */
-/* Most changes of server and lost packets are over by then. */
+#define HOMES_LISTED 3 /* homes of a database that a proxy connects to */
+/* Tries of a statement; the queue timeout leaves no time for more. */
+#define HELP_TRIES 3
+/*
+ * Added to the latency of a home that refused a statement: more than what load
+ * adds.
+ */
+#define REFUSAL_PENALTY_US (200 * USEC_PER_MSEC)
+/*
+ * Another proxy is asked if the primary could not be used for this long: most
+ * changes of primary and packet losses are over by then.
+ */
 #define HELP_AFTER_US (200 * USEC_PER_MSEC)
 /*
- * A home that said so is tried again after that. A proxy of many asks for one
- * database about once a second, and cuts last for seconds.
+ * A home that reported that it is cut off is used again after this. In a large
+ * fleet a proxy asks for one database about once a second, and partitions last
+ * for seconds.
+ */
+#define CUT_OFF_RETRY_US (5 * USEC_PER_SEC)
+/* The most homes that are listed when some of them are bad. */
+#define HOMES_LISTED_MAX 8
+/*
+ * Without reachable homes for this long a proxy is isolated. Connecting to the
+ * homes of a database that is new here takes some 20 ms.
+ */
+#define ISOLATED_AFTER_US (500 * USEC_PER_MSEC)
+/*
+ * A database counts as without homes if none could serve it for this long.
+ * After a crash of the primary, homes are without one for 1.3 to 2.5 s.
  */
-#define CUT_OFF_US (5 * USEC_PER_SEC)
-/* With homes that are cut off among them, so many at most. */
-#define VIA_HOMES_MOST 8
-/* Homes that are asked for first are there after some 20 ms. */
-#define ISOLATED_US (500 * USEC_PER_MSEC)
-/* A crashed primary leaves its homes without for 1.3 to 2.5 s. */
-#define NO_HOME_US USEC_PER_SEC
-#define MIND_US (200 * USEC_PER_MSEC)
-#define WANTED_US (3 * USEC_PER_SEC) /* a database was asked for */
+#define NO_HOME_AFTER_US USEC_PER_SEC
+/* Interval between two checks of the homes in use. */
+#define HOMES_INTERVAL_US (200 * USEC_PER_MSEC)
+/* A database is in use for this long after a statement for it. */
+#define IN_USE_US (3 * USEC_PER_SEC)
 /*
- * For so long after that its homes are kept. Probes of three homes for that
- * long cost what it takes to connect to them again.
+ * Its homes stay listed for this long after a statement. Probing three homes
+ * for that long costs as much as connecting to them again.
  */
-#define KEPT_US (10 * USEC_PER_SEC)
+#define HOMES_KEPT_US (10 * USEC_PER_SEC)
 
-/* Those near first; among them each proxy prefers others. */
+/*
+ * Less is better: proxies in the same data centre come first, then a hash of
+ * both names, so that each proxy prefers different ones.
+ */
 static uint64_t preference(const struct relay *r,
 			   const struct relay_server_info *p)
 {
@@ -46,10 +67,10 @@
 	return draw;
 }
 
-/* The best of these proxies that is not in the service's list yet. */
-static const struct relay_server_info *next_of(const GPtrArray *names,
-					       const struct rservice *v,
-					       const struct rservice *via)
+/* The best of the named proxies that `via` doesn't list yet; NULL: none. */
+static const struct relay_server_info *best_unlisted(const GPtrArray *names,
+						     const struct rservice *v,
+						     const struct rservice *via)
 {
 	const struct relay_server_info *best = NULL;
 	unsigned i, j;
@@ -71,7 +92,7 @@
 	return best;
 }
 
-/* A proxy as a server of the database, made when it isn't there. */
+/* Lists a proxy as a server of the database; creates or updates its entry. */
 struct rserver *rvi_list_home(struct rservice *via,
 			      const struct relay_server_info *p,
 			      uint64_t now_us)
@@ -112,8 +133,9 @@
 	unsigned i;
 
 	unlist_homes(via, now_us);
-	for (i = 0; i < VIA_HOMES; i++) {
-		const struct relay_server_info *p = next_of(homes, v, via);
+	for (i = 0; i < HOMES_LISTED; i++) {
+		const struct relay_server_info *p =
+			best_unlisted(homes, v, via);
 
 		if (!p)
 			break;
@@ -122,20 +144,20 @@
 	via->homes_changed = v->homes_changed;
 }
 
-/* Whether nobody has asked for the database for a while. */
+/* Whether no statement has needed the database for HOMES_KEPT_US. */
 static bool is_at_rest(const struct rservice *via, uint64_t now_us)
 {
-	return now_us > via->wanted_us + KEPT_US;
+	return now_us > via->wanted_us + HOMES_KEPT_US;
 }
 
-/* Whether the service's homes are others than those that are listed. */
-static bool are_homes_other(const struct rservice *via, struct rservice *v)
+/* Whether the service's homes have changed since `via` listed them. */
+static bool have_homes_changed(const struct rservice *via, struct rservice *v)
 {
 	rrl_homes(v);
 	return via->homes_changed != v->homes_changed;
 }
 
-/* A proxy has another address now. */
+/* The entry of a proxy, such as its address, has changed. */
 void rvi_update_home(struct relay *r, const struct relay_server_info *p,
 		     uint64_t now_us)
 {
@@ -157,9 +179,10 @@
 }
 
 /*
- * Failure: a database isn't asked for here any more, or was taken out of the
- * configuration; its homes stay listed, and one that stopped, or that refuses
- * the database, is connected to several times a second for ever.
+ * Brings the homes of all databases up to date. Those of a database that is not
+ * used here any more, or was removed from the configuration, are unlisted:
+ * otherwise the proxy would for ever try several times a second to connect to a
+ * home that has stopped, or that refuses the database.
  */
 void rvi_list_all(struct relay *r, uint64_t now_us)
 {
@@ -173,19 +196,20 @@
 
 		if (!v || is_at_rest(via, now_us))
 			unlist_homes(via, now_us);
-		else if (are_homes_other(via, v))
+		else if (have_homes_changed(via, v))
 			list_homes(via, v, now_us);
 	}
 }
 
-/* Whether it failed, or refused a connection or a statement just now. */
+/* Whether it fails, or has just refused a connection or a statement. */
 static bool is_bad_home(const struct rserver *s, uint64_t now_us)
 {
 	return s->failing_us || now_us < s->refused_until_us ||
 	       (s->heard_us && !rvi_is_good_home(s, now_us));
 }
 
-static bool is_reached(const struct rservice *via)
+/* Whether a connection to any listed home is up. */
+static bool is_any_home_up(const struct rservice *via)
 {
 	unsigned i;
 
@@ -199,17 +223,17 @@
 }
 
 /*
- * Failure: the few homes that this proxy knows are cut off, or lack the
- * configuration, and its callers are refused while other homes serve. Guard:
- * as many more are listed as are bad, until all are good again.
+ * The few homes that this proxy lists may be cut off, or lack the
+ * configuration; its callers would be refused while other homes serve. So one
+ * more is listed for each that is bad, until all are good again.
  *
- * Failure: a network partition leaves all homes of a service on the other
- * side, and callers here are refused though its servers are in reach. Guard:
- * where no home is reached, the proxies next in rank are asked, which are the
- * same for all on this side and become homes for that.
+ * A network partition may leave all homes of a service on the other side;
+ * callers here would be refused although its servers can be reached. So if no
+ * home can be reached, the proxies next in rank, the spares, are asked. They
+ * are the same for all proxies on this side, and become homes when asked.
  */
-static void mind_homes(struct rservice *via, struct rservice *v,
-		       uint64_t now_us)
+static void adjust_homes(struct rservice *via, struct rservice *v,
+			 uint64_t now_us)
 {
 	const struct relay_server_info *p;
 	unsigned i, n_listed = 0, n_good = 0;
@@ -220,20 +244,20 @@
 		n_listed += s->listed;
 		n_good += s->listed && !is_bad_home(s, now_us);
 	}
-	if (n_listed > VIA_HOMES && n_good == n_listed) {
+	if (n_listed > HOMES_LISTED && n_good == n_listed) {
 		list_homes(via, v, now_us);
 		return;
 	}
-	if (n_good >= VIA_HOMES || n_listed >= VIA_HOMES_MOST)
+	if (n_good >= HOMES_LISTED || n_listed >= HOMES_LISTED_MAX)
 		return;
-	p = next_of(rrl_homes(v), v, via);
-	if (!p && !is_reached(via))
-		p = next_of(rrl_spares(v), v, via);
+	p = best_unlisted(rrl_homes(v), v, via);
+	if (!p && !is_any_home_up(via))
+		p = best_unlisted(rrl_spares(v), v, via);
 	if (p)
 		rvi_list_home(via, p, now_us);
 }
 
-/* Notes since when no home of a database can serve, as far as is known. */
+/* Notes since when no home of a database is known to be able to serve. */
 static void note_good_homes(struct rservice *via, uint64_t now_us)
 {
 	unsigned i;
@@ -251,26 +275,26 @@
 }
 
 /*
- * Lets go of homes that nobody asks for. True: there are none left.
+ * Unlists the homes of a database that is not in use. True: none are left.
  *
- * Failure: a proxy of a large fleet is asked for each of thousands of databases
- * now and then. Without an end it comes to hold connections to the homes of
- * all of them, and both sides probe these on and on.
+ * A proxy of a large fleet gets a statement for each of thousands of databases
+ * now and then. If homes stayed listed, it would end up with connections to the
+ * homes of all of them, which both sides would probe for ever.
  */
-static bool let_go(struct rservice *via, uint64_t now_us)
+static bool release_homes(struct rservice *via, uint64_t now_us)
 {
 	if (!is_at_rest(via, now_us))
 		return false;
 	if (via->homes_changed)
 		unlist_homes(via, now_us);
-	via->homes_changed = 0; /* to be listed anew when it is asked for */
+	via->homes_changed = 0; /* the next statement lists them again */
 	return !via->servers->len;
 }
 
-/* Looks after the homes of what callers ask for. */
-static void mind_all(struct relay *r, uint64_t now_us)
+/* Checks the homes of all databases in use. */
+static void adjust_all_homes(struct relay *r, uint64_t now_us)
 {
-	unsigned n_wanted = 0, n_lost = 0;
+	unsigned n_in_use = 0, n_unreachable = 0;
 	GHashTableIter iter;
 	gpointer value;
 
@@ -279,32 +303,32 @@
 		struct rservice *via = value;
 		struct rservice *v = rls_service_of(r, via->name);
 
-		if (let_go(via, now_us)) {
+		if (release_homes(via, now_us)) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
-		if (!v || v->is_home || now_us > via->wanted_us + WANTED_US)
+		if (!v || v->is_home || now_us > via->wanted_us + IN_USE_US)
 			continue;
-		mind_homes(via, v, now_us);
+		adjust_homes(via, v, now_us);
 		note_good_homes(via, now_us);
-		n_wanted++;
-		n_lost += !is_reached(via);
+		n_in_use++;
+		n_unreachable += !is_any_home_up(via);
 	}
-	if (n_lost * 2 <= n_wanted)
+	if (n_unreachable * 2 <= n_in_use)
 		r->isolated_us = 0;
 	else if (!r->isolated_us)
 		r->isolated_us = now_us;
 }
 
-/* Whether most of what callers ask for has had no home for a while. */
+/* Whether most databases in use have had no reachable home for a while. */
 bool rvi_is_isolated(const struct relay *r, uint64_t now_us)
 {
-	return r->isolated_us && now_us > r->isolated_us + ISOLATED_US;
+	return r->isolated_us && now_us > r->isolated_us + ISOLATED_AFTER_US;
 }
 
 /*
- * Whether a session's database has had no home here for a while that can
- * serve it. A replaced primary is back sooner.
+ * Whether no listed home has been able to serve the session's database for a
+ * while. A primary that is being replaced is back sooner.
  */
 bool rvi_has_no_home(const struct rsession *s, uint64_t now_us)
 {
@@ -312,19 +336,19 @@
 		g_hash_table_lookup(s->relay->via, s->database);
 
 	return s->relay->guards.leave_when_cut_off && via && via->in_vain_us &&
-	       now_us > via->in_vain_us + NO_HOME_US;
+	       now_us > via->in_vain_us + NO_HOME_AFTER_US;
 }
 
-/* Looks after homes now and then. */
+/* Checks the homes every HOMES_INTERVAL_US. */
 void rvi_tick(struct relay *r, uint64_t now_us)
 {
-	if (now_us < r->minded_us + MIND_US)
+	if (now_us < r->homes_checked_at_us + HOMES_INTERVAL_US)
 		return;
-	r->minded_us = now_us;
-	mind_all(r, now_us);
+	r->homes_checked_at_us = now_us;
+	adjust_all_homes(r, now_us);
 }
 
-/* The homes of the service, as servers of this database. */
+/* The homes of the service as servers of this database; created if new. */
 static struct rservice *via_of(struct rservice *v, const char *database,
 			       uint64_t now_us)
 {
@@ -336,92 +360,98 @@
 		via->peers = true;
 		g_hash_table_insert(r->via, via->name, via);
 	}
-	if (are_homes_other(via, v))
+	if (have_homes_changed(via, v))
 		list_homes(via, v, now_us);
 	return via;
 }
 
 /*
- * Whether others may reach a primary that this proxy can't: it fails here, or
- * no replica can be heard, and no change of primary explains that.
+ * Whether other proxies may reach a primary that this one can't: it fails here,
+ * or no replica confirms it, and no change of primary explains that.
  */
 static bool others_may_reach(const struct rservice *v, uint64_t now_us)
 {
 	if (rch_is_running(v) || now_us < v->usable_us + HELP_AFTER_US)
 		return false;
 	if (!v->usable_us)
-		return true; /* it was made a home and isn't ready yet */
+		return true; /* this proxy has only just become a home */
 	return v->primary && (v->primary->failing_us || !rld_holds(v, now_us));
 }
 
-/* Whether a run of a caller's may go through another proxy. */
+/*
+ * Whether a home that can't reach the primary may send a caller's statement
+ * through another home.
+ */
 bool rvi_may_help(const struct rsession *s, struct rservice *v, uint64_t now_us)
 {
 	return !s->peer && rrl_homes(v)->len && s->run.tries < HELP_TRIES &&
 	       others_may_reach(v, now_us);
 }
 
-static bool fails_for_long(const struct rserver *s, uint64_t now_us)
+static bool has_failed_long(const struct rserver *s, uint64_t now_us)
 {
 	return s->failing_us && now_us > s->failing_us + HELP_AFTER_US;
 }
 
-/* Whether the primary has failed for a while, or all that could confirm it. */
-static bool is_known_to_fail(const struct rservice *v, uint64_t now_us)
+/* Whether the primary, or each server that could confirm it, has long failed.
+ */
+static bool is_primary_unusable(const struct rservice *v, uint64_t now_us)
 {
 	unsigned i;
 
-	if (fails_for_long(v->primary, now_us))
+	if (has_failed_long(v->primary, now_us))
 		return true;
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
 
-		if (s != v->primary && !fails_for_long(s, now_us))
+		if (s != v->primary && !has_failed_long(s, now_us))
 			return false;
 	}
 	return true;
 }
 
 /*
- * Whether another proxy's statement should be told at once that this home
- * can't serve it.
+ * Whether a statement of another proxy should be answered at once with a report
+ * that this home is cut off.
  *
- * Failure: some homes are cut off from a primary, or from all of its replicas.
- * Proxies that go through them have their callers refused, each after a
- * queue's turn, while other homes serve. Guard: such a home says so, which
- * ordinary load never does, and the statement goes to another one.
+ * Some homes may be cut off from a primary, or from all of its replicas.
+ * Callers of proxies that go through them would be refused, each after the
+ * queue timeout, while other homes serve. Such a home therefore reports that it
+ * is cut off, which it never does under mere load, and the statement goes to
+ * another home.
  */
 bool rvi_is_cut_off(struct rservice *v, uint64_t now_us)
 {
 	if (!rrl_homes(v)->len || !v->primary || !others_may_reach(v, now_us))
 		return false;
 	return (v->in_vain_us && now_us > v->in_vain_us + HELP_AFTER_US) ||
-	       is_known_to_fail(v, now_us);
+	       is_primary_unusable(v, now_us);
 }
 
-/* Whether it is reached, and has not said just now that it can't serve. */
+/* Whether it is up and has not lately reported that it is cut off. */
 bool rvi_is_good_home(const struct rserver *s, uint64_t now_us)
 {
 	return rsv_is_up(s) &&
-	       (!s->cut_off_us || now_us > s->cut_off_us + CUT_OFF_US);
+	       (!s->cut_off_us || now_us > s->cut_off_us + CUT_OFF_RETRY_US);
 }
 
 /*
- * A home had no server for a run in time. One that only helps round a cut may
- * be cut off itself, so that others are asked first; where homes are the only
- * way, asking another would add to an overload. True: another may be asked.
+ * A home refused a statement as no server could take it in time. True: another
+ * home may be tried. That is so only if this proxy is a home that goes round a
+ * partition, as the home that it asked may be cut off, too. A proxy that is no
+ * home must not try another one: that would add to an overload.
  */
 bool rvi_on_refused(const struct rsession *s, struct rserver *home)
 {
 	const struct rservice *v = rls_service_of(s->relay, s->database);
 
-	home->latency_us += REFUSED_COST_US;
+	home->latency_us += REFUSAL_PENALTY_US;
 	return v && v->is_home && s->run.tries + 1 < HELP_TRIES;
 }
 
 /*
- * A database that was at rest is asked for: its homes are connected to now, not
- * with the next tick.
+ * Connects to the homes of a database that was not in use, rather than leaving
+ * that to the next tick.
  */
 static void open_homes(struct rservice *via, uint64_t now_us)
 {
@@ -435,7 +465,7 @@
 	}
 }
 
-/* Chooses a home for the session's run. */
+/* Chooses a home for the session's statement. */
 void rvi_choose(struct rsession *s, const struct relay_profile *profile,
 		struct rservice *v, struct rpick *out, uint64_t now_us)
 {
