--- a/packages/relay/include/celeryquay/relay/server_list.h
+++ b/packages/relay/include/celeryquay/relay/server_list.h
@@ -1,7 +1,10 @@
 #ifndef CELERYQUAY_RELAY_SERVER_LIST_H
 #define CELERYQUAY_RELAY_SERVER_LIST_H
 
-/* The servers that a platform lists one by one, for a relay that takes all. */
+/*
+ * Collects servers that a platform lists one by one, for a relay that takes the
+ * whole list.
+ */
 
 #include <celeryquay/relay/relay.h>
 
@@ -12,27 +15,35 @@
 			      const struct relay_server_info *infos,
 			      unsigned n_infos, uint64_t now_us);
 
-/* Empty; tells_empty: passed on once also when nothing was put into it. */
-struct relay_server_list *relay_server_list_create(bool tells_empty);
+/*
+ * An empty list. report_empty: it is passed on once even if nothing was put
+ * into it.
+ */
+struct relay_server_list *relay_server_list_create(bool report_empty);
 void relay_server_list_destroy(struct relay_server_list *l);
-/* The info is the list's from now on. */
+/* The list takes ownership of the info. */
 void relay_server_list_put(struct relay_server_list *l, const char *key,
 			   struct relay_server_info *info);
 void relay_server_list_remove(struct relay_server_list *l, const char *key);
-/* What the key has now names nobody: who was there is not to be used. */
+/*
+ * The key's entry became unreadable: the server that it named gets no new work.
+ */
 void relay_server_list_withdraw(struct relay_server_list *l, const char *key);
 unsigned relay_server_list_size(const struct relay_server_list *l);
-/* Passes the list on if it was changed. */
+/* Calls `pass` with the list if it has changed since the last call. */
 void relay_server_list_pass(struct relay_server_list *l, struct relay *r,
 			    relay_list_fn pass, uint64_t now_us);
-/* Passes on a part of it, with which it doesn't count as passed on. */
+/*
+ * Calls `pass` with the list while it is incomplete; it still counts as
+ * changed.
+ */
 void relay_server_list_show(const struct relay_server_list *l, struct relay *r,
 			    relay_list_fn pass, uint64_t now_us);
 
-/* Strings are copied with the rest. */
+/* Copies the info and its strings. */
 void relay_server_info_copy(struct relay_server_info *to,
 			    const struct relay_server_info *from);
-/* The same over a copy that was made before. */
+/* Overwrites an earlier copy. */
 void relay_server_info_replace(struct relay_server_info *to,
 			       const struct relay_server_info *from);
 /* Frees the strings of a copy. */
--- a/packages/relay/src/code.c
+++ b/packages/relay/src/code.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* As logs, metrics and docs/errors.md have them. */
+/* Names and numbers of the codes in logs, metrics and docs/errors.md. */
 static const struct relay_code_info codes[RELAY_CODES] = {
 	[RELAY_OK] = { "OK", "done", 2000, RELAY_OUTCOME_DONE },
 	[RELAY_BUSY] = { "BUSY", "no server could take it in time", 2001,
@@ -42,13 +42,13 @@
 			  2013, RELAY_OUTCOME_FAILED },
 };
 
-/* The row of a code. */
+/* The description of a code; of RELAY_OTHER for one out of range. */
 const struct relay_code_info *relay_code_info(enum relay_code code)
 {
 	return &codes[code < RELAY_CODES ? code : RELAY_OTHER];
 }
 
-/* The row of a code's name, NULL when there is none. */
+/* The description of the code of that name; NULL: there is none. */
 const struct relay_code_info *relay_code_find(const char *name)
 {
 	unsigned i;
@@ -59,7 +59,7 @@
 	return NULL;
 }
 
-/* As metrics label them. */
+/* The outcome's value in labels of metrics and in logs. */
 const char *relay_outcome_name(enum relay_outcome outcome)
 {
 	static const char *const names[RELAY_OUTCOMES] = {
--- a/packages/relay/src/feed_source.c
+++ b/packages/relay/src/feed_source.c
@@ -103,7 +103,7 @@
 	char *name;
 	char *zone;
 	GPtrArray *proxies; /* struct relay_server_info, without this one */
-	/* Entries of `proxies`, in this proxy's order of preference. */
+	/* Borrowed from `proxies`; in this proxy's order of preference. */
 	GPtrArray *watchers;
 	GHashTable *faults; /* name -> struct fault */
 	/* Until then the store is asked, not a watcher. */
--- a/packages/relay/src/relay.c
+++ b/packages/relay/src/relay.c
@@ -1,5 +1,6 @@
 /*
- * The relay as a whole: its tables, what the platform tells it, and the tick.
+ * The relay as a whole: its creation, what the platform reports to it, and the
+ * tick.
  */
 #define LOG_MODULE "relay"
 #include "relay_internal.h"
@@ -7,12 +8,13 @@
 #include <celeryquay/base/log.h>
 #include <string.h>
 
-/* One statement in so many that went well is told; see docs/OPERATIONS.md. */
+/* One in this many successful statements is logged; see docs/OPERATIONS.md. */
 #define LOG_SAMPLE 64
+/* Budget of retries: the share that a statement adds, and the maximum. */
 #define RETRY_EARN 0.1
 #define RETRY_MAX 20
 
-/* The defaults, as measured; see the design note on the relay. */
+/* The design note on the relay gives the reasons for the defaults. */
 void relay_settings_default(struct relay_settings *s)
 {
 	*s = (struct relay_settings){
@@ -46,13 +48,13 @@
 	r->n_reads_primary = count(set, "celeryquay_relay_reads_primary_total",
 				   "reads that primaries ran");
 	r->n_writes = count(set, "celeryquay_relay_writes_total",
-			    "writes told as done");
+			    "writes reported as done");
 	r->n_refused = count(set, "celeryquay_relay_refused_total",
-			     "statements told as not run, or failed");
+			     "statements reported as not run, or failed");
 	r->n_in_doubt = count(set, "celeryquay_relay_in_doubt_total",
 			      "writes whose outcome is not known");
 	r->n_promotions = count(set, "celeryquay_relay_promotions_total",
-				"promotions asked of the platform");
+				"promotions requested of the platform");
 	r->n_own = count(set, "celeryquay_relay_own_statements_total",
 			 "statements to servers that no caller sent");
 	r->n_opened = count(set, "celeryquay_relay_connections_opened_total",
@@ -63,7 +65,7 @@
 			  "connections to servers that broke or fell silent");
 }
 
-/* A relay without configuration; it opens nothing before it has one. */
+/* Opens no connection before relay_on_catalog(). */
 struct relay *relay_create(const struct relay_settings *settings,
 			   const struct relay_ops *ops, void *ctx,
 			   struct counter_set *counters, GRand *rng,
@@ -89,7 +91,7 @@
 	r->sessions = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					    rss_destroy);
 	r->peers = rpr_table();
-	r->knows_fleet = true; /* until a list says that there are others */
+	r->knows_fleet = true; /* until the first list of proxies */
 	r->served = g_ptr_array_new();
 	r->active = g_ptr_array_new();
 	r->feed_source = feed_source_create(r->name, r->zone);
@@ -107,19 +109,19 @@
 	return r;
 }
 
-/* Who is asked for the configuration and the lists. */
+/* Decides whom the platform asks for the configuration and the lists. */
 struct feed_source *relay_feed_source(struct relay *r)
 {
 	return r->feed_source;
 }
 
-/* For tests; all are on at first. */
+/* For tests; all guards are on at first. */
 struct relay_guards *relay_guards_of(struct relay *r)
 {
 	return &r->guards;
 }
 
-/* Frees all; connections and sessions are the driver's to close. */
+/* Frees the relay; the driver closes connections and sessions. */
 void relay_destroy(struct relay *r)
 {
 	if (!r)
@@ -155,7 +157,7 @@
 	log_event_end(l);
 }
 
-/* Takes over what the configuration says of services. */
+/* Applies the configuration of services. */
 static void configure_services(struct relay *r)
 {
 	GHashTableIter iter;
@@ -175,13 +177,14 @@
 	}
 }
 
-/* A version of the configuration; one that is older is left aside. */
+/* Applies a configuration that is newer than the one in force. */
 void relay_on_catalog(struct relay *r, struct relay_catalog *catalog,
 		      uint64_t now_us)
 {
 	/*
-	 * Failure: the store's answers come late or from a copy that trails,
-	 * and callers are served by rules that the operators have replaced.
+	 * The store's answers may be late, or come from a copy that lags
+	 * behind; an older version would bring back rules that the operators
+	 * have replaced.
 	 */
 	if (r->catalog && relay_catalog_version(catalog) <=
 				  relay_catalog_version(r->catalog)) {
@@ -199,24 +202,23 @@
 }
 
 /*
- * Failure: a configuration takes keys away, and its entry can't be read; who
- * goes on by the one before serves them. Guard: it counts as unknown which keys
- * are good.
+ * A configuration that can't be read may revoke keys; going on with the one
+ * before it would accept them. So no key counts as valid until another comes.
  */
 void relay_on_catalog_unreadable(struct relay *r)
 {
 	r->unreadable = true;
 }
 
-/* What was known then may be of later, but not of earlier. */
+/* Calls may come out of order; the latest time counts. */
 void relay_on_known(struct relay *r, uint64_t known_us)
 {
 	r->known_us = MAX(r->known_us, known_us);
 }
 
 /*
- * Whether this process claimed it: an earlier one of this name may have, too.
- * News of a claim may come before its answer.
+ * Whether this process made the claim; an earlier process of the same name may
+ * have made one, too. The record may be read before the claim is answered.
  */
 static bool is_own_claim(const struct relay *r, uint64_t revision,
 			 const char *holder)
@@ -226,7 +228,7 @@
 	return r->claiming && !g_strcmp0(holder, r->name);
 }
 
-/* The duty record as the store has it. */
+/* Applies the duty record unless a newer revision is known. */
 void relay_on_duty(struct relay *r, uint64_t revision, const char *holder,
 		   uint64_t now_us)
 {
@@ -248,8 +250,8 @@
 }
 
 /*
- * An answer of the store, or the lack of one. The age of its last answer is
- * how old all that came from it may be.
+ * An answer of the store, or the lack of one. The time since its last answer is
+ * the greatest age that its contents can have here.
  */
 void relay_on_store(struct relay *r, bool answers, uint64_t now_us)
 {
@@ -268,19 +270,19 @@
 		r->store_heard_us = now_us;
 }
 
-/* What is known is as old as that; whether the store answers now is not. */
+/* Sets the age of what is known, but not whether the store answers. */
 void relay_on_store_heard(struct relay *r, uint64_t heard_us)
 {
 	r->store_heard_us = heard_us;
 }
 
-/* What is known of the store may be of later, but not of earlier. */
+/* Calls may come out of order; the highest revision counts. */
 void relay_on_revision(struct relay *r, uint64_t revision)
 {
 	r->known_revision = MAX(r->known_revision, revision);
 }
 
-/* How long the store took to answer a call that does not wait for news. */
+/* Records the duration of a call that does not wait for news. */
 void relay_on_store_call(struct relay *r, uint64_t took_us)
 {
 	rmt_store_call(r, took_us);
@@ -291,7 +293,7 @@
 {
 	static const char *const names[] = {
 		[RELAY_CLAIM_DONE] = "done",
-		[RELAY_CLAIM_LOST] = "another has it",
+		[RELAY_CLAIM_LOST] = "another claimed it",
 		[RELAY_CLAIM_UNKNOWN] = "no answer",
 	};
 	struct log_line *l = log_event(LOG_STATE, "claim");
@@ -323,7 +325,7 @@
 	rch_on_claimed(r, outcome, now_us);
 }
 
-/* The platform's word on a promotion. */
+/* The platform's answer to a request to promote. */
 void relay_on_promoted(struct relay *r, const char *service, bool accepted,
 		       uint64_t now_us)
 {
@@ -351,8 +353,8 @@
 }
 
 /*
- * Lists the servers that this proxy has connections to, or is to have. In a
- * large fleet they are few of all.
+ * Lists the servers that this proxy has, or should have, connections to. In a
+ * large fleet these are few.
  */
 static void list_active(struct relay *r)
 {
@@ -381,7 +383,7 @@
 		rsv_tick(g_ptr_array_index(r->active, i), now_us);
 }
 
-/* Runs every system over its table. */
+/* Runs all periodic work. */
 void relay_tick(struct relay *r, uint64_t now_us)
 {
 	unsigned i;
@@ -402,7 +404,7 @@
 	rrun_dispatch(r, now_us);
 }
 
-/* When relay_tick() is due at the latest. */
+/* Latest time of the next relay_tick(). */
 uint64_t relay_next_tick_us(const struct relay *r)
 {
 	uint64_t next_us = r->ticked_us + TICK_US;
@@ -428,7 +430,7 @@
 	return true;
 }
 
-/* Whether callers may be sent here. */
+/* Whether new callers may be sent to this proxy. */
 bool relay_is_ready(const struct relay *r)
 {
 	GHashTableIter iter;
@@ -454,7 +456,7 @@
 	r->stop_us = now_us;
 }
 
-/* The process ends now: what its callers are left with. */
+/* The process ends now: logs the sessions that this cuts off. */
 void relay_end(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
@@ -469,7 +471,7 @@
 	}
 }
 
-/* Brings the gauges up to date, before metrics are read. */
+/* Updates the gauges before metrics are read. */
 void relay_set_gauges(struct relay *r, uint64_t now_us)
 {
 	rmt_set_gauges(r, now_us);
--- a/packages/relay/src/rlog.c
+++ b/packages/relay/src/rlog.c
@@ -1,9 +1,9 @@
 /*
- * What the relay tells about single statements and sessions. A statement that
- * was refused, failed or is in doubt is always told, with what decided it; of
- * those that went well one in `log_sample`. The sample goes by the statement's
- * id, so that the proxy that a caller came to and the home that ran it keep
- * the same ones.
+ * Log lines about statements, sessions and servers. A statement that was
+ * refused, failed or is in doubt is always logged, with the facts that decided
+ * it; of successful ones, one in `log_sample` is. They are sampled by a hash of
+ * the statement's id, so that the proxy that the caller is connected to and the
+ * home that ran the statement log the same ones.
  */
 #include "relay_internal.h"
 
@@ -25,14 +25,14 @@
 	return us > now_us ? ms(us - now_us) : 0;
 }
 
-/* A line about a statement; NULL when there are to be none, or no room. */
+/* Begins a line about a statement; NULL: disabled, or no room for it. */
 static struct log_line *begin(const struct relay *r, enum log_class class,
 			      const char *event)
 {
 	return r->settings.log_statements ? log_event(class, event) : NULL;
 }
 
-/* Whether a statement that goes well is told. */
+/* Whether a statement is logged if it succeeds. */
 bool rlg_is_sampled(const struct relay *r, const GString *id)
 {
 	unsigned every = r->settings.log_sample;
@@ -40,7 +40,7 @@
 	return every && id->len && !(XXH3_64bits(id->str, id->len) % every);
 }
 
-/* A log position; "-" when it is not known. */
+/* Writes a position in the log as "term.index"; "-": unknown. */
 void rlg_position(struct log_line *l, const char *key, struct position p)
 {
 	char text[2 * STR_U64_SIZE];
@@ -70,7 +70,7 @@
 	return verb < G_N_ELEMENTS(names) && names[verb] ? names[verb] : "-";
 }
 
-/* As settings, logs and metrics have it. */
+/* The kind's name in settings, logs and metrics. */
 const char *rlg_kind_name(enum relay_kind kind)
 {
 	static const char *const names[RELAY_KINDS] = {
@@ -82,8 +82,8 @@
 	return names[kind];
 }
 
-/* Which statement of whom, on which version of the configuration. */
-static void put_who(struct log_line *l, const struct rsession *s)
+/* The statement's id, session and account, and the configuration in force. */
+static void put_context(struct log_line *l, const struct rsession *s)
 {
 	const struct relay *r = s->relay;
 	const struct relay_profile *profile =
@@ -119,7 +119,7 @@
 	log_list_end(l);
 }
 
-/* What was believed of the primary. */
+/* What this proxy knows about the primary. */
 static void put_primary(struct log_line *l, const struct rservice *v,
 			uint64_t now_us)
 {
@@ -142,7 +142,7 @@
 	log_object_end(l);
 }
 
-/* How old what it goes by is. */
+/* The age of what this proxy's decision rests on. */
 static void put_ages(struct log_line *l, const struct relay *r, uint64_t now_us)
 {
 	log_u64(l, "store_ms", ms_since(r->store_heard_us, now_us));
@@ -152,6 +152,7 @@
 	log_u64(l, "waiting", r->waiting.length);
 }
 
+/* All that decided which server runs the statement, if any. */
 static void put_inputs(struct log_line *l, const struct rsession *s,
 		       uint64_t now_us)
 {
@@ -169,13 +170,13 @@
 	rpk_log_candidates(s, profile, l, now_us);
 }
 
-/* Whether the text is ours; a server's may hold a caller's data. */
-static bool is_ours(enum relay_code code)
+/* Whether the proxy wrote the text; a server's may contain a caller's data. */
+static bool is_own_text(enum relay_code code)
 {
 	return code != RELAY_FAILED && code != RELAY_OTHER;
 }
 
-/* What became of a statement, told with its answer. */
+/* The outcome of a statement, logged when it is answered. */
 void rlg_statement(const struct rsession *s, enum relay_code code,
 		   struct str text, uint64_t now_us)
 {
@@ -189,14 +190,17 @@
 		  "statement");
 	if (!l)
 		return;
-	put_who(l, s);
+	put_context(l, s);
 	log_cstr(l, "verb", verb_name(run->verb));
 	log_bool(l, "writes", run->writes);
 	log_cstr(l, "code", info->name);
 	log_u64(l, "number", info->number);
 	log_cstr(l, "outcome", relay_outcome_name(info->outcome));
 	if (code != RELAY_OK)
-		log_str(l, "why", is_ours(code) ? text : STR("the server's"));
+		log_str(l, "why",
+			is_own_text(code) ?
+				text :
+				STR("the server's text is withheld"));
 	log_u64(l, "total_ms", ms_since(run->arrived_us, now_us));
 	log_u64(l, "time_left_ms", ms_until(run->deadline_us, now_us));
 	log_bool(l, "sent", run->sent);
@@ -207,7 +211,7 @@
 	log_event_end(l);
 }
 
-/* Which server got it, and why; always for one that is tried again. */
+/* Which server a statement is sent to, and why; retries are always logged. */
 void rlg_route(const struct rsession *s, const struct rpick *pick,
 	       uint64_t now_us)
 {
@@ -219,7 +223,7 @@
 	l = begin(s->relay, run->tries ? LOG_FAILURE : LOG_ROUTINE, "route");
 	if (!l)
 		return;
-	put_who(l, s);
+	put_context(l, s);
 	log_cstr(l, "server", pick->server->info.id);
 	log_cstr(l, "why", pick->why);
 	log_u64(l, "try", run->tries + 1);
@@ -228,7 +232,7 @@
 	log_event_end(l);
 }
 
-/* A try that left nothing behind; the next one comes. */
+/* A try failed without effect, and another one follows. */
 void rlg_retry(const struct rsession *s, const char *server,
 	       enum relay_code code, uint64_t now_us)
 {
@@ -236,7 +240,7 @@
 
 	if (!l)
 		return;
-	put_who(l, s);
+	put_context(l, s);
 	log_cstr(l, "server", server);
 	log_cstr(l, "code", relay_code_info(code)->name);
 	log_u64(l, "try", s->run.tries);
@@ -246,10 +250,7 @@
 	log_event_end(l);
 }
 
-/*
- * Something happened to a session between statements, or while one was in
- * flight; the id is that of its last statement.
- */
+/* An event of a session; the id is that of its last statement. */
 void rlg_session(const struct rsession *s, const char *event, const char *why,
 		 uint64_t now_us)
 {
@@ -257,7 +258,7 @@
 
 	if (!l)
 		return;
-	put_who(l, s);
+	put_context(l, s);
 	log_cstr(l, "why", why);
 	log_bool(l, "in_flight", rrun_is_active(s));
 	log_bool(l, "in_transaction", s->state != 'I');
@@ -266,7 +267,7 @@
 	log_event_end(l);
 }
 
-/* A line about a server or another proxy; NULL when there is no room. */
+/* Begins a line about a server or another proxy; NULL: no room for it. */
 struct log_line *rlg_server(const struct rserver *s, const char *event)
 {
 	struct log_line *l = log_event(LOG_STATE, event);
@@ -279,7 +280,7 @@
 	return l;
 }
 
-/* One that needs no more fields. */
+/* Logs an event of a server that needs no more fields. */
 void rlg_server_event(const struct rserver *s, const char *event)
 {
 	struct log_line *l = rlg_server(s, event);
@@ -288,8 +289,8 @@
 		log_event_end(l);
 }
 
-/* Why a word does not count alone. */
-static const char *why_left_aside(const struct rserver *by, bool is_doubted)
+/* Why the replica's confirmation of the primary does not suffice alone. */
+static const char *reason_not_alone(const struct rserver *by, bool is_doubted)
 {
 	static const char *const whys[] = { "old-list", "new", "restarted" };
 
@@ -299,14 +300,15 @@
 }
 
 /*
- * A replica's word for the primary moves no lease, since it counts only with
- * that of others, from counts_us on. Told once for each replica, primary and
- * reason: an operator whose writes wait sees which server is not relied on.
+ * A replica's confirmation does not extend the primary's lease, since it counts
+ * only together with those of other replicas, from counts_us on. Logged once
+ * for each replica, primary and reason, so that an operator whose writes wait
+ * sees which server is not relied on.
  */
 void rlg_left_aside(struct rserver *by, uint64_t counts_us, bool is_doubted)
 {
 	const struct rservice *v = by->service;
-	const char *why = why_left_aside(by, is_doubted);
+	const char *why = reason_not_alone(by, is_doubted);
 	struct log_line *l;
 
 	if (counts_us >= by->agreed_us || counts_us > v->confirmed_us)
--- a/packages/relay/src/rmetrics.c
+++ b/packages/relay/src/rmetrics.c
@@ -1,7 +1,7 @@
 /*
- * Histograms and gauges of the relay. Labels are kinds of profile, not
- * profiles: at 3,400 databases one histogram each would be 58,000 lines a
- * scrape and kind, and a kind has a latency target of its own.
+ * Histograms and gauges of the relay. Their labels are the kinds of profiles,
+ * not the profiles: with 3,400 databases one histogram each would be 58,000
+ * lines per scrape and kind, and latency targets are set per kind.
  */
 #include "relay_internal.h"
 
@@ -92,7 +92,7 @@
 			       "log lines dropped since the start");
 }
 
-/* All at 0. */
+/* All metrics start at 0. */
 struct rmetrics *rmt_create(struct counter_set *set)
 {
 	struct rmetrics *m = g_new0(struct rmetrics, 1);
@@ -113,18 +113,18 @@
 				"pauses sent to servers, repeats included");
 	m->fences_again = counter_get(
 		set, COUNTER_COUNT, "celeryquay_relay_fences_again_total", NULL,
-		"fences made again because a server came");
+		"fences made again because a server appeared");
 	create_gauges(m, set);
 	return m;
 }
 
-/* The counters are the set's. */
+/* The counter set keeps the counters. */
 void rmt_destroy(struct rmetrics *m)
 {
 	g_free(m);
 }
 
-/* An answer that a caller gets. */
+/* A statement is answered to its caller. */
 void rmt_statement(const struct rsession *s, enum relay_code code,
 		   uint64_t now_us)
 {
@@ -138,7 +138,7 @@
 			now_us - s->run.arrived_us);
 }
 
-/* A statement got a connection after that long. */
+/* A statement got a connection after this time. */
 void rmt_waited(const struct relay *r, uint64_t us)
 {
 	counter_observe_us(r->metrics->wait, us);
@@ -152,19 +152,19 @@
 	counter_observe_us(s->service->peers ? m->hop : m->server, us);
 }
 
-/* The store answered. */
+/* The store answered a call after this time. */
 void rmt_store_call(const struct relay *r, uint64_t us)
 {
 	counter_observe_us(r->metrics->store_call, us);
 }
 
-/* A server is told to take part in no older term. */
+/* A server is told to reject older terms (paused). */
 void rmt_pause(const struct relay *r)
 {
 	counter_add(r->metrics->pauses, 1);
 }
 
-/* A server turned up that the pauses of a change had missed. */
+/* A server appeared that the pauses of a change of primary had missed. */
 void rmt_fence_again(const struct relay *r)
 {
 	counter_add(r->metrics->fences_again, 1);
@@ -239,7 +239,7 @@
 	counter_set(r->metrics->without_primary, n);
 }
 
-/* Brings the gauges up to date. */
+/* Updates the gauges. */
 void rmt_set_gauges(const struct relay *r, uint64_t now_us)
 {
 	const struct rmetrics *m = r->metrics;
--- a/packages/relay/src/server_list.c
+++ b/packages/relay/src/server_list.c
@@ -25,7 +25,7 @@
 	g_free(info->zone);
 }
 
-/* `from` may point into what `to` has. */
+/* Strings of `from` may be those of `to`. */
 void relay_server_info_replace(struct relay_server_info *to,
 			       const struct relay_server_info *from)
 {
@@ -35,7 +35,7 @@
 	relay_server_info_clear(&old);
 }
 
-/* Whether both say the same in each field. */
+/* Whether all fields are equal. */
 bool relay_server_info_equal(const struct relay_server_info *a,
 			     const struct relay_server_info *b)
 {
@@ -63,24 +63,24 @@
 }
 
 /* An empty list. */
-struct relay_server_list *relay_server_list_create(bool tells_empty)
+struct relay_server_list *relay_server_list_create(bool report_empty)
 {
 	struct relay_server_list *l = g_new0(struct relay_server_list, 1);
 
-	l->changed = tells_empty;
+	l->changed = report_empty;
 	l->infos = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					 free_info);
 	return l;
 }
 
-/* The relay keeps copies. */
+/* The relay has copies of its own. */
 void relay_server_list_destroy(struct relay_server_list *l)
 {
 	g_hash_table_destroy(l->infos);
 	g_free(l);
 }
 
-/* Replaces what the key had. */
+/* Replaces the key's entry, if any. */
 void relay_server_list_put(struct relay_server_list *l, const char *key,
 			   struct relay_server_info *info)
 {
@@ -96,9 +96,9 @@
 }
 
 /*
- * Failure: the entry of a server that is in use is overwritten with something
- * that can't be read. Guard: it gets no new work until it has written its own
- * again; what runs there ends as it does.
+ * If the entry of a server in use is overwritten with something unreadable, the
+ * server gets no new work until it has written its entry again. What runs there
+ * ends normally.
  */
 void relay_server_list_withdraw(struct relay_server_list *l, const char *key)
 {
@@ -110,13 +110,13 @@
 	l->changed = true;
 }
 
-/* How many entries it has. */
+/* Number of entries. */
 unsigned relay_server_list_size(const struct relay_server_list *l)
 {
 	return g_hash_table_size(l->infos);
 }
 
-/* Passes on what is there so far; relay_server_list_pass() still has to. */
+/* relay_server_list_pass() must still be called for the whole list. */
 void relay_server_list_show(const struct relay_server_list *l, struct relay *r,
 			    relay_list_fn pass, uint64_t now_us)
 {
@@ -133,7 +133,7 @@
 	g_free(infos);
 }
 
-/* Several changes make one call. */
+/* Several changes are passed on in one call. */
 void relay_server_list_pass(struct relay_server_list *l, struct relay *r,
 			    relay_list_fn pass, uint64_t now_us)
 {
--- a/packages/relay/src/via.c
+++ b/packages/relay/src/via.c
@@ -208,7 +208,7 @@
 	       (s->heard_us && !rvi_is_good_home(s, now_us));
 }
 
-/* Whether a connection to any listed home is up. */
+/* Whether any listed home answers. */
 static bool is_any_home_up(const struct rservice *via)
 {
 	unsigned i;
