--- a/packages/relay/src/relay.c
+++ b/packages/relay/src/relay.c
@@ -293,7 +293,7 @@
 {
 	static const char *const names[] = {
 		[RELAY_CLAIM_DONE] = "done",
-		[RELAY_CLAIM_LOST] = "another claimed it",
+		[RELAY_CLAIM_LOST] = "another has it",
 		[RELAY_CLAIM_UNKNOWN] = "no answer",
 	};
 	struct log_line *l = log_event(LOG_STATE, "claim");
