--- a/packages/relay/src/tidy.c
+++ b/packages/relay/src/cleanup.c
@@ -4,7 +4,7 @@
  */
 #include "relay_internal.h"
 
-#define CLAIM_AGAIN_US USEC_PER_SEC
+#define CLAIM_RETRY_INTERVAL_US USEC_PER_SEC
 
 /* Whether the pause is this proxy's own, made under a duty that it has. */
 static bool is_own_pause(const struct rservice *v, const struct rserver *s)
@@ -17,14 +17,14 @@
  * Whether a promotion may come yet that the pause is needed for. The promotion
  * of another proxy needs it too, whoever made it.
  */
-static bool is_needed(const struct rservice *v, const struct rserver *s,
-		      uint64_t now_us)
+static bool is_pause_needed(const struct rservice *v, const struct rserver *s,
+			    uint64_t now_us)
 {
 	if (now_us < v->relay->duty_used_us + PROMOTED_WITHIN_US)
 		return true;
 	if (is_own_pause(v, s))
 		return rch_is_told(v, now_us);
-	return now_us < s->held_seen_us + PROMOTED_WITHIN_US;
+	return now_us < s->seen_pause_at_us + PROMOTED_WITHIN_US;
 }
 
 /*
@@ -45,16 +45,16 @@
 
 	if (!r->guards.resume_under_duty)
 		return !rdt_is_others(r, now_us);
-	if (s->held_seen != s->status.held) {
-		s->held_seen = s->status.held;
-		s->held_seen_us = now_us;
+	if (s->seen_pause_term != s->status.held) {
+		s->seen_pause_term = s->status.held;
+		s->seen_pause_at_us = now_us;
 	}
 	if (rdt_is_others(r, now_us) || !r->duty_known || r->stopping ||
-	    is_needed(v, s, now_us))
+	    is_pause_needed(v, s, now_us))
 		return false;
 	if (rdt_is_fresh(r, now_us))
 		return true;
-	if (now_us > r->claim_sent_us + CLAIM_AGAIN_US)
+	if (now_us > r->claim_sent_us + CLAIM_RETRY_INTERVAL_US)
 		rdt_claim(r, now_us);
 	return false;
 }
@@ -69,7 +69,7 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (s == v->primary || !rsv_is_up(s) || !s->status_us)
+		if (s == v->primary || !rsv_is_up(s) || !s->status_at_us)
 			continue;
 		if (s->status.role == ROLE_PRIMARY && s->status.term < v->term)
 			rsv_order_again(s, RELAY_STEP_DOWN, v->term, now_us);
--- a/packages/relay/src/change.c
+++ b/packages/relay/src/failover.c
@@ -19,43 +19,45 @@
 
 #include <string.h>
 
-#define CHANGE_US (2 * USEC_PER_SEC) /* one takes about this long */
+#define TYPICAL_CHANGE_US (2 * USEC_PER_SEC) /* one takes about this long */
 #define JITTER_US (80 * USEC_PER_MSEC)
 #define BACKOFF_US USEC_PER_SEC
-#define MISSING_US (2500 * USEC_PER_MSEC)
-#define ELSEWHERE_US (250 * USEC_PER_MSEC)
-#define LOOK_US (400 * USEC_PER_MSEC) /* a replica is asked within it */
-#define ELSEWHERE_LIMIT_US (8 * USEC_PER_SEC)
-#define CLAIM_LIMIT_US USEC_PER_SEC
-#define FENCE_LIMIT_US (2500 * USEC_PER_MSEC)
+#define NO_PRIMARY_LIMIT_US (2500 * USEC_PER_MSEC)
+#define WATCH_AFTER_US (250 * USEC_PER_MSEC)
+#define REPLICA_ANSWER_US \
+	(400 * USEC_PER_MSEC) /* a replica is asked within it */
+#define ALIVE_FOR_OTHERS_MAX_US (8 * USEC_PER_SEC)
+#define CLAIM_TIMEOUT_US USEC_PER_SEC
+#define FENCE_TIMEOUT_US (2500 * USEC_PER_MSEC)
 /* Of the 5 s for which rsv_leads_on() sends it work. */
-#define LEAVING_WAITS_US (4 * USEC_PER_SEC)
-#define CATCH_UP_LIMIT_US (2 * USEC_PER_SEC)
-#define PROMOTE_LIMIT_US (1500 * USEC_PER_MSEC)
-#define SETTLE_LIMIT_US (3 * USEC_PER_SEC)
-#define PROMOTE_TRIES 3
+#define STEP_DOWN_DELAY_MAX_US (4 * USEC_PER_SEC)
+#define CATCH_UP_TIMEOUT_US (2 * USEC_PER_SEC)
+#define PROMOTE_TIMEOUT_US (1500 * USEC_PER_MSEC)
+#define SETTLE_TIMEOUT_US (3 * USEC_PER_SEC)
+#define MAX_PROMOTE_RETRIES 3
 
 /* Whether this proxy is replacing the service's primary. */
 bool rch_is_running(const struct rservice *v)
 {
 	if (v->phase == PHASE_CLAIM) /* the second of a change */
-		return v->fenced_us || v->stepped_down;
+		return v->fenced_at_us || v->stepped_down;
 	return v->phase != PHASE_WATCH;
 }
 
 /* Whether a promotion that this proxy asked for may take effect yet. */
 bool rch_is_told(const struct rservice *v, uint64_t now_us)
 {
-	return v->told_us && now_us < v->told_us + PROMOTED_WITHIN_US;
+	return v->promotion_sent_at_us &&
+	       now_us < v->promotion_sent_at_us + PROMOTED_WITHIN_US;
 }
 
 /* When a primary can be expected again, 0 when one is there. */
 uint64_t rch_expected_us(const struct rservice *v)
 {
 	if (!v->primary)
-		return v->no_primary_us + CHANGE_US;
+		return v->no_primary_us + TYPICAL_CHANGE_US;
 	if (v->primary->failing_us)
-		return v->primary->failing_us + CHANGE_US;
+		return v->primary->failing_us + TYPICAL_CHANGE_US;
 	return 0;
 }
 
@@ -90,7 +92,7 @@
 	log_u64(l, "try", v->tries + 1);
 	log_cstr(l, "after", rch_phase_name(v->phase));
 	log_u64(l, "after_ms",
-		(now_us - MIN(v->phase_us, now_us)) / USEC_PER_MSEC);
+		(now_us - MIN(v->phase_started_at_us, now_us)) / USEC_PER_MSEC);
 	log_event_end(l);
 }
 
@@ -99,20 +101,20 @@
 	if (phase != PHASE_WATCH)
 		log_change(v, rch_phase_name(phase), v->reason, now_us);
 	v->phase = phase;
-	v->phase_us = now_us;
+	v->phase_started_at_us = now_us;
 }
 
-static void give_up(struct rservice *v, const char *why, uint64_t now_us)
+static void abort_change(struct rservice *v, const char *why, uint64_t now_us)
 {
 	log_change(v, "gave-up", why, now_us);
-	v->act_after_us =
+	v->act_not_before_us =
 		now_us + BACKOFF_US +
 		(uint64_t)g_rand_int_range(v->relay->rng, 0, JITTER_US);
-	v->act_armed = true;
+	v->act_scheduled = true;
 	enter(v, PHASE_WATCH, now_us);
 }
 
-static bool is_there(const struct rserver *s)
+static bool is_listed_at_address(const struct rserver *s)
 {
 	return s->listed && !s->moved;
 }
@@ -136,25 +138,27 @@
  * replacing it would stop them for a second. It shows in the replicas: they
  * go on receiving. So while one does, the primary is left in place for a time.
  */
-static bool lives_elsewhere(struct rservice *v, uint64_t now_us)
+static bool is_alive_for_others(struct rservice *v, uint64_t now_us)
 {
 	uint64_t since_us = v->primary->failing_us;
 
-	if (now_us > since_us + ELSEWHERE_LIMIT_US)
+	if (now_us > since_us + ALIVE_FOR_OTHERS_MAX_US)
 		return false;
-	if (v->watch_us < since_us && now_us >= since_us + ELSEWHERE_US) {
-		v->watch_us = now_us;
+	if (v->watch_started_at_us < since_us &&
+	    now_us >= since_us + WATCH_AFTER_US) {
+		v->watch_started_at_us = now_us;
 		v->watch_position = newest_received(v);
-		v->alive_elsewhere = false;
+		v->alive_for_others = false;
 	}
-	if (v->watch_us >= since_us &&
+	if (v->watch_started_at_us >= since_us &&
 	    position_cmp(newest_received(v), v->watch_position) > 0)
-		v->alive_elsewhere = true;
-	if (v->watch_us < since_us)
+		v->alive_for_others = true;
+	if (v->watch_started_at_us < since_us)
 		return false;
-	if (!v->primary->refused && now_us < v->watch_us + LOOK_US)
+	if (!v->primary->refused &&
+	    now_us < v->watch_started_at_us + REPLICA_ANSWER_US)
 		return true; /* no replica can have shown it yet */
-	return v->alive_elsewhere;
+	return v->alive_for_others;
 }
 
 /*
@@ -166,7 +170,7 @@
 {
 	unsigned i;
 
-	if (now_us > v->primary->leaving_us + LEAVING_WAITS_US)
+	if (now_us > v->primary->leaving_at_us + STEP_DOWN_DELAY_MAX_US)
 		return true;
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
@@ -178,7 +182,7 @@
 	return true;
 }
 
-static const char *primary_trouble(struct rservice *v, uint64_t now_us)
+static const char *primary_failure(struct rservice *v, uint64_t now_us)
 {
 	const struct relay_settings *set = &v->relay->settings;
 	struct rserver *p = v->primary;
@@ -192,7 +196,7 @@
 		return "gone";
 	if (!p->failing_us)
 		return NULL;
-	elsewhere = lives_elsewhere(v, now_us);
+	elsewhere = is_alive_for_others(v, now_us);
 	if (p->refused)
 		limit_us = set->refused_after_us;
 	if (now_us < p->failing_us + limit_us || elsewhere)
@@ -207,8 +211,9 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (s != v->primary && is_there(s) && rsv_is_up(s) &&
-		    !s->info.leaving && s->status.role == ROLE_REPLICA)
+		if (s != v->primary && is_listed_at_address(s) &&
+		    rsv_is_up(s) && !s->info.leaving &&
+		    s->status.role == ROLE_REPLICA)
 			return true;
 	}
 	return false;
@@ -218,27 +223,28 @@
  * Failure: a server has no connection left for this proxy. It answers, but
  * not what it is; the primary counted as missing and its replicas were paused.
  */
-static bool any_unknown(const struct rservice *v)
+static bool any_role_unknown(const struct rservice *v)
 {
 	unsigned i;
 
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (is_there(s) && rsv_is_up(s) && !s->status_us)
+		if (is_listed_at_address(s) && rsv_is_up(s) && !s->status_at_us)
 			return true;
 	}
 	return false;
 }
 
 /* Why the primary must be replaced, NULL when it needn't. */
-static const char *trouble(struct rservice *v, uint64_t now_us)
+static const char *failover_reason(struct rservice *v, uint64_t now_us)
 {
 	if (!any_candidate(v))
 		return NULL;
 	if (v->primary)
-		return primary_trouble(v, now_us);
-	if (now_us > v->no_primary_us + MISSING_US && !any_unknown(v))
+		return primary_failure(v, now_us);
+	if (now_us > v->no_primary_us + NO_PRIMARY_LIMIT_US &&
+	    !any_role_unknown(v))
 		return "missing";
 	return NULL;
 }
@@ -261,25 +267,26 @@
 static void claim_again(struct rservice *v, uint64_t now_us)
 {
 	if (rdt_is_others(v->relay, now_us))
-		give_up(v, "another has the duty", now_us);
+		abort_change(v, "another has the duty", now_us);
 	else
 		start_claim(v, now_us);
 }
 
 static void watch(struct rservice *v, uint64_t now_us)
 {
-	const char *why = trouble(v, now_us);
+	const char *why = failover_reason(v, now_us);
 
 	if (!why) {
-		v->act_armed = false;
+		v->act_scheduled = false;
 		return;
 	}
-	if (!v->act_armed) {
-		v->act_armed = true;
-		v->act_after_us = now_us + (uint64_t)g_rand_int_range(
-						   v->relay->rng, 0, JITTER_US);
+	if (!v->act_scheduled) {
+		v->act_scheduled = true;
+		v->act_not_before_us =
+			now_us +
+			(uint64_t)g_rand_int_range(v->relay->rng, 0, JITTER_US);
 	}
-	if (now_us < v->act_after_us || !v->relay->duty_known ||
+	if (now_us < v->act_not_before_us || !v->relay->duty_known ||
 	    v->relay->stopping || rdt_is_others(v->relay, now_us))
 		return;
 	v->reason = why;
@@ -287,10 +294,10 @@
 	 * Failure: what an earlier change left behind makes this one skip its
 	 * fence; the old primary's writes are told as stored and are gone.
 	 */
-	v->fenced_us = 0;
+	v->fenced_at_us = 0;
 	v->stepped_down = false;
 	v->old = v->primary;
-	v->old_term = v->term;
+	v->term_at_start = v->term;
 	start_claim(v, now_us);
 }
 
@@ -300,8 +307,8 @@
 	v->target = NULL;
 	v->tries = 0;
 	v->fence_term = rfn_term(v);
-	v->fenced_us = 0;
-	v->told_before = rch_is_told(v, now_us);
+	v->fenced_at_us = 0;
+	v->earlier_promotion_pending = rch_is_told(v, now_us);
 	enter(v, PHASE_FENCE, now_us);
 }
 
@@ -311,9 +318,9 @@
 }
 
 /* Nobody may commit at the old primary from now on, as far as is known. */
-static void fenced(struct rservice *v, uint64_t now_us)
+static void on_fenced(struct rservice *v, uint64_t now_us)
 {
-	v->fenced_us = now_us;
+	v->fenced_at_us = now_us;
 	rld_ask(v);
 	if (v->relay->guards.claim_after_fence)
 		claim_again(v, now_us);
@@ -323,8 +330,8 @@
 
 static void fence(struct rservice *v, uint64_t now_us)
 {
-	if (now_us > v->phase_us + FENCE_LIMIT_US) {
-		give_up(v, "the old primary could not be fenced", now_us);
+	if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US) {
+		abort_change(v, "the old primary could not be fenced", now_us);
 		return;
 	}
 	if (!v->relay->guards.fence) {
@@ -340,7 +347,7 @@
 	if (is_planned(v) || !rfn_pause_others(v, now_us) ||
 	    !rfn_no_two_are_left(v))
 		return;
-	fenced(v, now_us);
+	on_fenced(v, now_us);
 }
 
 static struct rserver *best_target(struct rservice *v)
@@ -351,8 +358,9 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (s == v->old || s->info.leaving || !is_there(s) ||
-		    !rsv_is_up(s) || s->status.role != ROLE_REPLICA)
+		if (s == v->old || s->info.leaving ||
+		    !is_listed_at_address(s) || !rsv_is_up(s) ||
+		    s->status.role != ROLE_REPLICA)
 			continue;
 		if (!best ||
 		    position_cmp(s->status.received, best->status.received) > 0)
@@ -368,7 +376,7 @@
 	if (best)
 		rsv_probe_soon(best);
 	if (best && position_cmp(best->status.received, v->old_position) < 0 &&
-	    now_us < v->phase_us + CATCH_UP_LIMIT_US)
+	    now_us < v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
 		return;
 	/*
 	 * Failure: the old primary runs reads on as a replica, and a proxy that
@@ -381,9 +389,9 @@
 	 */
 	if (!v->relay->guards.doubt_reborn ||
 	    (rfn_pause_others(v, now_us) && rfn_no_two_are_left(v)))
-		fenced(v, now_us);
-	else if (now_us > v->phase_us + CATCH_UP_LIMIT_US)
-		give_up(v, "a replica could not be paused", now_us);
+		on_fenced(v, now_us);
+	else if (now_us > v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
+		abort_change(v, "a replica could not be paused", now_us);
 }
 
 /*
@@ -394,15 +402,15 @@
  * take effect no other server is named, unless the process of the first is
  * gone.
  */
-static bool may_be_named(const struct rservice *v, const struct rserver *target,
-			 uint64_t now_us)
+static bool may_be_promoted(const struct rservice *v,
+			    const struct rserver *target, uint64_t now_us)
 {
 	const struct rserver *told;
 
-	if (!v->told_to || !rch_is_told(v, now_us) ||
-	    !strcmp(v->told_to, target->info.id))
+	if (!v->promotion_target_id || !rch_is_told(v, now_us) ||
+	    !strcmp(v->promotion_target_id, target->info.id))
 		return true;
-	told = g_hash_table_lookup(v->relay->servers, v->told_to);
+	told = g_hash_table_lookup(v->relay->servers, v->promotion_target_id);
 	return !told || told->refused || told->moved;
 }
 
@@ -413,17 +421,17 @@
 	struct rserver *best = best_target(v);
 
 	if (!best || (v->target && v->target != best)) {
-		give_up(v, "no server can take over", now_us);
+		abort_change(v, "no server can take over", now_us);
 		return;
 	}
-	if (!may_be_named(v, best, now_us)) {
-		give_up(v, "another server's promotion may come", now_us);
+	if (!may_be_promoted(v, best, now_us)) {
+		abort_change(v, "another server's promotion may come", now_us);
 		return;
 	}
 	v->target = best;
-	g_free(v->told_to);
-	v->told_to = g_strdup(best->info.id);
-	v->told_us = now_us;
+	g_free(v->promotion_target_id);
+	v->promotion_target_id = g_strdup(best->info.id);
+	v->promotion_sent_at_us = now_us;
 	counter_add(r->n_promotions, 1);
 	enter(v, PHASE_PROMOTE, now_us);
 	r->ops->promote(r->ctx, v->name, v->target->info.id, r->token);
@@ -433,7 +441,7 @@
 static void fence_again(struct rservice *v, uint64_t now_us)
 {
 	v->stepped_down = false;
-	v->fenced_us = 0;
+	v->fenced_at_us = 0;
 	if (v->phase != PHASE_CLAIM)
 		enter(v, PHASE_FENCE, now_us);
 }
@@ -443,27 +451,29 @@
 	const struct relay_settings *set = &v->relay->settings;
 
 	/* A server that came after the pauses is paused like the others. */
-	if (v->fenced_us && v->relay->guards.claim_after_fence &&
+	if (v->fenced_at_us && v->relay->guards.claim_after_fence &&
 	    rfn_any_unpaused(v)) {
 		rmt_fence_again(v->relay);
 		fence_again(v, now_us);
 		return;
 	}
-	if (v->fenced_us && v->relay->guards.hold_before_promote &&
-	    now_us + set->promote_least_us < v->fenced_us + set->authority_us)
+	if (v->fenced_at_us && v->relay->guards.hold_before_promote &&
+	    now_us + set->promote_least_us <
+		    v->fenced_at_us + set->authority_us)
 		return;
 	if (!rfn_pauses_stand(v)) {
-		if (now_us > v->phase_us + FENCE_LIMIT_US)
-			give_up(v, "a paused server is silent", now_us);
+		if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
+			abort_change(v, "a paused server is silent", now_us);
 		return;
 	}
-	if (v->fenced_us && rdt_is_fresh(v->relay, now_us) &&
+	if (v->fenced_at_us && rdt_is_fresh(v->relay, now_us) &&
 	    !rfn_knows_all_servers(v)) {
 		/* The claim of another service's change was under way. */
-		if (v->relay->claimed_us < v->fenced_us)
+		if (v->relay->claimed_us < v->fenced_at_us)
 			claim_again(v, now_us);
-		else if (now_us > v->phase_us + FENCE_LIMIT_US)
-			give_up(v, "the list of servers is too old", now_us);
+		else if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
+			abort_change(v, "the list of servers is too old",
+				     now_us);
 		return;
 	}
 	if (rdt_is_fresh(v->relay, now_us))
@@ -477,8 +487,8 @@
 	rfn_pause_others(v, now_us);
 	if (v->target)
 		rsv_probe_soon(v->target);
-	if (now_us > v->phase_us + SETTLE_LIMIT_US)
-		give_up(v, "the target does not lead", now_us);
+	if (now_us > v->phase_started_at_us + SETTLE_TIMEOUT_US)
+		abort_change(v, "the target does not lead", now_us);
 }
 
 /* Runs the state machine. */
@@ -489,12 +499,12 @@
 	switch (v->phase) {
 	case PHASE_WATCH:
 		watch(v, now_us);
-		if (v->phase == PHASE_WATCH && !v->act_armed)
+		if (v->phase == PHASE_WATCH && !v->act_scheduled)
 			rtd_tick(v, now_us);
 		break;
 	case PHASE_CLAIM:
-		if (now_us > v->phase_us + CLAIM_LIMIT_US)
-			give_up(v, "the store does not answer", now_us);
+		if (now_us > v->phase_started_at_us + CLAIM_TIMEOUT_US)
+			abort_change(v, "the store does not answer", now_us);
 		break;
 	case PHASE_FENCE:
 		fence(v, now_us);
@@ -507,7 +517,7 @@
 		break;
 	case PHASE_PROMOTE:
 		rfn_pause_others(v, now_us);
-		if (now_us > v->phase_us + PROMOTE_LIMIT_US)
+		if (now_us > v->phase_started_at_us + PROMOTE_TIMEOUT_US)
 			rch_on_promoted(v, false, now_us);
 		break;
 	case PHASE_SETTLE:
@@ -516,11 +526,11 @@
 	}
 }
 
-static void claimed(struct rservice *v, uint64_t now_us)
+static void on_claimed(struct rservice *v, uint64_t now_us)
 {
 	if (v->phase != PHASE_CLAIM)
 		return;
-	if (v->fenced_us || v->stepped_down)
+	if (v->fenced_at_us || v->stepped_down)
 		enter(v, PHASE_HOLD, now_us);
 	else
 		start_fence(v, now_us);
@@ -539,9 +549,9 @@
 		if (v->phase != PHASE_CLAIM)
 			continue;
 		if (outcome == RELAY_CLAIM_DONE)
-			claimed(v, now_us);
+			on_claimed(v, now_us);
 		else
-			give_up(v, "the claim was not had", now_us);
+			abort_change(v, "the claim was not had", now_us);
 		if (v->phase != PHASE_WATCH)
 			rch_tick(v, now_us);
 	}
@@ -556,8 +566,8 @@
 		enter(v, PHASE_SETTLE, now_us);
 		return;
 	}
-	if (++v->tries > PROMOTE_TRIES) {
-		give_up(v, "the platform refused", now_us);
+	if (++v->tries > MAX_PROMOTE_RETRIES) {
+		abort_change(v, "the platform refused", now_us);
 		return;
 	}
 	/* A new token for each try, so that a late one can't be the lower. */
@@ -575,7 +585,7 @@
 {
 	struct rservice *v = s->service;
 	bool stepped_down = s == v->old && v->stepped_down;
-	bool paused = s != v->old && (v->fenced_us || v->stepped_down);
+	bool paused = s != v->old && (v->fenced_at_us || v->stepped_down);
 
 	if (v->phase == PHASE_WATCH || (!stepped_down && !paused))
 		return;
@@ -595,11 +605,11 @@
  * comes back ends it only until the platform was told; from then on its lead
  * is over, and what was paused must stay so.
  */
-static bool other_leads(const struct rservice *v, uint64_t now_us)
+static bool other_primary_leads(const struct rservice *v, uint64_t now_us)
 {
 	if (!v->primary)
 		return false;
-	if (v->term > v->old_term)
+	if (v->term > v->term_at_start)
 		return true;
 	return !rch_is_told(v, now_us) && v->primary != v->old;
 }
@@ -614,7 +624,7 @@
 		v->stepped_down = true;
 		v->old_position = s->status.received;
 	}
-	if (v->phase != PHASE_WATCH && other_leads(v, now_us)) {
+	if (v->phase != PHASE_WATCH && other_primary_leads(v, now_us)) {
 		log_change(v, "done", v->primary->info.id, now_us);
 		/*
 		 * All tries under one fence name the same target, so no other
@@ -623,9 +633,9 @@
 		 * fence, would stay so for seconds, and nobody could confirm
 		 * the new primary.
 		 */
-		if (v->primary == v->target && !v->told_before)
-			v->told_us = 0;
-		v->act_armed = false;
+		if (v->primary == v->target && !v->earlier_promotion_pending)
+			v->promotion_sent_at_us = 0;
+		v->act_scheduled = false;
 		enter(v, PHASE_WATCH, now_us);
 	}
 }
--- a/packages/relay/src/fence.c
+++ b/packages/relay/src/fence.c
@@ -36,7 +36,8 @@
  * down. It is not waited for: who comes back there is in doubt everywhere, and
  * it takes both to start anew to be relied on.
  */
-static bool is_gone_beside(const struct rservice *v, const struct rserver *s)
+static bool is_gone_after_step_down(const struct rservice *v,
+				    const struct rserver *s)
 {
 	return v->stepped_down && s != v->old && (s->refused || s->moved);
 }
@@ -46,7 +47,7 @@
 {
 	if (v->phase >= PHASE_PROMOTE && s == v->target)
 		return false;
-	if (is_gone_beside(v, s))
+	if (is_gone_after_step_down(v, s))
 		return false;
 	return may_confirm(v, s) && !is_paused(v, s);
 }
@@ -98,7 +99,7 @@
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
 
-		if (is_paused(v, s) || is_gone_beside(v, s))
+		if (is_paused(v, s) || is_gone_after_step_down(v, s))
 			n_paused++;
 	}
 	return v->servers->len <= n_paused + 1;
@@ -112,12 +113,12 @@
 {
 	unsigned i;
 
-	if (!v->fenced_us || !v->relay->guards.doubt_reborn)
+	if (!v->fenced_at_us || !v->relay->guards.doubt_reborn)
 		return true;
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
 
-		if (is_paused(v, s) && s->status_us < v->fenced_us)
+		if (is_paused(v, s) && s->status_at_us < v->fenced_at_us)
 			return false;
 	}
 	return true;
@@ -136,5 +137,6 @@
 	const struct relay *r = v->relay;
 
 	return !r->guards.claim_after_fence ||
-	       (r->claimed_us >= v->fenced_us && r->known_revision >= r->token);
+	       (r->claimed_us >= v->fenced_at_us &&
+		r->known_revision >= r->token);
 }
--- a/packages/relay/src/cutoff.c
+++ b/packages/relay/src/partition.c
@@ -23,11 +23,11 @@
  * A primary that crashed is replaced in 1.3 to 2.5 s; its callers are refused
  * by all proxies alike. The store's silence takes longer to show.
  */
-#define IN_VAIN_US USEC_PER_SEC
+#define UNSERVED_MIN_US USEC_PER_SEC
 
 static bool misses_its_primary(const struct rservice *v, uint64_t now_us)
 {
-	return v->in_vain_us && now_us > v->in_vain_us + IN_VAIN_US;
+	return v->in_vain_us && now_us > v->in_vain_us + UNSERVED_MIN_US;
 }
 
 /* Whether a proxy that was asked for help, or is a home, is not heard. */
--- a/packages/relay/src/lead.c
+++ b/packages/relay/src/primary.c
@@ -14,9 +14,9 @@
 
 #include <celeryquay/base/log.h>
 
-#define SAMPLE_EVERY_US (40 * USEC_PER_MSEC)
-#define RENEW_US (150 * USEC_PER_MSEC)
-#define WANTED_US USEC_PER_SEC
+#define SAMPLE_INTERVAL_US (40 * USEC_PER_MSEC)
+#define RENEW_BEFORE_US (150 * USEC_PER_MSEC)
+#define WANTED_RECENTLY_US USEC_PER_SEC
 
 /* Whether another server is known that could take the primary's place. */
 static bool has_others(const struct rservice *v)
@@ -39,7 +39,7 @@
  * fresh. A service that never had more than one server here goes on without
  * the store.
  */
-static bool may_have_others(const struct rservice *v, uint64_t at_us)
+static bool may_have_unlisted_others(const struct rservice *v, uint64_t at_us)
 {
 	const struct rserver *p = v->primary;
 	const struct relay *r = v->relay;
@@ -59,7 +59,7 @@
 	if (!v->primary)
 		return false;
 	if (!has_others(v))
-		return !may_have_others(v, at_us);
+		return !may_have_unlisted_others(v, at_us);
 	return at_us < v->confirmed_us + v->relay->settings.authority_us;
 }
 
@@ -96,7 +96,7 @@
 	if (term == v->term)
 		return;
 	v->term = term;
-	v->term_us = now_us;
+	v->term_seen_at_us = now_us;
 }
 
 static void set_primary(struct rservice *v, struct rserver *s, uint64_t now_us)
@@ -155,9 +155,9 @@
 	rwd_end_doubts(v, at_us);
 	v->confirmed_us = at_us;
 	v->confirmed_by = by;
-	if (by->confirmed_change[evidence] == v->primary_changes)
+	if (by->confirmation_logged[evidence] == v->primary_changes)
 		return;
-	by->confirmed_change[evidence] = v->primary_changes;
+	by->confirmation_logged[evidence] = v->primary_changes;
 	log_confirmed(by, evidence, at_us, now_us);
 }
 
@@ -174,7 +174,7 @@
  * is not taken for the primary while it lacks a position that this proxy has
  * seen of the same term, so that a replica takes its place.
  */
-static bool lacks_its_log(const struct rserver *s)
+static bool lacks_known_log(const struct rserver *s)
 {
 	const struct rservice *v = s->service;
 	struct position newest;
@@ -182,7 +182,7 @@
 	if (!s->relay->guards.doubt_reborn || !v->n_samples ||
 	    s->status.term != v->samples_term)
 		return false;
-	newest = v->samples[(v->n_samples - 1) % SAMPLES].position;
+	newest = v->samples[(v->n_samples - 1) % MAX_SAMPLES].position;
 	return position_cmp(s->status.received, newest) < 0;
 }
 
@@ -192,7 +192,7 @@
  */
 void rld_on_doubt(struct rserver *s, uint64_t now_us)
 {
-	s->doubted_us = now_us;
+	s->doubted_at_us = now_us;
 	s->doubted_as_new = s->doubted_as_new && !s->heard_us;
 	s->agreed_us = 0;
 	rld_drop(s, now_us);
@@ -204,7 +204,7 @@
 {
 	if (s->service->peers || !s->relay->guards.doubt_newcomers)
 		return;
-	s->doubted_us = now_us;
+	s->doubted_at_us = now_us;
 	s->doubted_as_new = true;
 }
 
@@ -216,7 +216,7 @@
 		return;
 	if (v->primary == s && s->status.term == v->term)
 		return;
-	if (lacks_its_log(s)) {
+	if (lacks_known_log(s)) {
 		rlg_server_event(s, "primary-without-its-log");
 		return;
 	}
@@ -233,7 +233,7 @@
 {
 	if (!s->relay->guards.doubt_unpaused)
 		return;
-	s->doubted_us = now_us;
+	s->doubted_at_us = now_us;
 	s->agreed_us = 0;
 	rld_ask(s->service);
 }
@@ -271,8 +271,8 @@
 /* Whether statements need the primary, and what is known of it runs out. */
 bool rld_wants(const struct rservice *v, uint64_t now_us)
 {
-	return v->primary && now_us < v->wanted_us + WANTED_US &&
-	       !rld_holds(v, now_us + RENEW_US);
+	return v->primary && now_us < v->wanted_us + WANTED_RECENTLY_US &&
+	       !rld_holds(v, now_us + RENEW_BEFORE_US);
 }
 
 /*
@@ -294,12 +294,12 @@
 static const struct rsample *newest_covered(const struct rservice *v,
 					    struct position p)
 {
-	unsigned n = MIN(v->n_samples, SAMPLES);
+	unsigned n = MIN(v->n_samples, MAX_SAMPLES);
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
 		const struct rsample *sample =
-			&v->samples[(v->n_samples - 1 - i) % SAMPLES];
+			&v->samples[(v->n_samples - 1 - i) % MAX_SAMPLES];
 
 		if (position_cmp(sample->position, p) <= 0)
 			return sample;
@@ -315,12 +315,12 @@
 static void note_unpaused(struct rserver *s, struct position p, uint64_t now_us)
 {
 	const struct rservice *v = s->service;
-	unsigned n = MIN(v->n_samples, SAMPLES);
+	unsigned n = MIN(v->n_samples, MAX_SAMPLES);
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
 		const struct rsample *sample =
-			&v->samples[(v->n_samples - 1 - i) % SAMPLES];
+			&v->samples[(v->n_samples - 1 - i) % MAX_SAMPLES];
 
 		if (sample->us <= v->confirmed_us)
 			return;
@@ -364,10 +364,10 @@
 	if (v->primary != s || !p.term || p.term != v->term ||
 	    !rld_holds(v, sent_us))
 		return;
-	last = &v->samples[(v->n_samples + SAMPLES - 1) % SAMPLES];
-	if (v->n_samples && sent_us < last->us + SAMPLE_EVERY_US)
+	last = &v->samples[(v->n_samples + MAX_SAMPLES - 1) % MAX_SAMPLES];
+	if (v->n_samples && sent_us < last->us + SAMPLE_INTERVAL_US)
 		return;
-	v->samples[v->n_samples % SAMPLES] =
+	v->samples[v->n_samples % MAX_SAMPLES] =
 		(struct rsample){ .us = sent_us, .position = p };
 	v->n_samples++;
 }
@@ -380,12 +380,12 @@
 	       struct rsample *out)
 {
 	uint64_t since_us = now_us > max_age_us ? now_us - max_age_us : 0;
-	unsigned n = MIN(v->n_samples, SAMPLES);
+	unsigned n = MIN(v->n_samples, MAX_SAMPLES);
 	bool found = false;
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		unsigned at = (v->n_samples - 1 - i) % SAMPLES;
+		unsigned at = (v->n_samples - 1 - i) % MAX_SAMPLES;
 
 		if (v->samples[at].us < since_us)
 			break;
--- a/packages/relay/src/relay_internal.h
+++ b/packages/relay/src/relay_internal.h
@@ -103,13 +103,13 @@
 	unsigned list; /* the last that named it */
 	bool moved; /* another server answers at its address */
 	bool refused; /* nothing listens there */
-	bool probe_now;
-	bool order_wanted; /* in place of the next status */
-	uint64_t held_seen; /* this pause, see tidy.c */
-	uint64_t held_seen_us; /* was first seen then */
+	bool probe_requested;
+	bool order_pending; /* in place of the next status */
+	uint64_t seen_pause_term; /* this pause, see cleanup.c */
+	uint64_t seen_pause_at_us; /* was first seen then */
 	uint64_t listed_us; /* was first listed then */
 	uint64_t unlisted_us; /* left the list then */
-	uint64_t leaving_us; /* was first seen leaving then */
+	uint64_t leaving_at_us; /* was first seen leaving then */
 
 	struct rconn *probing; /* carries a status or an order now */
 	GQueue idle;
@@ -126,26 +126,28 @@
 	uint64_t lagging_us; /* it lacked what a read must see then */
 	uint64_t lag_us; /* how far behind it was at most, NEVER_US: unknown */
 	struct relay_status status;
-	uint64_t status_us; /* start of the probe that gave it, 0: none */
+	uint64_t status_at_us; /* start of the probe that gave it, 0: none */
 	uint64_t heard_us;
 	uint64_t asked_us; /* a grantor: for tokens */
-	uint64_t broke_us; /* a connection broke then, 0: all is known */
-	uint64_t doubted_us; /* it may know of no pause since, 0: no; word.c */
+	uint64_t
+		conn_broke_at_us; /* a connection broke then, 0: all is known */
+	uint64_t doubted_at_us; /* it may know of no pause since, 0: no; word.c
+				 */
 	bool doubted_as_new; /* since it was listed, not for a restart */
 	uint64_t agreed_us; /* it knew of no term above agreed_term then */
 	uint64_t agreed_term;
-	uint64_t confirmed_change[EVIDENCES]; /* the last primary_changes */
+	uint64_t confirmation_logged[EVIDENCES]; /* the last primary_changes */
 	uint64_t left_aside_change; /* the last that its word was told in */
 	const char *left_aside_why; /* and the reason then */
 	uint64_t failing_us; /* since when probes fail, 0: they don't */
-	uint64_t probed_us; /* the last probe was sent then */
+	uint64_t probed_at_us; /* the last probe was sent then */
 	uint64_t latency_us; /* smoothed, of callers' statements */
 	struct routlier outlier;
 	struct rclimit limit;
 
 	enum relay_verb order;
 	uint64_t order_term;
-	uint64_t order_sent_us;
+	uint64_t order_sent_at_us;
 };
 
 enum rphase {
@@ -158,7 +160,7 @@
 	PHASE_SETTLE, /* the target doesn't lead yet */
 };
 
-#define SAMPLES 64
+#define MAX_SAMPLES 64
 
 /* Whatever was acknowledged before `us` is at or before `position`. */
 struct rsample {
@@ -179,8 +181,8 @@
 	bool peers; /* its servers are proxies, its name is a database's */
 	bool is_home; /* this proxy connects to its servers */
 	bool configured; /* the configuration in force has it */
-	bool alive_elsewhere; /* others reach a primary that fails here */
-	bool act_armed;
+	bool alive_for_others; /* others reach a primary that fails here */
+	bool act_scheduled;
 	bool stepped_down; /* the old primary said so */
 	unsigned n_samples;
 	struct rrank rank;
@@ -197,31 +199,33 @@
 
 	struct rserver *primary; /* NULL: not known */
 	uint64_t term; /* the highest that was seen */
-	uint64_t term_us; /* for the first time then */
+	uint64_t term_seen_at_us; /* for the first time then */
 	uint64_t primary_changes; /* how often another was taken for it */
 	uint64_t confirmed_us; /* a replica knew of no higher term then */
 	struct rserver *confirmed_by; /* this one; NULL: none, or it is gone */
 	uint64_t wanted_us; /* a statement needed the primary then */
 	uint64_t no_primary_us; /* since when there is none */
-	uint64_t watch_us; /* the primary fails; replicas are watched since */
+	uint64_t watch_started_at_us; /* the primary fails; replicas are watched
+					 since */
 	struct position watch_position; /* the newest that one had then */
-	struct rsample samples[SAMPLES]; /* a ring, oldest overwritten */
+	struct rsample samples[MAX_SAMPLES]; /* a ring, oldest overwritten */
 	uint64_t samples_term;
 
 	enum rphase phase;
 	unsigned tries;
-	uint64_t phase_us;
-	uint64_t act_after_us; /* jitter, and damping after a failure */
+	uint64_t phase_started_at_us;
+	uint64_t act_not_before_us; /* jitter, and damping after a failure */
 	const char *reason;
 	struct rserver *old; /* the primary being replaced */
-	uint64_t old_term; /* the highest that was seen at its start */
+	uint64_t term_at_start; /* the highest that was seen at its start */
 	struct position old_position;
 	struct rserver *target;
 	uint64_t fence_term;
-	uint64_t fenced_us;
-	uint64_t told_us; /* the platform was then, 0: never */
-	char *told_to; /* to promote this one, by its id */
-	bool told_before; /* and may act yet on what an earlier fence was for */
+	uint64_t fenced_at_us;
+	uint64_t promotion_sent_at_us; /* the platform was then, 0: never */
+	char *promotion_target_id; /* to promote this one, by its id */
+	bool earlier_promotion_pending; /* and may act yet on what an earlier
+					   fence was for */
 };
 
 enum rrun_state {
@@ -604,7 +608,7 @@
 void rvi_choose(struct rsession *s, const struct relay_profile *profile,
 		struct rservice *v, struct rpick *out, uint64_t now_us);
 
-/* cutoff.c */
+/* partition.c */
 bool rco_is_cut_off(const struct rservice *v, uint64_t now_us);
 bool rco_is_any_cut_off(const struct relay *r, uint64_t now_us);
 void rco_tick(struct relay *r, uint64_t now_us);
@@ -627,7 +631,7 @@
 bool rwd_counts_alone(const struct rserver *s, uint64_t now_us);
 uint64_t rwd_since_us(const struct rserver *s, uint64_t now_us);
 
-/* lead.c */
+/* primary.c */
 bool rld_holds(const struct rservice *v, uint64_t at_us);
 void rld_on_status(struct rserver *s, uint64_t started_us, uint64_t now_us);
 void rld_on_position(struct rserver *s, struct position p, uint64_t sent_us);
@@ -648,7 +652,7 @@
 bool rdt_is_fresh(const struct relay *r, uint64_t now_us);
 void rdt_claim(struct relay *r, uint64_t now_us);
 
-/* tidy.c */
+/* cleanup.c */
 void rtd_tick(struct rservice *v, uint64_t now_us);
 
 /* fence.c */
@@ -659,7 +663,7 @@
 bool rfn_pauses_stand(const struct rservice *v);
 bool rfn_knows_all_servers(const struct rservice *v);
 
-/* change.c */
+/* failover.c */
 void rch_tick(struct rservice *v, uint64_t now_us);
 void rch_on_claimed(struct relay *r, enum relay_claim outcome, uint64_t now_us);
 void rch_on_promoted(struct rservice *v, bool accepted, uint64_t now_us);
--- a/packages/relay/src/server.c
+++ b/packages/relay/src/server.c
@@ -8,15 +8,17 @@
 #include <celeryquay/relay/server_list.h>
 
 #define PROBE_TIMEOUT_US (400 * USEC_PER_MSEC)
-#define REOPEN_US (150 * USEC_PER_MSEC)
-#define PROBE_LEAST_US (30 * USEC_PER_MSEC) /* between two of a server */
-#define IN_FLIGHT_QUIET_US (200 * USEC_PER_MSEC)
-#define MISSING_PROBE_US (80 * USEC_PER_MSEC) /* without a primary */
-#define LEADS_ON_US (5 * USEC_PER_SEC)
-#define IDLE_PROBE_US (3 * USEC_PER_SEC)
-#define ORDER_AGAIN_US (150 * USEC_PER_MSEC)
-#define STATUS_US (10 * USEC_PER_SEC)
-#define LATENCY_FIRST_US (15 * USEC_PER_MSEC)
+#define REOPEN_INTERVAL_US (150 * USEC_PER_MSEC)
+#define PROBE_MIN_INTERVAL_US (30 * USEC_PER_MSEC) /* between two of a server \
+						    */
+#define IN_FLIGHT_SILENCE_US (200 * USEC_PER_MSEC)
+#define NO_PRIMARY_PROBE_INTERVAL_US \
+	(80 * USEC_PER_MSEC) /* without a primary */
+#define LEAVING_PRIMARY_WORK_US (5 * USEC_PER_SEC)
+#define IDLE_PROBE_INTERVAL_US (3 * USEC_PER_SEC)
+#define ORDER_RETRY_INTERVAL_US (150 * USEC_PER_MSEC)
+#define STATUS_MAX_AGE_US (10 * USEC_PER_SEC)
+#define INITIAL_LATENCY_US (15 * USEC_PER_MSEC)
 
 /* A server that the platform lists; connections follow with the next tick. */
 struct rserver *rsv_create(struct rservice *service,
@@ -31,8 +33,8 @@
 	relay_server_info_copy(&s->info, info);
 	s->listed = true;
 	s->listed_us = now_us;
-	s->leaving_us = now_us;
-	s->latency_us = LATENCY_FIRST_US;
+	s->leaving_at_us = now_us;
+	s->latency_us = INITIAL_LATENCY_US;
 	s->lag_us = NEVER_US;
 	g_queue_init(&s->idle);
 	g_queue_init(&s->opening);
@@ -54,13 +56,13 @@
  *
  * Failure: a server starts anew under the id that it had. It knows of no
  * pause, no step-down and no higher term, and what this proxy believes of it
- * is of another process; word.c and change.c say what callers would see.
+ * is of another process; word.c and failover.c say what callers would see.
  * Guard: a connection ends with its process. So after one broke, the next that
  * opens may lead to another process, unless an older one has answered since.
  */
-static void doubt(struct rserver *s, uint64_t now_us)
+static void suspect_restart(struct rserver *s, uint64_t now_us)
 {
-	s->broke_us = 0;
+	s->conn_broke_at_us = 0;
 	if (s->service->peers || !s->relay->guards.doubt_reborn)
 		return;
 	s->status.held = 0;
@@ -71,15 +73,15 @@
 /* A connection was lost, or is given up as silent. */
 void rsv_conn_broke(struct rserver *s, uint64_t now_us)
 {
-	s->broke_us = now_us;
+	s->conn_broke_at_us = now_us;
 }
 
 /* An answer came to what was sent at sent_us. */
 void rsv_conn_answered(struct rserver *s, const struct rconn *c,
 		       uint64_t sent_us)
 {
-	if (c->opened_us < s->broke_us && sent_us > s->broke_us)
-		s->broke_us = 0;
+	if (c->opened_us < s->conn_broke_at_us && sent_us > s->conn_broke_at_us)
+		s->conn_broke_at_us = 0;
 }
 
 /*
@@ -92,30 +94,30 @@
 	bool is_only_one = s->n_conns == s->opening.length &&
 			   s->relay->guards.doubt_newcomers;
 
-	if (s->broke_us || is_only_one)
-		doubt(s, now_us);
+	if (s->conn_broke_at_us || is_only_one)
+		suspect_restart(s, now_us);
 }
 
 /*
  * Its id belongs to another process now. Connections with a statement in
  * flight are left to their end: they may be the new process's already.
  */
-static void start_anew(struct rserver *s, uint64_t now_us)
+static void on_restarted(struct rserver *s, uint64_t now_us)
 {
 	rlg_server_event(s, "server-reborn");
 	rcn_close_idle(s);
-	s->refused = s->moved = s->order_wanted = false;
+	s->refused = s->moved = s->order_pending = false;
 	s->refused_until_us = s->open_after_us = 0;
 	s->applied = (struct position){ 0 };
 	s->lagging_us = 0;
 	s->lag_us = NEVER_US;
 	s->status = (struct relay_status){ 0 };
-	s->status_us = s->heard_us = s->failing_us = 0;
-	s->held_seen = 0;
-	s->latency_us = LATENCY_FIRST_US;
+	s->status_at_us = s->heard_us = s->failing_us = 0;
+	s->seen_pause_term = 0;
+	s->latency_us = INITIAL_LATENCY_US;
 	s->outlier = (struct routlier){ 0 };
 	s->limit = (struct rclimit){ 0 };
-	doubt(s, now_us);
+	suspect_restart(s, now_us);
 	rsv_probe_soon(s);
 }
 
@@ -142,9 +144,9 @@
 		return;
 	if (old->born_ms && info->born_ms > old->born_ms &&
 	    s->relay->guards.doubt_reborn)
-		start_anew(s, now_us);
+		on_restarted(s, now_us);
 	if (info->leaving && !old->leaving)
-		s->leaving_us = now_us;
+		s->leaving_at_us = now_us;
 	if (info->role != old->role || info->leaving != old->leaving)
 		rsv_probe_soon(s);
 	relay_server_info_replace(&s->info, info);
@@ -177,14 +179,14 @@
 
 /*
  * A primary that leaves may still lead for a while; what the platform allows
- * is drain time, and LEADS_ON_US leaves a margin of it.
+ * is drain time, and LEAVING_PRIMARY_WORK_US leaves a margin of it.
  */
 bool rsv_leads_on(const struct rserver *s, uint64_t now_us)
 {
 	if (rsv_takes_work(s, now_us))
 		return true;
 	return s->info.leaving && s->listed && !s->moved &&
-	       now_us < s->leaving_us + LEADS_ON_US;
+	       now_us < s->leaving_at_us + LEAVING_PRIMARY_WORK_US;
 }
 
 static void log_back(const struct rserver *s, uint64_t now_us)
@@ -233,7 +235,7 @@
 	was_paused = s->status.held > s->status.term;
 	same_term = s->status.term == answer->status.term;
 	s->status = answer->status;
-	s->status_us = sent_us;
+	s->status_at_us = sent_us;
 	if (was_paused && same_term && s->status.held <= s->status.term)
 		rld_on_unpaused(s, now_us);
 	rld_on_status(s, sent_us, now_us);
@@ -254,13 +256,13 @@
 /* A probe goes out with the next tick. */
 void rsv_probe_soon(struct rserver *s)
 {
-	s->probe_now = true;
+	s->probe_requested = true;
 }
 
 /* An order goes out in place of the next status. */
 void rsv_order(struct rserver *s, enum relay_verb verb, uint64_t term)
 {
-	s->order_wanted = true;
+	s->order_pending = true;
 	s->order = verb;
 	s->order_term = term;
 }
@@ -269,7 +271,8 @@
 void rsv_order_again(struct rserver *s, enum relay_verb verb, uint64_t term,
 		     uint64_t now_us)
 {
-	if (!s->order_wanted && now_us > s->order_sent_us + ORDER_AGAIN_US)
+	if (!s->order_pending &&
+	    now_us > s->order_sent_at_us + ORDER_RETRY_INTERVAL_US)
 		rsv_order(s, verb, term);
 }
 
@@ -278,17 +281,17 @@
 	struct relay_statement st = { .verb = RELAY_STATUS };
 	enum rstep step = STEP_STATUS;
 
-	if (s->order_wanted) {
+	if (s->order_pending) {
 		st.verb = s->order;
 		st.term = s->order_term;
 		step = STEP_ORDER;
-		s->order_wanted = false;
-		s->order_sent_us = now_us;
+		s->order_pending = false;
+		s->order_sent_at_us = now_us;
 		if (s->order == RELAY_PAUSE)
 			rmt_pause(s->relay);
 	}
-	s->probe_now = false;
-	s->probed_us = now_us;
+	s->probe_requested = false;
+	s->probed_at_us = now_us;
 	s->probing = c;
 	g_queue_unlink(&s->idle, &c->link);
 	c->state = RCONN_LENT;
@@ -324,10 +327,11 @@
 {
 	uint64_t quiet_us = now_us - s->heard_us;
 
-	if (now_us < s->probed_us + s->relay->settings.probe_interval_us)
+	if (now_us < s->probed_at_us + s->relay->settings.probe_interval_us)
 		return false;
-	return s->probe_now || s->failing_us || quiet_us > IDLE_PROBE_US ||
-	       (s->in_flight && quiet_us > IN_FLIGHT_QUIET_US);
+	return s->probe_requested || s->failing_us ||
+	       quiet_us > IDLE_PROBE_INTERVAL_US ||
+	       (s->in_flight && quiet_us > IN_FLIGHT_SILENCE_US);
 }
 
 static bool probe_is_due(const struct rserver *s, uint64_t now_us)
@@ -338,20 +342,21 @@
 
 	if (v->peers)
 		return peer_probe_is_due(s, now_us);
-	if (s->probe_now || !s->status_us)
+	if (s->probe_requested || !s->status_at_us)
 		return true;
 	if (!v->primary && now_us < v->wanted_us + every_us &&
-	    now_us > s->probed_us + MISSING_PROBE_US)
+	    now_us > s->probed_at_us + NO_PRIMARY_PROBE_INTERVAL_US)
 		return true;
-	if (now_us < s->probed_us + every_us)
+	if (now_us < s->probed_at_us + every_us)
 		return false;
 	if (s->failing_us || primary_fails(s) || rch_is_running(v))
 		return true;
-	if (s->in_flight && quiet_us > IN_FLIGHT_QUIET_US)
+	if (s->in_flight && quiet_us > IN_FLIGHT_SILENCE_US)
 		return true;
 	if (v->primary != s && rld_wants(v, now_us))
 		return true;
-	return quiet_us > IDLE_PROBE_US || now_us > s->status_us + STATUS_US;
+	return quiet_us > IDLE_PROBE_INTERVAL_US ||
+	       now_us > s->status_at_us + STATUS_MAX_AGE_US;
 }
 
 /* Whether its connections are kept, if only for probes. */
@@ -368,9 +373,9 @@
 		return false;
 	if (s->service->peers && !s->listed)
 		return false; /* nobody replaces it, so nobody must know */
-	return !s->n_conns || s->order_wanted ||
-	       now_us > s->heard_us + IDLE_PROBE_US || s->failing_us ||
-	       (s->in_flight && now_us > s->heard_us + IN_FLIGHT_QUIET_US);
+	return !s->n_conns || s->order_pending ||
+	       now_us > s->heard_us + IDLE_PROBE_INTERVAL_US || s->failing_us ||
+	       (s->in_flight && now_us > s->heard_us + IN_FLIGHT_SILENCE_US);
 }
 
 /* Probes when that is due, and keeps the connections. */
@@ -382,15 +387,15 @@
 	if (!rcn_is_ours(s))
 		return;
 	if (!rsv_is_wanted(s, now_us) || s->probing ||
-	    (!s->order_wanted && !probe_is_due(s, now_us)))
+	    (!s->order_pending && !probe_is_due(s, now_us)))
 		return;
-	if (now_us < s->probed_us + PROBE_LEAST_US)
+	if (now_us < s->probed_at_us + PROBE_MIN_INTERVAL_US)
 		return;
 	c = g_queue_peek_head(&s->idle);
 	if (c) {
 		send_probe(s, c, now_us);
 	} else if (may_open_for_probe(s, now_us)) {
-		s->open_after_us = now_us + REOPEN_US;
+		s->open_after_us = now_us + REOPEN_INTERVAL_US;
 		rcn_open(s, "", now_us);
 	}
 }
@@ -417,7 +422,7 @@
 	g_ptr_array_free(v->servers, TRUE);
 	g_ptr_array_free(v->homes, TRUE);
 	g_ptr_array_free(v->spares, TRUE);
-	g_free(v->told_to);
+	g_free(v->promotion_target_id);
 	g_free(v->name);
 	g_free(v);
 }
--- a/packages/relay/src/word.c
+++ b/packages/relay/src/word.c
@@ -16,25 +16,26 @@
  * list. By then a lease must be over that rests on a list in which it still
  * was; and a second more, for a list that trails.
  */
-#define LIST_LATE_US USEC_PER_SEC
+#define LIST_DELAY_MARGIN_US USEC_PER_SEC
 
-static uint64_t within_us(const struct relay *r)
+static uint64_t list_max_age_us(const struct relay *r)
 {
 	return r->settings.gone_after_us - r->settings.authority_us -
-	       LIST_LATE_US;
+	       LIST_DELAY_MARGIN_US;
 }
 
 /* Whether the server may know nothing of a change that is under way. */
 bool rwd_is_doubted(const struct rserver *s, uint64_t now_us)
 {
-	return s->doubted_us && now_us < s->doubted_us + DOUBT_US;
+	return s->doubted_at_us && now_us < s->doubted_at_us + DOUBT_US;
 }
 
-/* Whether the list is as new as its use of it rests on; see within_us(). */
+/* Whether the list is as new as its use of it rests on; see list_max_age_us().
+ */
 bool rwd_is_list_fresh(const struct relay *r, uint64_t at_us)
 {
 	return !r->guards.check_list_age ||
-	       at_us < r->store_heard_us + within_us(r);
+	       at_us < r->store_heard_us + list_max_age_us(r);
 }
 
 /*
@@ -53,8 +54,8 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (s->doubted_us < unpaused_us)
-			s->doubted_us = 0;
+		if (s->doubted_at_us < unpaused_us)
+			s->doubted_at_us = 0;
 	}
 }
 
@@ -66,13 +67,13 @@
  * counts alone only while it is certain that no other proxy has given the
  * server up.
  */
-static bool counts_elsewhere(const struct rserver *s, uint64_t now_us)
+static bool is_known_to_others(const struct rserver *s, uint64_t now_us)
 {
 	const struct relay *r = s->relay;
 
 	if (!r->guards.check_list_age)
 		return true;
-	return (s->listed || now_us < s->unlisted_us + within_us(r)) &&
+	return (s->listed || now_us < s->unlisted_us + list_max_age_us(r)) &&
 	       rwd_is_list_fresh(r, now_us);
 }
 
@@ -93,7 +94,7 @@
  * When all that a change could promote last knew of none: the earliest of their
  * words, 0 when one of them doesn't say so.
  */
-static uint64_t all_agreed_us(const struct rservice *v, uint64_t now_us)
+static uint64_t all_agreed_at_us(const struct rservice *v, uint64_t now_us)
 {
 	uint64_t earliest_us = NEVER_US;
 	unsigned i;
@@ -117,13 +118,13 @@
  * its promotion has taken effect or can't any more. What a proxy that has just
  * started reads of the duty may be of long ago and does not count.
  */
-static bool may_all_have_forgotten(const struct rservice *v, uint64_t now_us)
+static bool may_all_have_restarted(const struct rservice *v, uint64_t now_us)
 {
 	const struct relay *r = v->relay;
 	unsigned i;
 
 	if (now_us >= r->duty_others_us + PROMOTED_WITHIN_US ||
-	    r->duty_others_us <= v->term_us)
+	    r->duty_others_us <= v->term_seen_at_us)
 		return false;
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
@@ -142,19 +143,20 @@
  * all who may be promoted: that one is paused until it leads. It is over once
  * a newer term shows that the change is.
  */
-static bool may_be_changing(const struct rservice *v, uint64_t now_us)
+static bool may_promotion_take_effect(const struct rservice *v, uint64_t now_us)
 {
 	const struct relay *r = v->relay;
 
-	return r->guards.doubt_unpaused && r->duty_changed_us > v->term_us &&
+	return r->guards.doubt_unpaused &&
+	       r->duty_changed_us > v->term_seen_at_us &&
 	       now_us < r->duty_changed_us + PROMOTED_WITHIN_US;
 }
 
 /* Whether what the server shows of the primary needs nobody else's word. */
 bool rwd_counts_alone(const struct rserver *s, uint64_t now_us)
 {
-	return !rwd_is_doubted(s, now_us) && counts_elsewhere(s, now_us) &&
-	       !may_be_changing(s->service, now_us);
+	return !rwd_is_doubted(s, now_us) && is_known_to_others(s, now_us) &&
+	       !may_promotion_take_effect(s->service, now_us);
 }
 
 /* From when a lease counts that rests on a replica's word, 0: on none. */
@@ -164,8 +166,8 @@
 
 	if (rwd_counts_alone(s, now_us))
 		return s->agreed_us;
-	if (may_all_have_forgotten(s->service, now_us))
+	if (may_all_have_restarted(s->service, now_us))
 		return 0;
-	agreed_us = all_agreed_us(s->service, now_us);
-	return agreed_us > s->doubted_us ? agreed_us : 0;
+	agreed_us = all_agreed_at_us(s->service, now_us);
+	return agreed_us > s->doubted_at_us ? agreed_us : 0;
 }
