--- a/packages/relay/src/cleanup.c
+++ b/packages/relay/src/cleanup.c
@@ -1,12 +1,13 @@
 /*
- * What changes of primary leave behind when they end early: replicas that are
- * paused, and old primaries that do not follow.
+ * Cleanup after changes of primary that ended early: replicas that are still
+ * paused, and old primaries that don't follow the new one.
  */
 #include "relay_internal.h"
 
+/* The least time between two claims made for cleanup. */
 #define CLAIM_RETRY_INTERVAL_US USEC_PER_SEC
 
-/* Whether the pause is this proxy's own, made under a duty that it has. */
+/* Whether this proxy made the pause and still has the duty. */
 static bool is_own_pause(const struct rservice *v, const struct rserver *s)
 {
 	return s->status.held == v->fence_term &&
@@ -14,8 +15,8 @@
 }
 
 /*
- * Whether a promotion may come yet that the pause is needed for. The promotion
- * of another proxy needs it too, whoever made it.
+ * Whether a promotion that relies on the pause may still take effect. A pause
+ * made by one proxy also protects a promotion by another.
  */
 static bool is_pause_needed(const struct rservice *v, const struct rserver *s,
 			    uint64_t now_us)
@@ -28,16 +29,18 @@
 }
 
 /*
- * Whether a replica that another change left paused may receive again.
+ * Whether a replica that is still paused from a change may receive again.
  *
- * Failure: a change runs elsewhere, and this proxy, which the store has not
- * answered since, knows nothing of it. The old primary comes back a moment
- * before the promotion takes effect, a replica is resumed here and confirms
- * it, and what it stores is told as stored and gone. Guard: both the
- * pause and the last claim must be older than a promotion can take after its
- * claim, since a change claims the duty anew for each try; and this proxy must
- * have the duty itself: it claims it, which fails when another has claimed
- * since, and which makes the next claim of that other fail.
+ * Failure: a change runs at another proxy, and this one knows nothing of it,
+ * since the store has not answered it. The old primary comes back just before
+ * the promotion takes effect, this proxy resumes a replica, the replica
+ * confirms the old primary, and what that acknowledges is lost.
+ *
+ * Guard: both the pause and the last claim must be older than the time in which
+ * a promotion takes effect after its claim; this suffices because a change
+ * claims the duty again for each try. This proxy must also have the duty
+ * itself. Its claim fails if another proxy has claimed since, and makes that
+ * proxy's next claim fail.
  */
 static bool may_resume(struct rservice *v, struct rserver *s, uint64_t now_us)
 {
@@ -59,7 +62,10 @@
 	return false;
 }
 
-/* What was paused receives again, and an older primary follows. */
+/*
+ * Resumes replicas that need not be paused any more, and makes primaries of an
+ * older term step down.
+ */
 void rtd_tick(struct rservice *v, uint64_t now_us)
 {
 	unsigned i;
--- a/packages/relay/src/duty.c
+++ b/packages/relay/src/duty.c
@@ -1,10 +1,13 @@
 /*
- * The duty of replacing primaries, as this proxy knows it: who has it, and
- * whether its own claim still serves.
+ * The duty record: which proxy may replace primaries, as far as this proxy
+ * knows, and whether its own claim may still be used. The record is in the
+ * store; its revision is the token of a claim.
  */
 #include "relay_internal.h"
 
-/* Whether another proxy has claimed it so lately that it may be at work. */
+/*
+ * Whether another proxy claimed the duty so recently that it may be using it.
+ */
 bool rdt_is_others(const struct relay *r, uint64_t now_us)
 {
 	if (!r->duty_holder || !strcmp(r->duty_holder, r->name))
@@ -13,9 +16,10 @@
 }
 
 /*
- * Failure: this proxy was suspended and another has the duty by now; a token
- * that is too low would reach the platform. A claim is used only while nobody
- * else may make one, with time to spare, and none is known.
+ * Whether this proxy's claim may still be used. Failure: this proxy was
+ * suspended and another has claimed the duty since; the platform would be given
+ * an outdated, lower token. Guard: a claim is used only for half of the time in
+ * which no other proxy may make one, and only while no other claim is known.
  */
 bool rdt_is_fresh(const struct relay *r, uint64_t now_us)
 {
@@ -25,7 +29,10 @@
 		 now_us < r->claimed_us + r->settings.claim_hold_us / 2));
 }
 
-/* Claims it, unless a claim is under way; rch_on_claimed() hears of it. */
+/*
+ * Claims the duty unless a claim is under way. The outcome goes to
+ * rch_on_claimed().
+ */
 void rdt_claim(struct relay *r, uint64_t now_us)
 {
 	if (r->claiming)
--- a/packages/relay/src/failover.c
+++ b/packages/relay/src/failover.c
@@ -1,16 +1,18 @@
 /*
- * The replacement of a primary, one state machine per service.
+ * Failover: the replacement of a primary, one state machine per service.
  *
- * WATCH: the primary fails, leaves or is missing.
- * CLAIM: the duty record is written under a condition; its revision is the
- *   token that the platform sees, so that tokens only grow. Who sees another's
- *   claim stays away for claim_hold_us.
+ * WATCH: no change runs; one starts if the primary fails, leaves or is missing.
+ * CLAIM: the duty record is written on condition that it is unchanged. Its new
+ *   revision is the token that the platform checks, so tokens only increase. A
+ *   proxy that sees another's claim does nothing for claim_hold_us.
  * FENCE: the primary steps down, or every other server is paused in a higher
- *   term. Either takes away what rld_holds() rests on.
- * CATCH_UP: a primary that stepped down has a log that the target gets first.
- * HOLD: what others were told before the pause runs out, and a claim made
- *   since then shows that no server was missed.
- * PROMOTE, SETTLE: the platform is told; the target shows itself as primary.
+ *   term. Either takes away what the lease of rld_holds() rests on.
+ * CATCH_UP: the target receives the rest of the log of a primary that stepped
+ *   down.
+ * HOLD: leases that other proxies got before the pause expire, and a claim made
+ *   after it shows that no server was missed.
+ * PROMOTE, SETTLE: the platform is told to promote the target; the target
+ *   reports that it is primary.
  */
 #define LOG_MODULE "change"
 #include "relay_internal.h"
@@ -19,17 +21,29 @@
 
 #include <string.h>
 
-#define TYPICAL_CHANGE_US (2 * USEC_PER_SEC) /* one takes about this long */
+/* A change usually takes about this long. */
+#define TYPICAL_CHANGE_US (2 * USEC_PER_SEC)
+/*
+ * Up to this is added to a start or a back-off, so that proxies don't all claim
+ * at once.
+ */
 #define JITTER_US (80 * USEC_PER_MSEC)
-#define BACKOFF_US USEC_PER_SEC
+#define BACKOFF_US USEC_PER_SEC /* after a change that was aborted */
+/* A service without a primary for this long gets a new one. */
 #define NO_PRIMARY_LIMIT_US (2500 * USEC_PER_MSEC)
+/* Replicas of a failing primary are watched from then on. */
 #define WATCH_AFTER_US (250 * USEC_PER_MSEC)
-#define REPLICA_ANSWER_US \
-	(400 * USEC_PER_MSEC) /* a replica is asked within it */
+/* Within this time from then a replica can have shown its progress. */
+#define REPLICA_ANSWER_US (400 * USEC_PER_MSEC)
+/* A primary that fails here is left to other proxies for this long at most. */
 #define ALIVE_FOR_OTHERS_MAX_US (8 * USEC_PER_SEC)
+/* Timeouts of the phases; a change that exceeds one is aborted or retried. */
 #define CLAIM_TIMEOUT_US USEC_PER_SEC
 #define FENCE_TIMEOUT_US (2500 * USEC_PER_MSEC)
-/* Of the 5 s for which rsv_leads_on() sends it work. */
+/*
+ * How long a step-down waits for a silent replica: less than the 5 s for which
+ * rsv_leads_on() lets a leaving primary have work.
+ */
 #define STEP_DOWN_DELAY_MAX_US (4 * USEC_PER_SEC)
 #define CATCH_UP_TIMEOUT_US (2 * USEC_PER_SEC)
 #define PROMOTE_TIMEOUT_US (1500 * USEC_PER_MSEC)
@@ -39,19 +53,19 @@
 /* Whether this proxy is replacing the service's primary. */
 bool rch_is_running(const struct rservice *v)
 {
-	if (v->phase == PHASE_CLAIM) /* the second of a change */
+	if (v->phase == PHASE_CLAIM) /* the second claim of a change */
 		return v->fenced_at_us || v->stepped_down;
 	return v->phase != PHASE_WATCH;
 }
 
-/* Whether a promotion that this proxy asked for may take effect yet. */
+/* Whether a promotion that this proxy requested may still take effect. */
 bool rch_is_told(const struct rservice *v, uint64_t now_us)
 {
 	return v->promotion_sent_at_us &&
 	       now_us < v->promotion_sent_at_us + PROMOTED_WITHIN_US;
 }
 
-/* When a primary can be expected again, 0 when one is there. */
+/* When a primary can be expected again, 0 if there is one that works. */
 uint64_t rch_expected_us(const struct rservice *v)
 {
 	if (!v->primary)
@@ -61,7 +75,7 @@
 	return 0;
 }
 
-/* As logs have it. */
+/* The phase's name in logs. */
 const char *rch_phase_name(enum rphase phase)
 {
 	static const char *const names[] = {
@@ -134,9 +148,12 @@
 }
 
 /*
- * Failure: this proxy alone is cut off from a primary that serves all others;
- * replacing it would stop them for a second. It shows in the replicas: they
- * go on receiving. So while one does, the primary is left in place for a time.
+ * Whether the failing primary still serves other proxies.
+ *
+ * Failure: only this proxy is cut off from a primary that serves all others;
+ * replacing it would interrupt them for a second. Guard: replicas that continue
+ * to receive writes show that the primary is alive, so as long as one does, the
+ * primary is left in place, but for ALIVE_FOR_OTHERS_MAX_US at most.
  */
 static bool is_alive_for_others(struct rservice *v, uint64_t now_us)
 {
@@ -157,14 +174,15 @@
 		return false;
 	if (!v->primary->refused &&
 	    now_us < v->watch_started_at_us + REPLICA_ANSWER_US)
-		return true; /* no replica can have shown it yet */
+		return true; /* no replica's progress can be known yet */
 	return v->alive_for_others;
 }
 
 /*
- * Failure: a primary steps down as planned while a replica is silent, and
- * nobody leads until that one has left the list and is given up. Guard: as long
- * as the primary serves on while it leaves, the replica is waited for.
+ * Whether a leaving primary may be made to step down. Failure: it steps down
+ * while a replica is silent, and there is no primary until that replica has
+ * left the list and is given up. Guard: the replica is waited for as long as
+ * the leaving primary still serves.
  */
 static bool may_step_down(const struct rservice *v, uint64_t now_us)
 {
@@ -220,8 +238,9 @@
 }
 
 /*
- * Failure: a server has no connection left for this proxy. It answers, but
- * not what it is; the primary counted as missing and its replicas were paused.
+ * Whether a server that answers has not reported its role. Failure: a server
+ * whose connections are all taken answers this proxy, but not with a status;
+ * the primary then counted as missing, and its replicas were paused.
  */
 static bool any_role_unknown(const struct rservice *v)
 {
@@ -236,7 +255,7 @@
 	return false;
 }
 
-/* Why the primary must be replaced, NULL when it needn't. */
+/* Why the primary must be replaced, NULL if it need not or can't be. */
 static const char *failover_reason(struct rservice *v, uint64_t now_us)
 {
 	if (!any_candidate(v))
@@ -258,11 +277,12 @@
 }
 
 /*
- * Failure: a change takes longer than its claim keeps others away, another
- * proxy claims the duty, and this one claims it back at once. The other goes on
- * with a claim that it takes for fresh, and the platform is told with the older
- * token after the newer one. Guard: a claim in the middle of a change waits for
- * others like the first one.
+ * Claims the duty again in the middle of a change. Failure: the change takes
+ * longer than its claim keeps other proxies away, another proxy claims the
+ * duty, and this one claims it back at once. The other continues with a claim
+ * that it believes to be valid, and the platform receives the older token after
+ * the newer one. Guard: like the first claim, this one waits while another
+ * proxy has the duty.
  */
 static void claim_again(struct rservice *v, uint64_t now_us)
 {
@@ -291,8 +311,8 @@
 		return;
 	v->reason = why;
 	/*
-	 * Failure: what an earlier change left behind makes this one skip its
-	 * fence; the old primary's writes are told as stored and are gone.
+	 * Failure: state left by an earlier change would let this one skip its
+	 * fence; writes acknowledged by the old primary would be lost.
 	 */
 	v->fenced_at_us = 0;
 	v->stepped_down = false;
@@ -317,7 +337,10 @@
 	return v->old && rsv_is_up(v->old);
 }
 
-/* Nobody may commit at the old primary from now on, as far as is known. */
+/*
+ * The fence is complete: as far as is known, nobody can commit at the old
+ * primary from now on.
+ */
 static void on_fenced(struct rservice *v, uint64_t now_us)
 {
 	v->fenced_at_us = now_us;
@@ -379,13 +402,13 @@
 	    now_us < v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
 		return;
 	/*
-	 * Failure: the old primary runs reads on as a replica, and a proxy that
-	 * has not heard of its step-down holds a lease on it: callers miss what
-	 * the new primary stores. Or it starts anew, has forgotten the
-	 * step-down, and is confirmed by replicas: what it stores is gone.
-	 * Guard: replicas are paused too, and the leases run out before the
-	 * promotion can take effect. Another proxy may reach the replica that
-	 * this one can't.
+	 * Failure: the old primary continues to run reads as a replica, and a
+	 * proxy that doesn't know of its step-down still has a lease on it, so
+	 * callers miss what the new primary stores. Or it restarts, has
+	 * forgotten its step-down and is confirmed by replicas, and what it
+	 * stores is lost. Guard: replicas are paused too, and the leases expire
+	 * before the promotion can take effect. All must be paused, as another
+	 * proxy may reach a replica that this one can't.
 	 */
 	if (!v->relay->guards.doubt_reborn ||
 	    (rfn_pause_others(v, now_us) && rfn_no_two_are_left(v)))
@@ -395,11 +418,12 @@
 }
 
 /*
- * Failure: a promotion without an answer is given up, and another server is
- * promoted. The first takes effect all the same, is relied on as the primary
- * of its term, and is replaced by the second without a fence: what it stored
- * meanwhile is told as stored and is gone. Guard: as long as a promotion may
- * take effect no other server is named, unless the process of the first is
+ * Whether the target may be promoted in spite of an earlier promotion. Failure:
+ * a promotion without an answer is given up, and another server is promoted.
+ * The first promotion takes effect after all; that server is relied on as the
+ * primary of its term and is then replaced by the second without a fence, so
+ * what it acknowledged meanwhile is lost. Guard: as long as a promotion may
+ * take effect no other server is promoted, unless the process of the first is
  * gone.
  */
 static bool may_be_promoted(const struct rservice *v,
@@ -425,7 +449,9 @@
 		return;
 	}
 	if (!may_be_promoted(v, best, now_us)) {
-		abort_change(v, "another server's promotion may come", now_us);
+		abort_change(v,
+			     "another server's promotion may still take effect",
+			     now_us);
 		return;
 	}
 	v->target = best;
@@ -437,7 +463,7 @@
 	r->ops->promote(r->ctx, v->name, v->target->info.id, r->token);
 }
 
-/* The fence is made once more, under the same term and for the same target. */
+/* Makes the fence again, in the same term and for the same target. */
 static void fence_again(struct rservice *v, uint64_t now_us)
 {
 	v->stepped_down = false;
@@ -450,7 +476,7 @@
 {
 	const struct relay_settings *set = &v->relay->settings;
 
-	/* A server that came after the pauses is paused like the others. */
+	/* A server that appeared after the pauses is paused like the others. */
 	if (v->fenced_at_us && v->relay->guards.claim_after_fence &&
 	    rfn_any_unpaused(v)) {
 		rmt_fence_again(v->relay);
@@ -468,7 +494,7 @@
 	}
 	if (v->fenced_at_us && rdt_is_fresh(v->relay, now_us) &&
 	    !rfn_knows_all_servers(v)) {
-		/* The claim of another service's change was under way. */
+		/* The claim was made earlier, for another service's change. */
 		if (v->relay->claimed_us < v->fenced_at_us)
 			claim_again(v, now_us);
 		else if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
@@ -536,7 +562,7 @@
 		start_fence(v, now_us);
 }
 
-/* The outcome of the claim, for every service that waits for it. */
+/* Handles a claim's outcome for every service that waits for it. */
 void rch_on_claimed(struct relay *r, enum relay_claim outcome, uint64_t now_us)
 {
 	GHashTableIter iter;
@@ -551,13 +577,16 @@
 		if (outcome == RELAY_CLAIM_DONE)
 			on_claimed(v, now_us);
 		else
-			abort_change(v, "the claim was not had", now_us);
+			abort_change(v, "the claim was not confirmed", now_us);
 		if (v->phase != PHASE_WATCH)
 			rch_tick(v, now_us);
 	}
 }
 
-/* The platform's word on the promotion; false also when it gave none. */
+/*
+ * Handles the platform's answer to the promotion; accepted is also false if it
+ * gave none.
+ */
 void rch_on_promoted(struct rservice *v, bool accepted, uint64_t now_us)
 {
 	if (v->phase != PHASE_PROMOTE)
@@ -567,19 +596,23 @@
 		return;
 	}
 	if (++v->tries > MAX_PROMOTE_RETRIES) {
-		abort_change(v, "the platform refused", now_us);
+		abort_change(v, "the platform refused the promotion", now_us);
 		return;
 	}
-	/* A new token for each try, so that a late one can't be the lower. */
+	/*
+	 * Each try gets a new token, so that a late promotion can't arrive with
+	 * the lower one.
+	 */
 	v->relay->token = 0;
 	enter(v, PHASE_HOLD, now_us);
 }
 
 /*
- * A server may have started anew and forgotten what this change told it: that
- * it stepped down, or is paused. Until the platform is told, the fence is made
- * once more; from then on the server is told again. That ends with a promotion,
- * so the target is told, too: it may be all that confirms the old primary.
+ * Handles a server that may have restarted and forgotten what this change
+ * ordered: its step-down or its pause. Until the platform is told, the fence is
+ * made again; from then on only the order to this server is repeated. The
+ * target is ordered too, because it may be the only one that confirms the old
+ * primary; its promotion ends the pause.
  */
 void rch_on_doubt(struct rserver *s, uint64_t now_us)
 {
@@ -598,12 +631,13 @@
 }
 
 /*
- * Failure: the platform's word on a promotion is lost, or another proxy
- * replaced the primary meanwhile; one more promotion would take the lead from
- * a server that nobody fenced, and what it acknowledges then is rolled back.
- * Guard: whatever leads in a newer term ends the change. An old primary that
- * comes back ends it only until the platform was told; from then on its lead
- * is over, and what was paused must stay so.
+ * Whether another server became primary, which ends the change. Failure: the
+ * platform's answer to a promotion is lost, or another proxy replaced the
+ * primary meanwhile; a further promotion would replace a primary that was never
+ * fenced, and what that acknowledges then is rolled back. Guard: any primary in
+ * a newer term ends the change. An old primary that comes back ends it only
+ * until the platform was told; from then on its term is over, and what was
+ * paused must stay paused.
  */
 static bool other_primary_leads(const struct rservice *v, uint64_t now_us)
 {
@@ -614,7 +648,7 @@
 	return !rch_is_told(v, now_us) && v->primary != v->old;
 }
 
-/* A status came: it may be what a phase waits for. */
+/* Handles a server's status, which a phase may be waiting for. */
 void rch_on_status(struct rserver *s, uint64_t now_us)
 {
 	struct rservice *v = s->service;
@@ -628,9 +662,9 @@
 		log_change(v, "done", v->primary->info.id, now_us);
 		/*
 		 * All tries under one fence name the same target, so no other
-		 * promotion of this proxy's is still to come. Or replicas that
+		 * promotion of this proxy is pending. Otherwise replicas that
 		 * were paused in a term above the new one, as by a second
-		 * fence, would stay so for seconds, and nobody could confirm
+		 * fence, would stay paused for seconds, and none could confirm
 		 * the new primary.
 		 */
 		if (v->primary == v->target && !v->earlier_promotion_pending)
--- a/packages/relay/src/fence.c
+++ b/packages/relay/src/fence.c
@@ -1,9 +1,10 @@
 /*
- * The fence of a change of primary: who must be paused, and whether all are.
+ * The fence of a change of primary: which servers must be paused before another
+ * may be promoted, and whether all of them are.
  */
 #include "relay_internal.h"
 
-/* Above all that any server of the service has seen. */
+/* A term above every term that a server of the service has reported. */
 uint64_t rfn_term(const struct rservice *v)
 {
 	uint64_t term = v->term;
@@ -23,8 +24,9 @@
 }
 
 /*
- * Whether another proxy may take this server's word for the old primary: also
- * one that has just left the list, as long as it answers.
+ * Whether another proxy may rely on this server's confirmation of the old
+ * primary. It may also do so with one that has just left the list, as long as
+ * it answers.
  */
 static bool may_confirm(const struct rservice *v, const struct rserver *s)
 {
@@ -32,9 +34,9 @@
 }
 
 /*
- * Whether the server's process is gone, beside an old primary that stepped
- * down. It is not waited for: who comes back there is in doubt everywhere, and
- * it takes both to start anew to be relied on.
+ * Whether the server's process is gone while the old primary has stepped down.
+ * Such a server is not waited for: if it comes back, every proxy has it in
+ * doubt, and the old primary is relied on again only if both of them restart.
  */
 static bool is_gone_after_step_down(const struct rservice *v,
 				    const struct rserver *s)
@@ -42,7 +44,10 @@
 	return v->stepped_down && s != v->old && (s->refused || s->moved);
 }
 
-/* After the platform was told, the target is the primary at any moment. */
+/*
+ * Once the platform was told, the target may become primary at any moment and
+ * must not be paused.
+ */
 static bool must_be_paused(const struct rservice *v, const struct rserver *s)
 {
 	if (v->phase >= PHASE_PROMOTE && s == v->target)
@@ -63,7 +68,7 @@
 	return false;
 }
 
-/* Pauses the others; true when every one that may confirm it is paused. */
+/* Pauses every server that may confirm the old primary. True once all are. */
 bool rfn_pause_others(struct rservice *v, uint64_t now_us)
 {
 	bool all = true;
@@ -75,7 +80,7 @@
 		if (!must_be_paused(v, s))
 			continue;
 		all = false;
-		/* A primary that is not relied on can't be paused. */
+		/* A server that still acts as a primary can't be paused. */
 		rsv_order_again(s,
 				s->status.role == ROLE_PRIMARY ?
 					RELAY_STEP_DOWN :
@@ -86,11 +91,11 @@
 }
 
 /*
- * Failure: the primary and a replica are down while another replica is
- * promoted alone. Both come back before that takes effect, one confirms the
- * other, and a write that they took is told as stored and gone. Guard: of the
- * servers that are known, also those that left the list a moment ago, one at
- * most may be unpaused, since it takes two to be relied on.
+ * Failure: the primary and one replica are down while another replica is
+ * promoted alone. Both come back before the promotion takes effect, the replica
+ * confirms the primary, and a write that they acknowledge is lost. Guard: at
+ * most one of the known servers, including those that left the list a moment
+ * ago, may be unpaused, since a primary needs a second server to be relied on.
  */
 bool rfn_no_two_are_left(const struct rservice *v)
 {
@@ -106,8 +111,9 @@
 }
 
 /*
- * Whether each server that was paused has said so since all of them were: one
- * that fell silent may have started anew without its pause.
+ * Whether each paused server has reported its pause again since all of them
+ * were paused. One that has not answered since may have restarted without its
+ * pause.
  */
 bool rfn_pauses_stand(const struct rservice *v)
 {
@@ -125,12 +131,13 @@
 }
 
 /*
- * Failure: a server that others know, and go by, is not in this proxy's list
- * yet: news of the store are gathered, or come through other proxies, or stop
- * for a while. It is not paused, and confirms the old primary while another is
- * promoted. Guard: the duty is claimed once more when all are paused, and the
- * list must be known up to that claim. Who was listed before the pauses is
- * paused, too; who is listed later is in doubt everywhere, see word.c.
+ * Failure: a server that other proxies know and rely on is not in this proxy's
+ * list yet, because changes in the store arrive in batches, through other
+ * proxies, or with a delay. It is not paused and confirms the old primary while
+ * another server is promoted. Guard: the duty is claimed again once all are
+ * paused, and the list must be current up to that claim. A server that was
+ * listed before the pauses is therefore paused too; one listed later is in
+ * doubt at every proxy, see word.c.
  */
 bool rfn_knows_all_servers(const struct rservice *v)
 {
--- a/packages/relay/src/partition.c
+++ b/packages/relay/src/partition.c
@@ -1,27 +1,29 @@
 /*
- * Whether this proxy stands on the wrong side of a network partition.
+ * Whether a network partition keeps this proxy from serving while others can.
  *
- * Failure: a partition leaves some proxies with an old primary that may not be
- * relied on any more, or with replicas alone, and without the store. Callers
- * who come here are refused with each statement and each retry for as long as
- * it lasts, while proxies on the other side serve. Guard: such a proxy is not
- * ready, so that new callers go elsewhere, and a caller's session ends right
- * after a refusal, so that its retry does too.
+ * Failure: a partition leaves some proxies without the store, with an old
+ * primary whose lease has expired or with replicas alone. Their callers are
+ * refused with each statement and each retry for as long as the partition
+ * lasts, while proxies on the other side could serve them. Guard: such a proxy
+ * reports that it is not ready, so that new callers go elsewhere, and ends a
+ * caller's session right after a refusal, so that its retry goes elsewhere too.
  *
- * Half of six proxies on the wrong side for 7 s, one service of three: 0.957
- * of all worth was served in time without it, 0.972 with it (mean of five
- * seeds).
+ * With three of six proxies cut off for 7 s and one service of three affected,
+ * the share of statements served in time, weighted by their worth, is 0.957
+ * without this and 0.972 with it.
  *
- * What shows it: the store doesn't answer, statements have wanted a primary in
- * vain for a while, and another proxy can't be reached either. An outage of
- * the store alone leaves primaries in use; a primary that crashes in one
- * leaves the other proxies in reach. Neither must turn a whole fleet away.
+ * A proxy is cut off if the store doesn't answer, statements have not been able
+ * to get a primary for a while, and another proxy can't be reached either. An
+ * outage of the store alone leaves primaries in use; a primary that crashes
+ * during one leaves the other proxies reachable. In neither case may all
+ * proxies refuse callers.
  */
 #include "relay_internal.h"
 
 /*
- * A primary that crashed is replaced in 1.3 to 2.5 s; its callers are refused
- * by all proxies alike. The store's silence takes longer to show.
+ * Statements must have lacked a primary for this long. A crashed primary is
+ * replaced in 1.3 to 2.5 s, and all proxies refuse its callers alike meanwhile;
+ * a store that doesn't answer takes longer to detect.
  */
 #define UNSERVED_MIN_US USEC_PER_SEC
 
@@ -30,7 +32,9 @@
 	return v->in_vain_us && now_us > v->in_vain_us + UNSERVED_MIN_US;
 }
 
-/* Whether a proxy that was asked for help, or is a home, is not heard. */
+/*
+ * Whether another proxy that is a home, or was asked for help, doesn't answer.
+ */
 static bool misses_a_proxy(const struct relay *r)
 {
 	GHashTableIter iter;
@@ -51,14 +55,14 @@
 	return false;
 }
 
-/* Whether other proxies may serve the service while this one can't. */
+/* Whether this proxy can't serve the service while others may. */
 bool rco_is_cut_off(const struct rservice *v, uint64_t now_us)
 {
 	return v->relay->guards.leave_when_cut_off && v->relay->store_lost &&
 	       misses_its_primary(v, now_us) && misses_a_proxy(v->relay);
 }
 
-/* The same of any service. */
+/* The same, for any service. */
 bool rco_is_any_cut_off(const struct relay *r, uint64_t now_us)
 {
 	unsigned i;
@@ -72,8 +76,8 @@
 }
 
 /*
- * A proxy that is not ready gets no statements that would show that the
- * primary can be used again; so it goes on wanting it.
+ * A proxy that is not ready gets no statements, which would show that the
+ * primary is usable again. So this keeps probing for it as if they came.
  */
 void rco_tick(struct relay *r, uint64_t now_us)
 {
--- a/packages/relay/src/position.c
+++ b/packages/relay/src/position.c
@@ -1,6 +1,9 @@
 #include "relay_internal.h"
 
-/* Below, at or above zero as a is before, at or after b; terms go first. */
+/*
+ * Negative, zero or positive as a is before, at or after b. The term is
+ * compared first.
+ */
 int position_cmp(struct position a, struct position b)
 {
 	if (a.term != b.term)
@@ -10,7 +13,7 @@
 	return 0;
 }
 
-/* The later of two. */
+/* Returns the later of the two. */
 struct position position_max(struct position a, struct position b)
 {
 	return position_cmp(a, b) < 0 ? b : a;
--- a/packages/relay/src/primary.c
+++ b/packages/relay/src/primary.c
@@ -1,12 +1,12 @@
 /*
- * Who is primary, and until when that may be relied on.
+ * Which server is primary, and until when that is certain: its lease.
  *
- * Failure: a primary that is cut off, or a proxy that is, goes on although
- * another server was promoted. It shows as reads that miss acknowledged
- * writes, and as acknowledged writes that vanish. Guard: whoever replaces a
- * primary first makes it step down, or pauses every other server with a higher
- * term and then waits until `authority_us` is over. So a primary may be relied
- * on for that long after a replica whose word counts, see word.c, was asked
+ * Failure: a primary that is cut off, or a proxy that is, continues although
+ * another server was promoted. Reads miss acknowledged writes, and acknowledged
+ * writes are lost. Guard: a proxy that replaces a primary first makes it step
+ * down, or pauses every other server with a higher term; either way it then
+ * waits until `authority_us` has passed. So the lease lasts that long from the
+ * moment when a replica whose confirmation is trusted (see word.c) was asked
  * and knew of no higher term.
  */
 #define LOG_MODULE "lead"
@@ -14,11 +14,14 @@
 
 #include <celeryquay/base/log.h>
 
+/* The least time between two samples; the ring then covers at least 2.5 s. */
 #define SAMPLE_INTERVAL_US (40 * USEC_PER_MSEC)
+/* A lease in use is renewed when less than this is left of it. */
 #define RENEW_BEFORE_US (150 * USEC_PER_MSEC)
+/* A primary is in use for this long after a statement needed it. */
 #define WANTED_RECENTLY_US USEC_PER_SEC
 
-/* Whether another server is known that could take the primary's place. */
+/* Whether any server besides the primary is known. */
 static bool has_others(const struct rservice *v)
 {
 	unsigned i;
@@ -30,14 +33,16 @@
 }
 
 /*
- * Failure: a list names one server of a service, an old primary, and the others
- * are there all the same: the proxy has just started, their entries lapsed in
- * an outage of the store, or they came back since the store was last heard.
- * One of them is promoted, and writes at the old one are told as stored and
- * are gone. Guard: a lone server that may be new is not relied on while a
- * promotion may be under way, and one that had others only by a list that is
- * fresh. A service that never had more than one server here goes on without
- * the store.
+ * Whether the service may have servers that this proxy doesn't know of.
+ *
+ * Failure: the list names only one server of a service, an old primary,
+ * although there are others: the proxy has just started, their entries expired
+ * during an outage of the store, or they returned since the store last
+ * answered. One of them is promoted, and writes acknowledged by the old primary
+ * are lost. Guard: a lone server that is in doubt is not relied on while a
+ * promotion may be under way. One that had others before is relied on only with
+ * a fresh list. A service that never had more than one server here continues
+ * without the store.
  */
 static bool may_have_unlisted_others(const struct rservice *v, uint64_t at_us)
 {
@@ -51,8 +56,8 @@
 }
 
 /*
- * Whether nobody else can have become primary before at_us. A server without
- * others beside it can't be replaced.
+ * Whether the lease holds at at_us: no other server can have become primary
+ * before then. A server without others beside it can't be replaced.
  */
 bool rld_holds(const struct rservice *v, uint64_t at_us)
 {
@@ -63,7 +68,7 @@
 	return at_us < v->confirmed_us + v->relay->settings.authority_us;
 }
 
-/* Every server of the service is probed at once. */
+/* Probes every server of the service with the next tick. */
 void rld_ask(struct rservice *v)
 {
 	unsigned i;
@@ -111,7 +116,7 @@
 	v->no_primary_us = now_us;
 	if (!s)
 		return;
-	/* Positions of an older term may have been rolled back. */
+	/* Positions of another term may since have been rolled back. */
 	if (s->status.term != v->samples_term)
 		v->n_samples = 0;
 	v->samples_term = s->status.term;
@@ -120,9 +125,9 @@
 }
 
 /*
- * Whose word a lease rests on, once for each replica, primary and evidence:
- * what is told as stored by mistake is traced to the server that was not
- * fenced.
+ * Logs which replica a lease rests on, once per replica, primary and kind of
+ * evidence, so that a write which was acknowledged by mistake can be traced to
+ * the server that was not fenced.
  */
 static void log_confirmed(const struct rserver *by, enum revidence evidence,
 			  uint64_t at_us, uint64_t now_us)
@@ -144,7 +149,7 @@
 	log_event_end(l);
 }
 
-/* A replica was not paused at that time: the lease counts from then. */
+/* The replica was not paused at at_us: the lease starts then. */
 static void confirm(struct rserver *by, enum revidence evidence, uint64_t at_us,
 		    uint64_t now_us)
 {
@@ -161,7 +166,7 @@
 	log_confirmed(by, evidence, at_us, now_us);
 }
 
-/* The server is not to be relied on as primary any more. */
+/* Stops relying on the server if it is the primary. */
 void rld_drop(struct rserver *s, uint64_t now_us)
 {
 	if (s->service->primary == s)
@@ -169,10 +174,10 @@
 }
 
 /*
- * Failure: a primary starts anew without its log, and leads on in its term.
- * Members see none of what they stored, though its replicas have it. Guard: it
- * is not taken for the primary while it lacks a position that this proxy has
- * seen of the same term, so that a replica takes its place.
+ * Failure: a primary restarts without its log and continues to lead in its
+ * term. Reads there miss acknowledged writes, although its replicas have them.
+ * Guard: the server is not accepted as primary while it lacks a position of the
+ * same term that this proxy has seen, so that a replica replaces it.
  */
 static bool lacks_known_log(const struct rserver *s)
 {
@@ -187,8 +192,8 @@
 }
 
 /*
- * The server may have started anew. A primary has to show itself once more,
- * and what replicas said of it before holds for its former process alone.
+ * The server may have restarted. A primary must show itself as one again, and
+ * what a replica said about it before is true of its former process only.
  */
 void rld_on_doubt(struct rserver *s, uint64_t now_us)
 {
@@ -199,7 +204,7 @@
 	rld_ask(s->service);
 }
 
-/* The server is in the list for the first time, or again. */
+/* The server was just listed, for the first time or again. */
 void rld_on_listed(struct rserver *s, uint64_t now_us)
 {
 	if (s->service->peers || !s->relay->guards.doubt_newcomers)
@@ -226,8 +231,8 @@
 }
 
 /*
- * The server was paused and is not any more, in the same term: a change was
- * given up, or a promotion has just taken effect.
+ * The server is no longer paused, in the same term: a change was aborted, or a
+ * promotion has just taken effect.
  */
 void rld_on_unpaused(struct rserver *s, uint64_t now_us)
 {
@@ -259,7 +264,7 @@
 	confirm(s, EVIDENCE_STATUS, counts_us, now_us);
 }
 
-/* Takes in the status that the server gave to a probe sent at started_us. */
+/* Handles the status that the server gave to a probe sent at started_us. */
 void rld_on_status(struct rserver *s, uint64_t started_us, uint64_t now_us)
 {
 	if (s->status.role == ROLE_PRIMARY)
@@ -268,7 +273,7 @@
 		note_replica(s, started_us, now_us);
 }
 
-/* Whether statements need the primary, and what is known of it runs out. */
+/* Whether statements need the primary and its lease is about to expire. */
 bool rld_wants(const struct rservice *v, uint64_t now_us)
 {
 	return v->primary && now_us < v->wanted_us + WANTED_RECENTLY_US &&
@@ -276,9 +281,9 @@
 }
 
 /*
- * A statement needs the primary. Where its lease is over, as where nobody asked
- * for the service for a while, replicas are asked now rather than with the next
- * tick.
+ * Renews an expired lease for a statement that needs the primary. Its replicas
+ * are asked now rather than with the next tick. The usual case is a service
+ * that was not used for a while.
  */
 void rld_renew(struct rservice *v, uint64_t now_us)
 {
@@ -290,7 +295,7 @@
 		rsv_tick(rservice_server(v, i), now_us);
 }
 
-/* The newest sample that the position covers, NULL when none is known. */
+/* The newest sample at or before the position, NULL if there is none. */
 static const struct rsample *newest_covered(const struct rservice *v,
 					    struct position p)
 {
@@ -308,9 +313,10 @@
 }
 
 /*
- * A write that the primary made after `us` can have reached the replica only
- * after that, and a paused one receives nothing; so it wasn't paused at `us`.
- * This saves most statuses.
+ * Renews the lease from a position that the replica has applied. A write that
+ * the primary made after a sample's `us` can have reached the replica only
+ * after that, and a paused replica receives nothing, so it wasn't paused at
+ * `us`. This makes most status probes unnecessary.
  */
 static void note_unpaused(struct rserver *s, struct position p, uint64_t now_us)
 {
@@ -331,7 +337,10 @@
 	}
 }
 
-/* Takes in what a replica has applied: how far behind it is, and its word. */
+/*
+ * Handles the position that a replica has applied: updates its lag and, if its
+ * confirmation is trusted, the lease.
+ */
 void rld_on_applied(struct rserver *s, struct position p, uint64_t now_us)
 {
 	struct rservice *v = s->service;
@@ -345,7 +354,7 @@
 		note_unpaused(s, p, now_us);
 }
 
-/* A server that was taken for the primary refused to write. */
+/* The server, believed to be the primary, refused a write. */
 void rld_on_read_only(struct rserver *s, uint64_t now_us)
 {
 	rld_drop(s, now_us);
@@ -353,8 +362,8 @@
 }
 
 /*
- * Takes in where the primary's log stood, from an answer to what was sent at
- * sent_us: what was acknowledged before that is at or before p.
+ * Samples the primary's log position from an answer to what was sent at
+ * sent_us: whatever was acknowledged before that is at or before p.
  */
 void rld_on_position(struct rserver *s, struct position p, uint64_t sent_us)
 {
@@ -373,8 +382,8 @@
 }
 
 /*
- * The earliest position that a read of at most that age must see. False when
- * nothing is known of the primary since then.
+ * Finds the position that a read must see so that its data is at most
+ * max_age_us old. False: nothing is known of the primary in that time.
  */
 bool rld_floor(const struct rservice *v, uint64_t max_age_us, uint64_t now_us,
 	       struct rsample *out)
--- a/packages/relay/src/relay_internal.h
+++ b/packages/relay/src/relay_internal.h
@@ -2,15 +2,16 @@
 #define CELERYQUAY_RELAY_INTERNAL_H
 
 /*
- * The relay's tables and the systems that run over them. Prefixes: rsv_
+ * The relay's data structures and the modules that work on them. Prefixes: rsv_
  * servers, rcn_ their connections, rss_ callers' sessions, rrun_ the statement
- * that a session has in flight, rpk_ which server runs it, rld_ who is
- * primary, rwd_ whose word on that counts, rch_ its replacement, rfn_ the
- * fence of that, rdt_ the duty record, rtd_ what changes leave behind, rco_
- * network partitions, rpr_ other proxies, rrl_ roles, rrk_ ranks, rvi_ homes
- * that sessions go through, rac_ client accounts, rlm_ their limits, rgr_ who
- * gives tokens of these, rol_ servers that fail in part, rcl_ limits of what is
- * in flight at a server, rlg_ log lines, rmt_ metrics.
+ * that a session has in flight, rpk_ the choice of the server that runs it,
+ * rld_ who is primary and for how long that is certain, rwd_ which replicas'
+ * confirmations of that are trusted, rch_ failover, the replacement of a
+ * primary, rfn_ its fence, rdt_ the duty record, rtd_ cleanup after failovers,
+ * rco_ network partitions, rpr_ other proxies, rrl_ roles, rrk_ ranks, rvi_
+ * homes that sessions go through, rac_ client accounts, rlm_ their limits, rgr_
+ * the proxies that grant tokens of these, rol_ servers that fail in part, rcl_
+ * limits of what is in flight at a server, rlg_ log lines, rmt_ metrics.
  */
 
 #include <celeryquay/base/log_event.h>
@@ -21,9 +22,9 @@
 #define NEVER_US UINT64_MAX
 #define TICK_US (20 * USEC_PER_MSEC)
 /*
- * A promotion takes effect within this time of its claim, or never: a claim
- * serves for 1.5 s, the platform may take 1.5 s to be told and a second to
- * carry it out; and a second more.
+ * The time from a claim within which its promotion takes effect, or never does:
+ * the claim may be used for 1.5 s, the platform may take 1.5 s to be told and
+ * one second to carry it out; one more second is a margin.
  */
 #define PROMOTED_WITHIN_US (5 * USEC_PER_SEC)
 
@@ -32,9 +33,12 @@
 struct rsession;
 struct rlimit;
 
-/* What a proxy that asks for tokens names in place of a database. */
+/* The database name that a proxy gives when it asks another for tokens. */
 #define RELAY_LIMITS "*limits"
-/* Of an account; with one gone, the others still give most of its rate. */
+/*
+ * Number of proxies that grant an account's tokens. When one is lost, the
+ * others still grant most of the account's rate.
+ */
 #define LIMIT_GRANTORS 4
 
 #define RUN_TRIES 6
@@ -92,140 +96,159 @@
 	uint64_t judged_us;
 };
 
-/* What shows that a replica was not paused. */
-enum revidence { EVIDENCE_STATUS, EVIDENCE_APPLIED, EVIDENCES };
+/* The kinds of evidence that a replica was not paused at some instant. */
+enum revidence {
+	EVIDENCE_STATUS, /* it said so in answer to a probe */
+	EVIDENCE_APPLIED, /* it has applied a write made after that instant */
+	EVIDENCES
+};
 
 struct rserver {
 	struct relay *relay;
 	struct rservice *service;
 	struct relay_server_info info;
-	bool listed;
-	unsigned list; /* the last that named it */
+	bool listed; /* the platform's latest list names it */
+	unsigned list; /* number of the last list that named it */
 	bool moved; /* another server answers at its address */
-	bool refused; /* nothing listens there */
-	bool probe_requested;
-	bool order_pending; /* in place of the next status */
-	uint64_t seen_pause_term; /* this pause, see cleanup.c */
-	uint64_t seen_pause_at_us; /* was first seen then */
-	uint64_t listed_us; /* was first listed then */
-	uint64_t unlisted_us; /* left the list then */
-	uint64_t leaving_at_us; /* was first seen leaving then */
-
-	struct rconn *probing; /* carries a status or an order now */
-	GQueue idle;
-	GQueue opening;
-	unsigned n_conns; /* opening ones included */
-	unsigned in_flight; /* callers' statements */
+	bool refused; /* nothing listens at its address */
+	bool probe_requested; /* a probe is sent with the next tick */
+	bool order_pending; /* an order is sent in place of the next status */
+	uint64_t seen_pause_term; /* term of the pause seen last; cleanup.c */
+	uint64_t seen_pause_at_us; /* when that pause was first seen */
+	uint64_t listed_us; /* when it was first listed */
+	uint64_t unlisted_us; /* when it left the list, 0: it is listed */
+	uint64_t leaving_at_us; /* when it was first listed as leaving */
+
+	struct rconn *probing; /* carries the probe in flight, or NULL */
+	GQueue idle; /* connections that are not in use */
+	GQueue opening; /* connections that are not open yet */
+	unsigned n_conns; /* including those being opened */
+	unsigned in_flight; /* number of callers' statements in flight */
 	unsigned n_busy; /* connections that wait for an answer */
-	unsigned n_stuck; /* of these, answers that are probably lost */
-	uint64_t open_after_us;
-	uint64_t refused_until_us; /* it refused a connection */
-	uint64_t cut_off_us; /* a proxy that said then that it can't serve */
-
-	struct position applied; /* the newest that it showed */
-	uint64_t lagging_us; /* it lacked what a read must see then */
-	uint64_t lag_us; /* how far behind it was at most, NEVER_US: unknown */
-	struct relay_status status;
-	uint64_t status_at_us; /* start of the probe that gave it, 0: none */
-	uint64_t heard_us;
-	uint64_t asked_us; /* a grantor: for tokens */
-	uint64_t
-		conn_broke_at_us; /* a connection broke then, 0: all is known */
-	uint64_t doubted_at_us; /* it may know of no pause since, 0: no; word.c
-				 */
-	bool doubted_as_new; /* since it was listed, not for a restart */
-	uint64_t agreed_us; /* it knew of no term above agreed_term then */
+	unsigned n_stuck; /* of n_busy: the answer is probably lost */
+	uint64_t open_after_us; /* no connection is opened before this */
+	uint64_t refused_until_us; /* avoided until then: it refused one */
+	/* A proxy: when it last answered that it is cut off; 0: never. */
+	uint64_t cut_off_us;
+
+	struct position applied; /* the newest position that it reported */
+	uint64_t lagging_us; /* when it last lacked what a read must see */
+	uint64_t lag_us; /* upper bound of its lag, NEVER_US: unknown */
+	struct relay_status status; /* the last one received */
+	uint64_t status_at_us; /* when that was asked for, 0: no status yet */
+	uint64_t heard_us; /* when the last answer came, 0: never */
+	uint64_t asked_us; /* a grantor: when it was asked for tokens */
+	/*
+	 * When a connection broke, 0: none did, or the process is known to be
+	 * the same one.
+	 */
+	uint64_t conn_broke_at_us;
+	/*
+	 * Since when it may not know of a pause, as after a restart, 0: it
+	 * is not in doubt; see word.c.
+	 */
+	uint64_t doubted_at_us;
+	bool doubted_as_new; /* for being newly listed, not for a restart */
+	uint64_t agreed_us; /* when it knew of no term above agreed_term */
 	uint64_t agreed_term;
-	uint64_t confirmation_logged[EVIDENCES]; /* the last primary_changes */
-	uint64_t left_aside_change; /* the last that its word was told in */
-	const char *left_aside_why; /* and the reason then */
+	/* By kind: the primary_changes in which a confirmation was logged. */
+	uint64_t confirmation_logged[EVIDENCES];
+	/* The primary_changes in which its being disregarded was logged. */
+	uint64_t left_aside_change;
+	const char *left_aside_why; /* the reason that was logged then */
 	uint64_t failing_us; /* since when probes fail, 0: they don't */
-	uint64_t probed_at_us; /* the last probe was sent then */
+	uint64_t probed_at_us; /* when the last probe was sent */
 	uint64_t latency_us; /* smoothed, of callers' statements */
 	struct routlier outlier;
 	struct rclimit limit;
 
-	enum relay_verb order;
-	uint64_t order_term;
+	enum relay_verb order; /* the order pending or sent last */
+	uint64_t order_term; /* the term that it carries */
 	uint64_t order_sent_at_us;
 };
 
 enum rphase {
-	PHASE_WATCH,
+	PHASE_WATCH, /* no change of primary runs */
 	PHASE_CLAIM, /* the duty record is being written */
-	PHASE_FENCE, /* nobody may commit at the old primary any more */
-	PHASE_CATCH_UP, /* the target gets what the old primary has */
-	PHASE_HOLD, /* what others know of the old primary runs out */
-	PHASE_PROMOTE, /* the platform was told */
-	PHASE_SETTLE, /* the target doesn't lead yet */
+	PHASE_FENCE, /* the old primary is being kept from committing */
+	PHASE_CATCH_UP, /* the target receives the rest of the old log */
+	PHASE_HOLD, /* other proxies' leases on the old primary run out */
+	PHASE_PROMOTE, /* the platform was told to promote the target */
+	PHASE_SETTLE, /* it accepted; the target doesn't lead yet */
 };
 
 #define MAX_SAMPLES 64
 
-/* Whatever was acknowledged before `us` is at or before `position`. */
+/*
+ * A position of the primary's log: whatever was acknowledged before `us` is at
+ * or before it.
+ */
 struct rsample {
 	uint64_t us;
 	struct position position;
 };
 
-/* This proxy's place among those that may be homes of a service. */
+/* This proxy's rank among those that may be homes of a service. */
 struct rrank {
-	uint64_t seed; /* what the service's draws start from */
-	uint64_t draw; /* this proxy's */
-	unsigned n_before; /* proxies with a better one */
+	uint64_t seed; /* the service's, from which each draw is computed */
+	uint64_t draw; /* this proxy's; higher ones rank first */
+	unsigned n_before; /* number of proxies that rank before this one */
 };
 
 struct rservice {
 	struct relay *relay;
-	char *name;
-	bool peers; /* its servers are proxies, its name is a database's */
+	char *name; /* where `peers` is set, a database's */
+	bool peers; /* its servers are other proxies */
 	bool is_home; /* this proxy connects to its servers */
-	bool configured; /* the configuration in force has it */
-	bool alive_for_others; /* others reach a primary that fails here */
-	bool act_scheduled;
-	bool stepped_down; /* the old primary said so */
-	unsigned n_samples;
+	bool configured; /* the configuration in force names it */
+	/* Other proxies reach the primary, which fails for this one. */
+	bool alive_for_others;
+	bool act_scheduled; /* act_not_before_us is set for this failure */
+	bool stepped_down; /* the old primary confirmed its step-down */
+	unsigned n_samples; /* ever taken; index of the next modulo the size */
 	struct rrank rank;
-	GPtrArray *homes; /* names; only rrl_homes() has them up to date */
-	GPtrArray *spares; /* names; the same with rrl_spares() */
-	unsigned homes_of; /* the relay's peers_changed that they are of */
-	uint64_t spare_us; /* as a spare, this proxy was asked last then */
-	unsigned homes_changed; /* how often; peers: when they were listed */
+	GPtrArray *homes; /* names; only rrl_homes() updates them */
+	GPtrArray *spares; /* names; only rrl_spares() updates them */
+	unsigned homes_of; /* the relay's peers_changed that they reflect */
+	uint64_t spare_us; /* when last asked as a spare, 0: it is none */
+	/* Version of the homes; with `peers`: the one listed last, or 0. */
+	unsigned homes_changed;
 	unsigned max_connections;
-	uint64_t usable_us; /* a primary could be used here then */
-	uint64_t in_vain_us; /* since when statements want it in vain, or 0 */
+	uint64_t usable_us; /* when a primary was last usable here */
+	/* Since when statements have no usable primary or home, or 0. */
+	uint64_t in_vain_us;
 	GPtrArray *servers; /* struct rserver */
-	bool had_others; /* more than one at once */
+	bool had_others; /* it once had several servers at once */
 
 	struct rserver *primary; /* NULL: not known */
-	uint64_t term; /* the highest that was seen */
-	uint64_t term_seen_at_us; /* for the first time then */
-	uint64_t primary_changes; /* how often another was taken for it */
-	uint64_t confirmed_us; /* a replica knew of no higher term then */
-	struct rserver *confirmed_by; /* this one; NULL: none, or it is gone */
-	uint64_t wanted_us; /* a statement needed the primary then */
+	uint64_t term; /* the highest seen */
+	uint64_t term_seen_at_us; /* when that was first seen */
+	uint64_t primary_changes; /* how often `primary` changed */
+	/* The lease's start: a replica knew of no higher term then. */
+	uint64_t confirmed_us;
+	struct rserver *confirmed_by; /* that replica; NULL: none, or gone */
+	uint64_t wanted_us; /* when a statement last needed the primary */
 	uint64_t no_primary_us; /* since when there is none */
-	uint64_t watch_started_at_us; /* the primary fails; replicas are watched
-					 since */
-	struct position watch_position; /* the newest that one had then */
+	uint64_t watch_started_at_us; /* replicas are watched for progress */
+	struct position watch_position; /* the newest of theirs at its start */
 	struct rsample samples[MAX_SAMPLES]; /* a ring, oldest overwritten */
 	uint64_t samples_term;
 
 	enum rphase phase;
-	unsigned tries;
+	unsigned tries; /* promotions that failed under this fence */
 	uint64_t phase_started_at_us;
-	uint64_t act_not_before_us; /* jitter, and damping after a failure */
-	const char *reason;
+	uint64_t act_not_before_us; /* jitter, and back-off after a failure */
+	const char *reason; /* why the primary is replaced, for the log */
 	struct rserver *old; /* the primary being replaced */
-	uint64_t term_at_start; /* the highest that was seen at its start */
-	struct position old_position;
-	struct rserver *target;
-	uint64_t fence_term;
-	uint64_t fenced_at_us;
-	uint64_t promotion_sent_at_us; /* the platform was then, 0: never */
-	char *promotion_target_id; /* to promote this one, by its id */
-	bool earlier_promotion_pending; /* and may act yet on what an earlier
-					   fence was for */
+	uint64_t term_at_start; /* the highest seen when the change began */
+	struct position old_position; /* end of its log after its step-down */
+	struct rserver *target; /* the server being promoted */
+	uint64_t fence_term; /* the term of the pauses and step-down */
+	uint64_t fenced_at_us; /* when the fence was complete, 0: it isn't */
+	uint64_t promotion_sent_at_us; /* to the platform, 0: never */
+	char *promotion_target_id; /* the id of the server named in it */
+	/* A promotion under an earlier fence may still take effect. */
+	bool earlier_promotion_pending;
 };
 
 enum rrun_state {
@@ -309,31 +332,31 @@
 };
 
 /*
- * Guards that tests switch off to see that their checkers notice. All are on
- * otherwise.
+ * Guards against failures. Tests switch each off to prove that their checkers
+ * find the failure. All are on otherwise.
  */
 struct relay_guards {
-	bool confirm_writes; /* told only if no other primary can be */
-	bool hold_before_promote; /* what others know runs out first */
+	bool confirm_writes; /* no success while another may be primary */
+	bool hold_before_promote; /* other proxies' leases run out first */
 	bool fence; /* the old primary can't commit any more */
 	bool check_floor; /* a replica has what the read must see */
-	bool clean_values; /* no value goes to the next session */
+	bool clean_values; /* a session's values don't reach the next one */
 	bool no_second_write_try; /* what may have run isn't sent again */
-	bool fresh_claim; /* no promotion with an old token */
+	bool fresh_claim; /* no promotion with an outdated token */
 	bool resume_under_duty; /* no pause of a running change is ended */
 	bool avoid_outliers; /* servers that fail in part cost more */
-	bool limit_in_flight; /* what would queue at a server waits here */
-	bool doubt_reborn; /* what a server knew before its start is gone */
-	bool claim_after_fence; /* no server is missing in the fence */
+	bool limit_in_flight; /* excess load queues here, not at a server */
+	bool doubt_reborn; /* a restarted server has forgotten its state */
+	bool claim_after_fence; /* the fence covers every listed server */
 	bool doubt_unpaused; /* a promotion ends pauses, too */
-	bool doubt_newcomers; /* who was just listed may know of no change */
-	bool check_list_age; /* a word may count here alone */
-	bool leave_when_cut_off; /* callers go to proxies that can serve */
-	bool own_connections; /* a connection is of one account */
+	bool doubt_newcomers; /* a newly listed server may miss a change */
+	bool check_list_age; /* a stale list weakens a confirmation */
+	bool leave_when_cut_off; /* callers move to proxies that can serve */
+	bool own_connections; /* a connection serves one account */
 	bool check_keys; /* with each operation */
-	bool check_key_age; /* a key may have been taken away */
+	bool check_key_age; /* outdated keys, maybe revoked, are refused */
 	bool limit_accounts; /* each operation takes a token */
-	bool renew_at_once; /* a lease that a statement waits for */
+	bool renew_at_once; /* a statement renews an expired lease at once */
 };
 
 struct relay {
@@ -439,14 +462,14 @@
 		      const struct relay_server_info *info);
 bool rsv_is_wanted(const struct rserver *s, uint64_t now_us);
 bool rsv_is_up(const struct rserver *s);
-/* Whether new work may go there: listed, or gone only a moment ago. */
+/* Whether it may get new work: it is listed, or left the list a moment ago. */
 bool rsv_takes_work(const struct rserver *s, uint64_t now_us);
-/* The same for a primary, which goes on until another has its place. */
+/* The same for a primary, which keeps its work until it is replaced. */
 bool rsv_leads_on(const struct rserver *s, uint64_t now_us);
 void rsv_heard(struct rserver *s, const struct relay_answer *answer,
 	       uint64_t sent_us, uint64_t now_us);
 void rsv_failed(struct rserver *s, bool refused, uint64_t since_us);
-/* Whether it still is the process that it was; see server.c. */
+/* These three track whether its process is still the same; see server.c. */
 void rsv_conn_broke(struct rserver *s, uint64_t now_us);
 void rsv_conn_answered(struct rserver *s, const struct rconn *c,
 		       uint64_t sent_us);
--- a/packages/relay/src/server.c
+++ b/packages/relay/src/server.c
@@ -1,6 +1,4 @@
-/*
- * Servers: what is known of each, and the probes that keep it known.
- */
+/* Servers: the state known of each, and the probes that keep it up to date. */
 #define LOG_MODULE "server"
 #include "relay_internal.h"
 
@@ -8,19 +6,29 @@
 #include <celeryquay/relay/server_list.h>
 
 #define PROBE_TIMEOUT_US (400 * USEC_PER_MSEC)
+/* The least time between two connections opened for a probe. */
 #define REOPEN_INTERVAL_US (150 * USEC_PER_MSEC)
-#define PROBE_MIN_INTERVAL_US (30 * USEC_PER_MSEC) /* between two of a server \
-						    */
+#define PROBE_MIN_INTERVAL_US \
+	(30 * USEC_PER_MSEC) /* between two probes of a server */
+/* A server with statements in flight is probed after this silence. */
 #define IN_FLIGHT_SILENCE_US (200 * USEC_PER_MSEC)
-#define NO_PRIMARY_PROBE_INTERVAL_US \
-	(80 * USEC_PER_MSEC) /* without a primary */
+#define NO_PRIMARY_PROBE_INTERVAL_US                                         \
+	(80 * USEC_PER_MSEC) /* between two probes while a wanted primary is \
+				missing */
+/* A leaving primary gets work for this long. */
 #define LEAVING_PRIMARY_WORK_US (5 * USEC_PER_SEC)
+/* Any server is probed after this silence. */
 #define IDLE_PROBE_INTERVAL_US (3 * USEC_PER_SEC)
 #define ORDER_RETRY_INTERVAL_US (150 * USEC_PER_MSEC)
+/* An older status is asked for again, even while other answers come. */
 #define STATUS_MAX_AGE_US (10 * USEC_PER_SEC)
+/* Assumed of a server until its first answers. */
 #define INITIAL_LATENCY_US (15 * USEC_PER_MSEC)
 
-/* A server that the platform lists; connections follow with the next tick. */
+/*
+ * Creates a server that the platform lists. Its connections are opened with the
+ * next tick.
+ */
 struct rserver *rsv_create(struct rservice *service,
 			   const struct relay_server_info *info,
 			   uint64_t now_us)
@@ -41,7 +49,7 @@
 	return s;
 }
 
-/* Frees a server whose connections are closed. */
+/* Frees a server; its connections must be closed. */
 void rsv_destroy(gpointer server)
 {
 	struct rserver *s = server;
@@ -52,13 +60,13 @@
 }
 
 /*
- * Its answers so far need not hold any more.
+ * Handles a server that may have restarted: its answers so far may be outdated.
  *
- * Failure: a server starts anew under the id that it had. It knows of no
- * pause, no step-down and no higher term, and what this proxy believes of it
- * is of another process; word.c and failover.c say what callers would see.
- * Guard: a connection ends with its process. So after one broke, the next that
- * opens may lead to another process, unless an older one has answered since.
+ * Failure: a server restarts under its old id. It knows of no pause, step-down
+ * or higher term, and what this proxy knows of it is true of another process;
+ * word.c and failover.c say what callers would see. Guard: a connection ends
+ * with its process. So after one broke, the next one opened may lead to another
+ * process, unless an older connection has answered since.
  */
 static void suspect_restart(struct rserver *s, uint64_t now_us)
 {
@@ -70,13 +78,16 @@
 	rch_on_doubt(s, now_us);
 }
 
-/* A connection was lost, or is given up as silent. */
+/* A connection was lost, or closed because it was silent. */
 void rsv_conn_broke(struct rserver *s, uint64_t now_us)
 {
 	s->conn_broke_at_us = now_us;
 }
 
-/* An answer came to what was sent at sent_us. */
+/*
+ * An answer came to a statement sent at sent_us. From a connection opened
+ * before the break it shows that the process is still the same.
+ */
 void rsv_conn_answered(struct rserver *s, const struct rconn *c,
 		       uint64_t sent_us)
 {
@@ -85,9 +96,9 @@
 }
 
 /*
- * A new connection stands. Without another one nothing shows that it leads to
- * the process that was there before, if this proxy ever had one: a home of a
- * database may have known the server by the list alone.
+ * A connection was opened. If it is the only one, nothing shows that it leads
+ * to the same process as before, if this proxy ever had a connection: a home of
+ * a database may have known the server by the list alone.
  */
 void rsv_conn_opened(struct rserver *s, uint64_t now_us)
 {
@@ -99,8 +110,9 @@
 }
 
 /*
- * Its id belongs to another process now. Connections with a statement in
- * flight are left to their end: they may be the new process's already.
+ * Resets the server's state: its id belongs to another process now. Connections
+ * with a statement in flight are left open until it ends, since they may
+ * already lead to the new process.
  */
 static void on_restarted(struct rserver *s, uint64_t now_us)
 {
@@ -129,7 +141,10 @@
 	       relay_server_info_equal(&s->info, info);
 }
 
-/* The list names it anew, or its entry can't be read any more. */
+/*
+ * Takes over the server's new entry in the list, which may also be one that
+ * can't be read.
+ */
 void rsv_update(struct rserver *s, const struct relay_server_info *info,
 		uint64_t now_us)
 {
@@ -137,8 +152,8 @@
 	bool was_listed = s->listed;
 
 	/*
-	 * Failure: news of the process that had the id before comes late, and
-	 * its successor is taken for one that leaves.
+	 * Failure: an outdated entry of the id's earlier process arrives late,
+	 * and its successor is believed to be leaving.
 	 */
 	if (info->born_ms && info->born_ms < old->born_ms)
 		return;
@@ -151,7 +166,9 @@
 		rsv_probe_soon(s);
 	relay_server_info_replace(&s->info, info);
 	s->listed = !info->unusable;
-	/* Others may have given it up meanwhile, and not have paused it. */
+	/*
+	 * Other proxies may have dropped it meanwhile and not have paused it.
+	 */
 	if (s->listed && !was_listed)
 		rld_on_listed(s, now_us);
 	if (s->listed)
@@ -160,7 +177,7 @@
 		s->unlisted_us = now_us;
 }
 
-/* Whether it answered the last thing that it was asked. */
+/* Whether it answered when it was last asked. */
 bool rsv_is_up(const struct rserver *s)
 {
 	return s->heard_us && !s->failing_us && !s->moved;
@@ -178,8 +195,9 @@
 }
 
 /*
- * A primary that leaves may still lead for a while; what the platform allows
- * is drain time, and LEAVING_PRIMARY_WORK_US leaves a margin of it.
+ * Whether it may get work as a primary, also while it leaves. The platform
+ * grants a leaving server time to drain; LEAVING_PRIMARY_WORK_US is shorter and
+ * leaves a margin.
  */
 bool rsv_leads_on(const struct rserver *s, uint64_t now_us)
 {
@@ -213,7 +231,10 @@
 	log_event_end(l);
 }
 
-/* Any answer is a sign of life, and shows what its log has applied. */
+/*
+ * Handles any answer: it shows that the server is alive and, with a position,
+ * what its log has applied.
+ */
 void rsv_heard(struct rserver *s, const struct relay_answer *answer,
 	       uint64_t sent_us, uint64_t now_us)
 {
@@ -225,7 +246,7 @@
 	s->failing_us = 0;
 	s->refused = false;
 	if (answer->position.term) {
-		/* A log that was rolled back is shorter than it was. */
+		/* Not the maximum: a log that was rolled back is shorter. */
 		s->applied = answer->position;
 		rld_on_position(s, answer->position, sent_us);
 		rld_on_applied(s, answer->position, now_us);
@@ -242,7 +263,7 @@
 	rch_on_status(s, now_us);
 }
 
-/* It did not answer something that was sent or tried at since_us. */
+/* It didn't answer a statement sent, or a connection tried, at since_us. */
 void rsv_failed(struct rserver *s, bool refused, uint64_t since_us)
 {
 	if (!s->failing_us) {
@@ -253,13 +274,13 @@
 		s->refused = true;
 }
 
-/* A probe goes out with the next tick. */
+/* Sends a probe with the next tick. */
 void rsv_probe_soon(struct rserver *s)
 {
 	s->probe_requested = true;
 }
 
-/* An order goes out in place of the next status. */
+/* Sends an order in place of the next status probe. */
 void rsv_order(struct rserver *s, enum relay_verb verb, uint64_t term)
 {
 	s->order_pending = true;
@@ -267,7 +288,7 @@
 	s->order_term = term;
 }
 
-/* The same unless it is under way. */
+/* The same, unless the last order is pending or was sent just now. */
 void rsv_order_again(struct rserver *s, enum relay_verb verb, uint64_t term,
 		     uint64_t now_us)
 {
@@ -298,7 +319,7 @@
 	rcn_send(c, step, &st, PROBE_TIMEOUT_US, now_us);
 }
 
-/* The answer to a status or an order. */
+/* Handles the answer to a status probe or an order. */
 void rsv_probe_answered(struct rconn *c, const struct relay_answer *answer,
 			uint64_t now_us)
 {
@@ -320,7 +341,7 @@
 }
 
 /*
- * Statuses cost the servers' slots, so they are asked for only when callers'
+ * Status probes take up the servers' slots, so they are sent only when callers'
  * statements don't show what must be known.
  */
 static bool peer_probe_is_due(const struct rserver *s, uint64_t now_us)
@@ -359,7 +380,7 @@
 	       now_us > s->status_at_us + STATUS_MAX_AGE_US;
 }
 
-/* Whether its connections are kept, if only for probes. */
+/* Whether connections to it are kept, even if only for probes. */
 bool rsv_is_wanted(const struct rserver *s, uint64_t now_us)
 {
 	return !s->moved &&
@@ -372,13 +393,14 @@
 	if (s->opening.length || now_us < s->open_after_us)
 		return false;
 	if (s->service->peers && !s->listed)
-		return false; /* nobody replaces it, so nobody must know */
+		return false; /* a proxy isn't failed over, so its state doesn't
+				 matter */
 	return !s->n_conns || s->order_pending ||
 	       now_us > s->heard_us + IDLE_PROBE_INTERVAL_US || s->failing_us ||
 	       (s->in_flight && now_us > s->heard_us + IN_FLIGHT_SILENCE_US);
 }
 
-/* Probes when that is due, and keeps the connections. */
+/* Sends a probe if one is due, and maintains the connections. */
 void rsv_tick(struct rserver *s, uint64_t now_us)
 {
 	struct rconn *c;
@@ -400,7 +422,7 @@
 	}
 }
 
-/* A service without servers yet. */
+/* Creates a service without servers. */
 struct rservice *rservice_create(struct relay *r, const char *name)
 {
 	struct rservice *v = g_new0(struct rservice, 1);
@@ -414,7 +436,7 @@
 	return v;
 }
 
-/* Frees the service alone; the servers are the relay's. */
+/* Frees the service, but not its servers, which the relay owns. */
 void rservice_destroy(gpointer service)
 {
 	struct rservice *v = service;
@@ -427,7 +449,7 @@
 	g_free(v);
 }
 
-/* The servers by number, from 0. */
+/* Returns the service's server of that index, from 0. */
 struct rserver *rservice_server(const struct rservice *v, unsigned index)
 {
 	return g_ptr_array_index(v->servers, index);
--- a/packages/relay/src/word.c
+++ b/packages/relay/src/word.c
@@ -1,20 +1,26 @@
 /*
- * Whose word on a primary counts.
+ * Which replicas' confirmations of a primary are trusted.
  *
- * A replica that is not paused shows that no change of primary had a whole
- * fence when it was asked. That holds for a replica which such a fence takes
- * in: one that the changing proxy knows, and that has not forgotten its pause.
- * Of all others the word is in doubt, and counts only together with that of
- * all who may be promoted, since that one knows.
+ * A replica confirms the primary by answering that it is in the primary's term
+ * and not paused: no change of primary had a complete fence when it was asked.
+ * This holds only for a replica that such a fence covers: one that the proxy
+ * which runs the change knows of, and that has not forgotten its pause in a
+ * restart. The confirmation of any other replica is in doubt. It counts only if
+ * all servers that may be promoted agree, since the one being promoted knows of
+ * the change.
  */
 #include "relay_internal.h"
 
-/* What a server doesn't know of a change matters no more by then. */
+/*
+ * How long a server is in doubt: by then the change that it may not know of has
+ * taken effect or never will.
+ */
 #define DOUBT_US PROMOTED_WITHIN_US
 /*
- * Who replaces a primary gives a server up gone_after_us after it left the
- * list. By then a lease must be over that rests on a list in which it still
- * was; and a second more, for a list that trails.
+ * A proxy that replaces a primary ignores a server from gone_after_us after it
+ * left the list. By then any lease that rests on a list which still named it
+ * must have expired; this margin of one second allows for a list that arrives
+ * late.
  */
 #define LIST_DELAY_MARGIN_US USEC_PER_SEC
 
@@ -24,13 +30,17 @@
 	       LIST_DELAY_MARGIN_US;
 }
 
-/* Whether the server may know nothing of a change that is under way. */
+/*
+ * Whether the server may be unaware of a change of primary that is under way.
+ */
 bool rwd_is_doubted(const struct rserver *s, uint64_t now_us)
 {
 	return s->doubted_at_us && now_us < s->doubted_at_us + DOUBT_US;
 }
 
-/* Whether the list is as new as its use of it rests on; see list_max_age_us().
+/*
+ * Whether the list of servers is recent enough to rely on; see
+ * list_max_age_us().
  */
 bool rwd_is_list_fresh(const struct relay *r, uint64_t at_us)
 {
@@ -39,13 +49,15 @@
 }
 
 /*
- * Failure: another proxy paused all replicas and is about to promote one. A
- * server that knows nothing of that, since it is listed only now, has another
- * id now or has started anew, confirms the old primary here; what is stored
- * there is told as stored and is gone. Guard: the word of a server is in doubt
- * from the moment that this proxy sees it. The doubt ends once a replica
- * without one, asked later, is not paused: no fence was complete then, and
- * each fence takes in all that was listed before it is.
+ * Failure: another proxy has paused all replicas and is about to promote one. A
+ * server that knows nothing of this, because it was just listed, has a new id
+ * or has restarted, confirms the old primary to this proxy. Writes are then
+ * acknowledged by the old primary and lost.
+ *
+ * Guard: such a server is in doubt from the moment this proxy notices it. The
+ * doubt ends once a replica that is not in doubt, asked later, turns out not to
+ * be paused: no fence was complete then, and each fence covers every server
+ * that was listed before it became complete.
  */
 void rwd_end_doubts(const struct rservice *v, uint64_t unpaused_us)
 {
@@ -60,12 +72,13 @@
 }
 
 /*
- * Failure: a partition leaves this proxy with an old primary and a replica, and
- * without the store. On the other side both have left the list, and a server
- * is promoted that was never fenced against this replica. It shows as writes
- * that are told as stored and are gone when the partition ends. Guard: a word
- * counts alone only while it is certain that no other proxy has given the
- * server up.
+ * Whether no other proxy can have dropped the server yet.
+ *
+ * Failure: a partition leaves this proxy with an old primary and a replica, but
+ * without the store. On the other side both have left the list, and a server is
+ * promoted without a fence that covers this replica. Writes acknowledged on
+ * this side are lost when the partition ends. Guard: a confirmation counts
+ * alone only while it is certain that no other proxy has dropped the server.
  */
 static bool is_known_to_others(const struct rserver *s, uint64_t now_us)
 {
@@ -78,9 +91,10 @@
 }
 
 /*
- * One whose address another has isn't promoted. By a list that is fresh, nor is
- * one that is told to leave, or whose process is gone; without it, a partition
- * may stand between, and who leaves may be all that is known of the other side.
+ * Whether a change may promote the server. One whose address now belongs to
+ * another server is never promoted. If the list is fresh, neither is one that
+ * is leaving or whose process is gone. If it is not, a partition may be the
+ * reason, and the leaving server may be the only one known of the other side.
  */
 static bool can_be_promoted(const struct rserver *s, uint64_t now_us)
 {
@@ -91,8 +105,8 @@
 }
 
 /*
- * When all that a change could promote last knew of none: the earliest of their
- * words, 0 when one of them doesn't say so.
+ * When every server that a change could promote last knew of no change: the
+ * earliest of these instants, 0 if one of them has not confirmed the term.
  */
 static uint64_t all_agreed_at_us(const struct rservice *v, uint64_t now_us)
 {
@@ -112,11 +126,12 @@
 }
 
 /*
- * Failure: the server that is being promoted starts again, or all who might be
- * do, and know of no pause; together they confirm the old primary. Guard: after
- * another proxy's claim, servers that are all in doubt confirm nothing until
- * its promotion has taken effect or can't any more. What a proxy that has just
- * started reads of the duty may be of long ago and does not count.
+ * Failure: the server being promoted restarts, or all that may be promoted do.
+ * They have forgotten their pauses and together confirm the old primary. Guard:
+ * after another proxy's claim, servers that are all in doubt confirm nothing
+ * until its promotion has taken effect or no longer can. The duty record that a
+ * proxy reads first after its own start may be old and doesn't count as such a
+ * claim.
  */
 static bool may_all_have_restarted(const struct rservice *v, uint64_t now_us)
 {
@@ -136,12 +151,13 @@
 }
 
 /*
- * Failure: a promotion takes effect and ends the pauses of all replicas. One
- * that has not heard of the new primary yet is in the old term and not paused,
- * and confirms the old primary. Guard: while a claim of the duty is so recent
- * that its promotion may take effect, a word counts only together with that of
- * all who may be promoted: that one is paused until it leads. It is over once
- * a newer term shows that the change is.
+ * Failure: a promotion takes effect and ends the pauses of all replicas. A
+ * replica that has not heard of the new primary yet is still in the old term
+ * but not paused, and confirms the old primary. Guard: while a claim is so
+ * recent that its promotion may still take effect, a confirmation counts only
+ * if all servers that may be promoted agree, because the target stays paused
+ * until it is primary. A newer term shows that the change is complete and ends
+ * this.
  */
 static bool may_promotion_take_effect(const struct rservice *v, uint64_t now_us)
 {
@@ -152,14 +168,17 @@
 	       now_us < r->duty_changed_us + PROMOTED_WITHIN_US;
 }
 
-/* Whether what the server shows of the primary needs nobody else's word. */
+/* Whether the server's confirmation is sufficient without any other. */
 bool rwd_counts_alone(const struct rserver *s, uint64_t now_us)
 {
 	return !rwd_is_doubted(s, now_us) && is_known_to_others(s, now_us) &&
 	       !may_promotion_take_effect(s->service, now_us);
 }
 
-/* From when a lease counts that rests on a replica's word, 0: on none. */
+/*
+ * The start of the lease that the replica's confirmation gives, 0: it gives
+ * none.
+ */
 uint64_t rwd_since_us(const struct rserver *s, uint64_t now_us)
 {
 	uint64_t agreed_us;
