--- /dev/null
+++ b/packages/relay/src/failover.c
@@ -0,0 +1,675 @@
+/*
+ * Failover: the replacement of a primary, one state machine per service.
+ *
+ * WATCH: no change runs; one starts if the primary fails, leaves or is missing.
+ * CLAIM: the duty record is written on condition that it is unchanged. Its new
+ *   revision is the token that the platform checks, so tokens only increase. A
+ *   proxy that sees another's claim does nothing for claim_hold_us.
+ * FENCE: the primary steps down, or every other server is paused in a higher
+ *   term. Either takes away what the lease of rld_holds() rests on.
+ * CATCH_UP: the target receives the rest of the log of a primary that stepped
+ *   down.
+ * HOLD: leases that other proxies got before the pause expire, and a claim made
+ *   after it shows that no server was missed.
+ * PROMOTE, SETTLE: the platform is told to promote the target; the target
+ *   reports that it is primary.
+ */
+#define LOG_MODULE "change"
+#include "relay_internal.h"
+
+#include <celeryquay/base/log.h>
+
+#include <string.h>
+
+/* A change usually takes about this long. */
+#define TYPICAL_CHANGE_US (2 * USEC_PER_SEC)
+/*
+ * Up to this is added to a start or a back-off, so that proxies don't all claim
+ * at once.
+ */
+#define JITTER_US (80 * USEC_PER_MSEC)
+#define BACKOFF_US USEC_PER_SEC /* after a change that was aborted */
+/* A service without a primary for this long gets a new one. */
+#define NO_PRIMARY_LIMIT_US (2500 * USEC_PER_MSEC)
+/* Replicas of a failing primary are watched from then on. */
+#define WATCH_AFTER_US (250 * USEC_PER_MSEC)
+/* Within this time from then a replica can have shown its progress. */
+#define REPLICA_ANSWER_US (400 * USEC_PER_MSEC)
+/* A primary that fails here is left to other proxies for this long at most. */
+#define ALIVE_FOR_OTHERS_MAX_US (8 * USEC_PER_SEC)
+/* Timeouts of the phases; a change that exceeds one is aborted or retried. */
+#define CLAIM_TIMEOUT_US USEC_PER_SEC
+#define FENCE_TIMEOUT_US (2500 * USEC_PER_MSEC)
+/*
+ * How long a step-down waits for a silent replica: less than the 5 s for which
+ * rsv_leads_on() lets a leaving primary have work.
+ */
+#define STEP_DOWN_DELAY_MAX_US (4 * USEC_PER_SEC)
+#define CATCH_UP_TIMEOUT_US (2 * USEC_PER_SEC)
+#define PROMOTE_TIMEOUT_US (1500 * USEC_PER_MSEC)
+#define SETTLE_TIMEOUT_US (3 * USEC_PER_SEC)
+#define MAX_PROMOTE_RETRIES 3
+
+/* Whether this proxy is replacing the service's primary. */
+bool rch_is_running(const struct rservice *v)
+{
+	if (v->phase == PHASE_CLAIM) /* the second claim of a change */
+		return v->fenced_at_us || v->stepped_down;
+	return v->phase != PHASE_WATCH;
+}
+
+/* Whether a promotion that this proxy requested may still take effect. */
+bool rch_is_told(const struct rservice *v, uint64_t now_us)
+{
+	return v->promotion_sent_at_us &&
+	       now_us < v->promotion_sent_at_us + PROMOTED_WITHIN_US;
+}
+
+/* When a primary can be expected again, 0 if there is one that works. */
+uint64_t rch_expected_us(const struct rservice *v)
+{
+	if (!v->primary)
+		return v->no_primary_us + TYPICAL_CHANGE_US;
+	if (v->primary->failing_us)
+		return v->primary->failing_us + TYPICAL_CHANGE_US;
+	return 0;
+}
+
+/* The phase's name in logs. */
+const char *rch_phase_name(enum rphase phase)
+{
+	static const char *const names[] = {
+		[PHASE_WATCH] = "none",	   [PHASE_CLAIM] = "claim",
+		[PHASE_FENCE] = "fence",   [PHASE_CATCH_UP] = "catch-up",
+		[PHASE_HOLD] = "hold",	   [PHASE_PROMOTE] = "promote",
+		[PHASE_SETTLE] = "settle",
+	};
+
+	return names[phase];
+}
+
+static void log_change(const struct rservice *v, const char *step,
+		       const char *why, uint64_t now_us)
+{
+	struct log_line *l = log_event(LOG_STATE, "change");
+
+	if (!l)
+		return;
+	log_cstr(l, "service", v->name);
+	log_cstr(l, "step", step);
+	log_cstr(l, "why", why);
+	log_cstr(l, "old", v->old ? v->old->info.id : "");
+	log_cstr(l, "target", v->target ? v->target->info.id : "");
+	log_u64(l, "term", v->term);
+	log_u64(l, "fence_term", v->fence_term);
+	log_u64(l, "token", v->relay->token);
+	log_u64(l, "try", v->tries + 1);
+	log_cstr(l, "after", rch_phase_name(v->phase));
+	log_u64(l, "after_ms",
+		(now_us - MIN(v->phase_started_at_us, now_us)) / USEC_PER_MSEC);
+	log_event_end(l);
+}
+
+static void enter(struct rservice *v, enum rphase phase, uint64_t now_us)
+{
+	if (phase != PHASE_WATCH)
+		log_change(v, rch_phase_name(phase), v->reason, now_us);
+	v->phase = phase;
+	v->phase_started_at_us = now_us;
+}
+
+static void abort_change(struct rservice *v, const char *why, uint64_t now_us)
+{
+	log_change(v, "gave-up", why, now_us);
+	v->act_not_before_us =
+		now_us + BACKOFF_US +
+		(uint64_t)g_rand_int_range(v->relay->rng, 0, JITTER_US);
+	v->act_scheduled = true;
+	enter(v, PHASE_WATCH, now_us);
+}
+
+static bool is_listed_at_address(const struct rserver *s)
+{
+	return s->listed && !s->moved;
+}
+
+static struct position newest_received(const struct rservice *v)
+{
+	struct position newest = { 0 };
+	unsigned i;
+
+	for (i = 0; i < v->servers->len; i++) {
+		struct rserver *s = rservice_server(v, i);
+
+		if (s != v->primary && rsv_is_up(s))
+			newest = position_max(newest, s->status.received);
+	}
+	return newest;
+}
+
+/*
+ * Whether the failing primary still serves other proxies.
+ *
+ * Failure: only this proxy is cut off from a primary that serves all others;
+ * replacing it would interrupt them for a second. Guard: replicas that continue
+ * to receive writes show that the primary is alive, so as long as one does, the
+ * primary is left in place, but for ALIVE_FOR_OTHERS_MAX_US at most.
+ */
+static bool is_alive_for_others(struct rservice *v, uint64_t now_us)
+{
+	uint64_t since_us = v->primary->failing_us;
+
+	if (now_us > since_us + ALIVE_FOR_OTHERS_MAX_US)
+		return false;
+	if (v->watch_started_at_us < since_us &&
+	    now_us >= since_us + WATCH_AFTER_US) {
+		v->watch_started_at_us = now_us;
+		v->watch_position = newest_received(v);
+		v->alive_for_others = false;
+	}
+	if (v->watch_started_at_us >= since_us &&
+	    position_cmp(newest_received(v), v->watch_position) > 0)
+		v->alive_for_others = true;
+	if (v->watch_started_at_us < since_us)
+		return false;
+	if (!v->primary->refused &&
+	    now_us < v->watch_started_at_us + REPLICA_ANSWER_US)
+		return true; /* no replica's progress can be known yet */
+	return v->alive_for_others;
+}
+
+/*
+ * Whether a leaving primary may be made to step down. Failure: it steps down
+ * while a replica is silent, and there is no primary until that replica has
+ * left the list and is given up. Guard: the replica is waited for as long as
+ * the leaving primary still serves.
+ */
+static bool may_step_down(const struct rservice *v, uint64_t now_us)
+{
+	unsigned i;
+
+	if (now_us > v->primary->leaving_at_us + STEP_DOWN_DELAY_MAX_US)
+		return true;
+	for (i = 0; i < v->servers->len; i++) {
+		const struct rserver *s = rservice_server(v, i);
+
+		if (s != v->primary && !s->moved && !s->refused &&
+		    !rsv_is_up(s))
+			return false;
+	}
+	return true;
+}
+
+static const char *primary_failure(struct rservice *v, uint64_t now_us)
+{
+	const struct relay_settings *set = &v->relay->settings;
+	struct rserver *p = v->primary;
+	uint64_t limit_us = set->suspect_after_us;
+	bool elsewhere;
+
+	if (p->info.leaving)
+		return may_step_down(v, now_us) ? "leaving" : NULL;
+	if (p->moved || (!p->listed &&
+			 now_us > p->unlisted_us + set->gone_after_us * 2 / 3))
+		return "gone";
+	if (!p->failing_us)
+		return NULL;
+	elsewhere = is_alive_for_others(v, now_us);
+	if (p->refused)
+		limit_us = set->refused_after_us;
+	if (now_us < p->failing_us + limit_us || elsewhere)
+		return NULL;
+	return p->refused ? "refused" : "silent";
+}
+
+static bool any_candidate(const struct rservice *v)
+{
+	unsigned i;
+
+	for (i = 0; i < v->servers->len; i++) {
+		struct rserver *s = rservice_server(v, i);
+
+		if (s != v->primary && is_listed_at_address(s) &&
+		    rsv_is_up(s) && !s->info.leaving &&
+		    s->status.role == ROLE_REPLICA)
+			return true;
+	}
+	return false;
+}
+
+/*
+ * Whether a server that answers has not reported its role. Failure: a server
+ * whose connections are all taken answers this proxy, but not with a status;
+ * the primary then counted as missing, and its replicas were paused.
+ */
+static bool any_role_unknown(const struct rservice *v)
+{
+	unsigned i;
+
+	for (i = 0; i < v->servers->len; i++) {
+		struct rserver *s = rservice_server(v, i);
+
+		if (is_listed_at_address(s) && rsv_is_up(s) && !s->status_at_us)
+			return true;
+	}
+	return false;
+}
+
+/* Why the primary must be replaced, NULL if it need not or can't be. */
+static const char *failover_reason(struct rservice *v, uint64_t now_us)
+{
+	if (!any_candidate(v))
+		return NULL;
+	if (v->primary)
+		return primary_failure(v, now_us);
+	if (now_us > v->no_primary_us + NO_PRIMARY_LIMIT_US &&
+	    !any_role_unknown(v))
+		return "missing";
+	return NULL;
+}
+
+static void start_claim(struct rservice *v, uint64_t now_us)
+{
+	struct relay *r = v->relay;
+
+	enter(v, PHASE_CLAIM, now_us);
+	rdt_claim(r, now_us);
+}
+
+/*
+ * Claims the duty again in the middle of a change. Failure: the change takes
+ * longer than its claim keeps other proxies away, another proxy claims the
+ * duty, and this one claims it back at once. The other continues with a claim
+ * that it believes to be valid, and the platform receives the older token after
+ * the newer one. Guard: like the first claim, this one waits while another
+ * proxy has the duty.
+ */
+static void claim_again(struct rservice *v, uint64_t now_us)
+{
+	if (rdt_is_others(v->relay, now_us))
+		abort_change(v, "another has the duty", now_us);
+	else
+		start_claim(v, now_us);
+}
+
+static void watch(struct rservice *v, uint64_t now_us)
+{
+	const char *why = failover_reason(v, now_us);
+
+	if (!why) {
+		v->act_scheduled = false;
+		return;
+	}
+	if (!v->act_scheduled) {
+		v->act_scheduled = true;
+		v->act_not_before_us =
+			now_us +
+			(uint64_t)g_rand_int_range(v->relay->rng, 0, JITTER_US);
+	}
+	if (now_us < v->act_not_before_us || !v->relay->duty_known ||
+	    v->relay->stopping || rdt_is_others(v->relay, now_us))
+		return;
+	v->reason = why;
+	/*
+	 * Failure: state left by an earlier change would let this one skip its
+	 * fence; writes acknowledged by the old primary would be lost.
+	 */
+	v->fenced_at_us = 0;
+	v->stepped_down = false;
+	v->old = v->primary;
+	v->term_at_start = v->term;
+	start_claim(v, now_us);
+}
+
+static void start_fence(struct rservice *v, uint64_t now_us)
+{
+	v->stepped_down = false;
+	v->target = NULL;
+	v->tries = 0;
+	v->fence_term = rfn_term(v);
+	v->fenced_at_us = 0;
+	v->earlier_promotion_pending = rch_is_told(v, now_us);
+	enter(v, PHASE_FENCE, now_us);
+}
+
+static bool is_planned(const struct rservice *v)
+{
+	return v->old && rsv_is_up(v->old);
+}
+
+/*
+ * The fence is complete: as far as is known, nobody can commit at the old
+ * primary from now on.
+ */
+static void on_fenced(struct rservice *v, uint64_t now_us)
+{
+	v->fenced_at_us = now_us;
+	rld_ask(v);
+	if (v->relay->guards.claim_after_fence)
+		claim_again(v, now_us);
+	else
+		enter(v, PHASE_HOLD, now_us);
+}
+
+static void fence(struct rservice *v, uint64_t now_us)
+{
+	if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US) {
+		abort_change(v, "the old primary could not be fenced", now_us);
+		return;
+	}
+	if (!v->relay->guards.fence) {
+		enter(v, PHASE_HOLD, now_us);
+		return;
+	}
+	if (v->stepped_down) {
+		enter(v, PHASE_CATCH_UP, now_us);
+		return;
+	}
+	if (is_planned(v))
+		rsv_order_again(v->old, RELAY_STEP_DOWN, v->fence_term, now_us);
+	if (is_planned(v) || !rfn_pause_others(v, now_us) ||
+	    !rfn_no_two_are_left(v))
+		return;
+	on_fenced(v, now_us);
+}
+
+static struct rserver *best_target(struct rservice *v)
+{
+	struct rserver *best = NULL;
+	unsigned i;
+
+	for (i = 0; i < v->servers->len; i++) {
+		struct rserver *s = rservice_server(v, i);
+
+		if (s == v->old || s->info.leaving ||
+		    !is_listed_at_address(s) || !rsv_is_up(s) ||
+		    s->status.role != ROLE_REPLICA)
+			continue;
+		if (!best ||
+		    position_cmp(s->status.received, best->status.received) > 0)
+			best = s;
+	}
+	return best;
+}
+
+static void catch_up(struct rservice *v, uint64_t now_us)
+{
+	struct rserver *best = best_target(v);
+
+	if (best)
+		rsv_probe_soon(best);
+	if (best && position_cmp(best->status.received, v->old_position) < 0 &&
+	    now_us < v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
+		return;
+	/*
+	 * Failure: the old primary continues to run reads as a replica, and a
+	 * proxy that doesn't know of its step-down still has a lease on it, so
+	 * callers miss what the new primary stores. Or it restarts, has
+	 * forgotten its step-down and is confirmed by replicas, and what it
+	 * stores is lost. Guard: replicas are paused too, and the leases expire
+	 * before the promotion can take effect. All must be paused, as another
+	 * proxy may reach a replica that this one can't.
+	 */
+	if (!v->relay->guards.doubt_reborn ||
+	    (rfn_pause_others(v, now_us) && rfn_no_two_are_left(v)))
+		on_fenced(v, now_us);
+	else if (now_us > v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
+		abort_change(v, "a replica could not be paused", now_us);
+}
+
+/*
+ * Whether the target may be promoted in spite of an earlier promotion. Failure:
+ * a promotion without an answer is given up, and another server is promoted.
+ * The first promotion takes effect after all; that server is relied on as the
+ * primary of its term and is then replaced by the second without a fence, so
+ * what it acknowledged meanwhile is lost. Guard: as long as a promotion may
+ * take effect no other server is promoted, unless the process of the first is
+ * gone.
+ */
+static bool may_be_promoted(const struct rservice *v,
+			    const struct rserver *target, uint64_t now_us)
+{
+	const struct rserver *told;
+
+	if (!v->promotion_target_id || !rch_is_told(v, now_us) ||
+	    !strcmp(v->promotion_target_id, target->info.id))
+		return true;
+	told = g_hash_table_lookup(v->relay->servers, v->promotion_target_id);
+	return !told || told->refused || told->moved;
+}
+
+static void promote(struct rservice *v, uint64_t now_us)
+{
+	struct relay *r = v->relay;
+
+	struct rserver *best = best_target(v);
+
+	if (!best || (v->target && v->target != best)) {
+		abort_change(v, "no server can take over", now_us);
+		return;
+	}
+	if (!may_be_promoted(v, best, now_us)) {
+		abort_change(v,
+			     "another server's promotion may still take effect",
+			     now_us);
+		return;
+	}
+	v->target = best;
+	g_free(v->promotion_target_id);
+	v->promotion_target_id = g_strdup(best->info.id);
+	v->promotion_sent_at_us = now_us;
+	counter_add(r->n_promotions, 1);
+	enter(v, PHASE_PROMOTE, now_us);
+	r->ops->promote(r->ctx, v->name, v->target->info.id, r->token);
+}
+
+/* Makes the fence again, in the same term and for the same target. */
+static void fence_again(struct rservice *v, uint64_t now_us)
+{
+	v->stepped_down = false;
+	v->fenced_at_us = 0;
+	if (v->phase != PHASE_CLAIM)
+		enter(v, PHASE_FENCE, now_us);
+}
+
+static void hold(struct rservice *v, uint64_t now_us)
+{
+	const struct relay_settings *set = &v->relay->settings;
+
+	/* A server that appeared after the pauses is paused like the others. */
+	if (v->fenced_at_us && v->relay->guards.claim_after_fence &&
+	    rfn_any_unpaused(v)) {
+		rmt_fence_again(v->relay);
+		fence_again(v, now_us);
+		return;
+	}
+	if (v->fenced_at_us && v->relay->guards.hold_before_promote &&
+	    now_us + set->promote_least_us <
+		    v->fenced_at_us + set->authority_us)
+		return;
+	if (!rfn_pauses_stand(v)) {
+		if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
+			abort_change(v, "a paused server is silent", now_us);
+		return;
+	}
+	if (v->fenced_at_us && rdt_is_fresh(v->relay, now_us) &&
+	    !rfn_knows_all_servers(v)) {
+		/* The claim was made earlier, for another service's change. */
+		if (v->relay->claimed_us < v->fenced_at_us)
+			claim_again(v, now_us);
+		else if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
+			abort_change(v, "the list of servers is too old",
+				     now_us);
+		return;
+	}
+	if (rdt_is_fresh(v->relay, now_us))
+		promote(v, now_us);
+	else
+		claim_again(v, now_us);
+}
+
+static void settle(struct rservice *v, uint64_t now_us)
+{
+	rfn_pause_others(v, now_us);
+	if (v->target)
+		rsv_probe_soon(v->target);
+	if (now_us > v->phase_started_at_us + SETTLE_TIMEOUT_US)
+		abort_change(v, "the target does not lead", now_us);
+}
+
+/* Runs the state machine. */
+void rch_tick(struct rservice *v, uint64_t now_us)
+{
+	if ((!v->is_home || !v->configured) && v->phase == PHASE_WATCH)
+		return;
+	switch (v->phase) {
+	case PHASE_WATCH:
+		watch(v, now_us);
+		if (v->phase == PHASE_WATCH && !v->act_scheduled)
+			rtd_tick(v, now_us);
+		break;
+	case PHASE_CLAIM:
+		if (now_us > v->phase_started_at_us + CLAIM_TIMEOUT_US)
+			abort_change(v, "the store does not answer", now_us);
+		break;
+	case PHASE_FENCE:
+		fence(v, now_us);
+		break;
+	case PHASE_CATCH_UP:
+		catch_up(v, now_us);
+		break;
+	case PHASE_HOLD:
+		hold(v, now_us);
+		break;
+	case PHASE_PROMOTE:
+		rfn_pause_others(v, now_us);
+		if (now_us > v->phase_started_at_us + PROMOTE_TIMEOUT_US)
+			rch_on_promoted(v, false, now_us);
+		break;
+	case PHASE_SETTLE:
+		settle(v, now_us);
+		break;
+	}
+}
+
+static void on_claimed(struct rservice *v, uint64_t now_us)
+{
+	if (v->phase != PHASE_CLAIM)
+		return;
+	if (v->fenced_at_us || v->stepped_down)
+		enter(v, PHASE_HOLD, now_us);
+	else
+		start_fence(v, now_us);
+}
+
+/* Handles a claim's outcome for every service that waits for it. */
+void rch_on_claimed(struct relay *r, enum relay_claim outcome, uint64_t now_us)
+{
+	GHashTableIter iter;
+	gpointer value;
+
+	g_hash_table_iter_init(&iter, r->services);
+	while (g_hash_table_iter_next(&iter, NULL, &value)) {
+		struct rservice *v = value;
+
+		if (v->phase != PHASE_CLAIM)
+			continue;
+		if (outcome == RELAY_CLAIM_DONE)
+			on_claimed(v, now_us);
+		else
+			abort_change(v, "the claim was not confirmed", now_us);
+		if (v->phase != PHASE_WATCH)
+			rch_tick(v, now_us);
+	}
+}
+
+/*
+ * Handles the platform's answer to the promotion; accepted is also false if it
+ * gave none.
+ */
+void rch_on_promoted(struct rservice *v, bool accepted, uint64_t now_us)
+{
+	if (v->phase != PHASE_PROMOTE)
+		return;
+	if (accepted) {
+		enter(v, PHASE_SETTLE, now_us);
+		return;
+	}
+	if (++v->tries > MAX_PROMOTE_RETRIES) {
+		abort_change(v, "the platform refused the promotion", now_us);
+		return;
+	}
+	/*
+	 * Each try gets a new token, so that a late promotion can't arrive with
+	 * the lower one.
+	 */
+	v->relay->token = 0;
+	enter(v, PHASE_HOLD, now_us);
+}
+
+/*
+ * Handles a server that may have restarted and forgotten what this change
+ * ordered: its step-down or its pause. Until the platform is told, the fence is
+ * made again; from then on only the order to this server is repeated. The
+ * target is ordered too, because it may be the only one that confirms the old
+ * primary; its promotion ends the pause.
+ */
+void rch_on_doubt(struct rserver *s, uint64_t now_us)
+{
+	struct rservice *v = s->service;
+	bool stepped_down = s == v->old && v->stepped_down;
+	bool paused = s != v->old && (v->fenced_at_us || v->stepped_down);
+
+	if (v->phase == PHASE_WATCH || (!stepped_down && !paused))
+		return;
+	if (v->phase < PHASE_PROMOTE)
+		fence_again(v, now_us);
+	else if (stepped_down)
+		rsv_order(s, RELAY_STEP_DOWN, v->fence_term);
+	else
+		rsv_order(s, RELAY_PAUSE, v->fence_term);
+}
+
+/*
+ * Whether another server became primary, which ends the change. Failure: the
+ * platform's answer to a promotion is lost, or another proxy replaced the
+ * primary meanwhile; a further promotion would replace a primary that was never
+ * fenced, and what that acknowledges then is rolled back. Guard: any primary in
+ * a newer term ends the change. An old primary that comes back ends it only
+ * until the platform was told; from then on its term is over, and what was
+ * paused must stay paused.
+ */
+static bool other_primary_leads(const struct rservice *v, uint64_t now_us)
+{
+	if (!v->primary)
+		return false;
+	if (v->term > v->term_at_start)
+		return true;
+	return !rch_is_told(v, now_us) && v->primary != v->old;
+}
+
+/* Handles a server's status, which a phase may be waiting for. */
+void rch_on_status(struct rserver *s, uint64_t now_us)
+{
+	struct rservice *v = s->service;
+
+	if (v->phase == PHASE_FENCE && s == v->old &&
+	    s->status.role == ROLE_REPLICA) {
+		v->stepped_down = true;
+		v->old_position = s->status.received;
+	}
+	if (v->phase != PHASE_WATCH && other_primary_leads(v, now_us)) {
+		log_change(v, "done", v->primary->info.id, now_us);
+		/*
+		 * All tries under one fence name the same target, so no other
+		 * promotion of this proxy is pending. Otherwise replicas that
+		 * were paused in a term above the new one, as by a second
+		 * fence, would stay paused for seconds, and none could confirm
+		 * the new primary.
+		 */
+		if (v->primary == v->target && !v->earlier_promotion_pending)
+			v->promotion_sent_at_us = 0;
+		v->act_scheduled = false;
+		enter(v, PHASE_WATCH, now_us);
+	}
+}
