--- a/packages/relay/src/conn.c
+++ b/packages/relay/src/conn.c
@@ -1,7 +1,8 @@
 /*
- * Connections to servers. They are lent to a session for a statement or a
- * transaction, or carry a probe, and keep the values and prepared statements
- * of the last sessions, so that the next one with the same finds them there.
+ * The pool of connections to servers. A connection is assigned to a session
+ * for a statement or a transaction, or carries a probe. It keeps the values
+ * and prepared statements of earlier sessions, so that a session with the same
+ * ones need not send them again.
  */
 #define LOG_MODULE "conn"
 #include "relay_internal.h"
@@ -10,19 +11,36 @@
 
 #include <string.h>
 
-#define REFUSED_US (150 * USEC_PER_MSEC)
-/* A home that lacks this configuration gets it within seconds. */
-#define UNKNOWN_DATABASE_US (500 * USEC_PER_MSEC)
-#define NEAR_FULL 2 /* free connections at a server that count as few */
-#define FEW_CONNS 2
-#define START_US (4 * USEC_PER_SEC)
-#define QUIET_COUNTS_US (250 * USEC_PER_MSEC)
-#define STUCK_US (200 * USEC_PER_MSEC)
+/* No connection is opened for this time after the server refused one. */
+#define REFUSED_BACKOFF_US (150 * USEC_PER_MSEC)
+/* The same where a home doesn't know the database yet; it will in seconds. */
+#define UNKNOWN_DATABASE_BACKOFF_US (500 * USEC_PER_MSEC)
+/*
+ * With fewer free connections at a server no further one is opened; at this
+ * number spare ones are closed early.
+ */
+#define MIN_FREE_CONNS 2
+/*
+ * Connections that a proxy may have to a server that is above half full, apart
+ * from those whose answer is probably lost.
+ */
+#define MAX_CONNS_ABOVE_HALF 2
+/* How long after its start a proxy may open up to the server's limit. */
+#define START_PERIOD_US (4 * USEC_PER_SEC)
+/* Silence from before a request counts for this long at most. */
+#define MAX_PRIOR_SILENCE_US (250 * USEC_PER_MSEC)
+/*
+ * An answer is probably lost after this time, or this multiple of the server's
+ * smoothed latency, whichever is longer.
+ */
+#define STUCK_MIN_US (200 * USEC_PER_MSEC)
 #define STUCK_LATENCIES 6
-#define UNCLAIMED_US (150 * USEC_PER_MSEC) /* a dropped answer is awaited */
-#define SPARE_CLOSE_US (600 * USEC_PER_MSEC) /* when few are free */
+/* How much longer an answer that no session waits for any more may take. */
+#define ABANDONED_ANSWER_US (150 * USEC_PER_MSEC)
+/* Idle time after which a spare connection to a nearly full server closes. */
+#define NEARLY_FULL_CLOSE_US (600 * USEC_PER_MSEC)
 
-/* Starts to open a connection of an account, or the proxy's own. */
+/* Starts to open a connection for an account; "": for the proxy itself. */
 struct rconn *rcn_open(struct rserver *s, const char *account, uint64_t now_us)
 {
 	struct rconn *c = g_new0(struct rconn, 1);
@@ -47,7 +65,7 @@
 	return c;
 }
 
-/* Frees a connection; the table of connections does it. */
+/* Frees a connection; called by the hash table of connections. */
 void rcn_free(gpointer conn)
 {
 	struct rconn *c = conn;
@@ -60,8 +78,8 @@
 	g_free(c);
 }
 
-/* Forgets a connection that is closed already, or is closed by this. */
-static void forget(struct rconn *c)
+/* Removes a connection that is closed, or is being closed, from all tables. */
+static void remove_conn(struct rconn *c)
 {
 	struct rserver *s = c->server;
 
@@ -84,14 +102,14 @@
 	g_hash_table_remove(s->relay->conns, &c->id);
 }
 
-/* Closes it; the session that has it is told nothing. */
+/* Closes a connection; its session, if any, is not notified. */
 void rcn_close(struct rconn *c)
 {
 	c->relay->ops->close(c->relay->ctx, c->id);
-	forget(c);
+	remove_conn(c);
 }
 
-/* Sends one statement; its answer or loss is the next event. */
+/* Sends one statement. The connection is busy until its answer or loss. */
 void rcn_send(struct rconn *c, enum rstep step,
 	      const struct relay_statement *statement, uint64_t timeout_us,
 	      uint64_t now_us)
@@ -109,7 +127,7 @@
 	c->relay->ops->send(c->relay->ctx, c->id, statement);
 }
 
-/* How many of the session's values the connection has not, or others. */
+/* The number of values in which the connection and the session differ. */
 static unsigned differences(const struct rconn *c, const struct rsession *s)
 {
 	unsigned n_same = 0, n = g_hash_table_size(c->values);
@@ -129,8 +147,9 @@
 }
 
 /*
- * Whose connection the session needs there. Between proxies a connection
- * carries all accounts' statements, each with its name.
+ * The account whose connection to the server the session needs; empty: any.
+ * A connection between proxies carries all accounts' statements, each with its
+ * account's name.
  */
 const char *rcn_account(const struct rserver *s, const struct rsession *session)
 {
@@ -139,34 +158,34 @@
 	return session->account;
 }
 
-static bool is_of(const struct rconn *c, const char *account)
+static bool belongs_to(const struct rconn *c, const char *account)
 {
 	return !strcmp(c->account, account);
 }
 
-static bool has_one_of(const GQueue *conns, const char *account)
+static bool has_conn_of(const GQueue *conns, const char *account)
 {
 	GList *l;
 
 	for (l = conns->head; l; l = l->next)
-		if (is_of(l->data, account))
+		if (belongs_to(l->data, account))
 			return true;
 	return false;
 }
 
-/* Whether an idle connection of the account is there. */
+/* Whether the server has an idle connection of the account. */
 bool rcn_has_idle(const struct rserver *s, const char *account)
 {
-	return has_one_of(&s->idle, account);
+	return has_conn_of(&s->idle, account);
 }
 
-/* Whether one of the account is being opened. */
+/* Whether a connection of the account is being opened. */
 bool rcn_is_opening(const struct rserver *s, const char *account)
 {
-	return has_one_of(&s->opening, account);
+	return has_conn_of(&s->opening, account);
 }
 
-/* The idle connection that needs the least to serve the session, or NULL. */
+/* The idle connection whose values differ least from the session's, or NULL. */
 struct rconn *rcn_take(struct rserver *s, const struct rsession *session)
 {
 	const char *account = rcn_account(s, session);
@@ -177,7 +196,7 @@
 	for (l = s->idle.head; l; l = l->next) {
 		unsigned n;
 
-		if (!is_of(l->data, account))
+		if (!belongs_to(l->data, account))
 			continue;
 		n = differences(l->data, session);
 		if (best && n >= least)
@@ -191,22 +210,26 @@
 }
 
 /*
- * With client accounts a proxy needs a connection for each of many accounts. If
- * all that start anew took what there is, the first ones would leave none to
- * the others until the servers forget the former lives.
+ * Whether the proxy may open connections up to the server's limit. With client
+ * accounts it needs a connection for each of many accounts. If all proxies that
+ * restart took every free connection, the first ones would leave none to the
+ * others until the servers have dropped the connections from before the
+ * restart.
  */
-static bool takes_all(const struct rserver *s, uint64_t now_us)
+static bool may_fill_server(const struct rserver *s, uint64_t now_us)
 {
 	const struct relay *r = s->relay;
 
-	return !r->settings.accounts && now_us < r->started_us + START_US;
+	return !r->settings.accounts &&
+	       now_us < r->started_us + START_PERIOD_US;
 }
 
 /*
- * Whether one more may be opened: the server's limit holds for all proxies
- * together. Above half of it each keeps to its first ones, so that proxies
- * that start anew find room while the servers still count those of their
- * former lives; these take what there is.
+ * Whether one more connection may be opened. The server's limit holds for all
+ * proxies together. Above half of it each proxy keeps to MAX_CONNS_ABOVE_HALF,
+ * so that restarted proxies find room while the servers still count their
+ * connections from before the restart; without accounts, a proxy that has just
+ * started may open up to the limit.
  */
 bool rcn_may_open(const struct rserver *s, uint64_t now_us)
 {
@@ -217,16 +240,18 @@
 		return false;
 	if (!limit || s->n_conns < s->relay->settings.warm_connections)
 		return true;
-	if (there + NEAR_FULL > limit)
+	if (there + MIN_FREE_CONNS > limit)
 		return false;
-	if (takes_all(s, now_us))
+	if (may_fill_server(s, now_us))
 		return true;
-	return s->n_conns < FEW_CONNS + s->n_stuck || there * 2 < limit;
+	return s->n_conns < MAX_CONNS_ABOVE_HALF + s->n_stuck ||
+	       there * 2 < limit;
 }
 
 /*
- * Where no more connections may be opened, one account's is closed for
- * another's: the one that was not used for longest. False: there is none.
+ * Makes room for an account's connection where no more may be opened: closes
+ * the least recently used idle one (`close` false: only checks that there is
+ * one). Returns false when there is none.
  */
 bool rcn_make_room(struct rserver *s, bool close, uint64_t now_us)
 {
@@ -238,7 +263,7 @@
 	return true;
 }
 
-/* The session has it from now on. */
+/* Assigns an idle connection to the session. */
 void rcn_lend(struct rconn *c, struct rsession *session)
 {
 	g_queue_unlink(&c->server->idle, &c->link);
@@ -248,8 +273,9 @@
 }
 
 /*
- * The session needs it no more; an open transaction is rolled back first, in
- * the name of the caller's own statement if there is one.
+ * Takes the connection from its session and makes it idle, after the rollback
+ * of an open transaction. `id` is the id of the caller's ROLLBACK; empty: the
+ * rollback is the relay's own.
  */
 void rcn_roll_back(struct rconn *c, struct str id, uint64_t now_us)
 {
@@ -260,14 +286,14 @@
 		c->session = NULL;
 	}
 	if (c->step != STEP_NONE)
-		return; /* its answer comes first */
+		return; /* wait for the answer in flight */
 	if (c->in_block)
 		rcn_send(c, STEP_ROLLBACK, &st, USEC_PER_SEC, now_us);
 	else
 		rcn_give_back(c, now_us);
 }
 
-/* The session needs it no more. */
+/* Takes the connection from its session and makes it idle or closes it. */
 void rcn_give_back(struct rconn *c, uint64_t now_us)
 {
 	if (c->session || c->in_block) {
@@ -287,8 +313,8 @@
 }
 
 /*
- * Whether this proxy is to have connections to the server at all. One that is
- * listed for a service that no configuration names is nobody's.
+ * Whether this proxy keeps connections to the server at all. No proxy does if
+ * the server is listed for a service that is in no configuration.
  */
 bool rcn_is_ours(const struct rserver *s)
 {
@@ -297,7 +323,7 @@
 	return v->peers || (v->is_home && v->configured);
 }
 
-/* Closes the connections that nothing is in flight on. */
+/* Closes all idle connections to the server. */
 void rcn_close_idle(struct rserver *s)
 {
 	while (s->idle.head)
@@ -313,18 +339,19 @@
 	if (!c)
 		return;
 	if (s->service->max_connections &&
-	    s->status.connections + NEAR_FULL >= s->service->max_connections)
-		after_us = SPARE_CLOSE_US;
+	    s->status.connections + MIN_FREE_CONNS >=
+		    s->service->max_connections)
+		after_us = NEARLY_FULL_CLOSE_US;
 	if (!rsv_takes_work(s, now_us))
 		after_us = 0;
-	/* The last one shows that the process is the same, see server.c. */
+	/* The last one proves that the server did not restart, see server.c. */
 	if (!rsv_is_wanted(s, now_us) || !rcn_is_ours(s) ||
 	    (s->n_conns > set->warm_connections &&
 	     now_us > c->used_us + after_us))
 		rcn_close(c);
 }
 
-/* Closes spare connections and keeps the first ones warm. */
+/* Closes spare connections and keeps the configured number open. */
 void rcn_tick(struct rserver *s, uint64_t now_us)
 {
 	close_spare(s, now_us);
@@ -335,18 +362,20 @@
 }
 
 /*
- * The server was silent since its last answer; but for long before the probe
- * nothing may have been asked of it.
+ * Since when the server counts as silent: since its last answer, but not for
+ * longer than MAX_PRIOR_SILENCE_US before the request, since nothing may have
+ * been sent to it for long before that.
  */
 static uint64_t silent_since_us(const struct rconn *c)
 {
-	uint64_t asked_us =
-		c->sent_us > QUIET_COUNTS_US ? c->sent_us - QUIET_COUNTS_US : 0;
+	uint64_t asked_us = c->sent_us > MAX_PRIOR_SILENCE_US ?
+				    c->sent_us - MAX_PRIOR_SILENCE_US :
+				    0;
 
 	return MAX(c->server->heard_us, asked_us);
 }
 
-/* A connection ended while something was in flight on it. */
+/* Logs the end of a connection that was in use. */
 static void log_ended(const struct rconn *c, const char *event, uint64_t now_us)
 {
 	struct log_line *l;
@@ -366,7 +395,7 @@
 	log_event_end(l);
 }
 
-static void expired(struct rconn *c, uint64_t now_us)
+static void on_timeout(struct rconn *c, uint64_t now_us)
 {
 	struct rsession *session = c->session;
 	struct rserver *s = c->server;
@@ -386,13 +415,13 @@
 }
 
 /*
- * Whether its answer is so late that it is probably lost: it can't be counted
- * on, so that another may be opened in its place.
+ * Whether the answer is so late that it is probably lost. Another connection
+ * may be opened in place of such a one.
  */
 static bool is_stuck(const struct rconn *c, uint64_t now_us)
 {
 	uint64_t after_us =
-		MAX(STUCK_US, STUCK_LATENCIES * c->server->latency_us);
+		MAX(STUCK_MIN_US, STUCK_LATENCIES * c->server->latency_us);
 
 	return c->step == STEP_CALLER && now_us > c->sent_us + after_us;
 }
@@ -403,8 +432,8 @@
 	if (c->state == RCONN_OPENING || c->step == STEP_NONE)
 		return;
 	if (now_us >= c->deadline_us ||
-	    (!c->session && is_stuck(c, now_us - UNCLAIMED_US)))
-		expired(c, now_us);
+	    (!c->session && is_stuck(c, now_us - ABANDONED_ANSWER_US)))
+		on_timeout(c, now_us);
 	else if (is_stuck(c, now_us))
 		c->server->n_stuck++;
 }
@@ -427,9 +456,9 @@
 }
 
 /*
- * Closes what is overdue. Failure: a connection falls silent for good while
- * new ones work. It shows as a statement without an answer. A connection with
- * such a statement is never used again, so that no late answer can reach
+ * Closes connections whose answer is overdue. A single connection can stop
+ * delivering data while new ones work, and its statement then gets no answer.
+ * Such a connection is never used again, so that no late answer can reach
  * another caller.
  */
 void rcn_expire(struct relay *r, uint64_t now_us)
@@ -439,14 +468,14 @@
 
 	for (i = 0; i < list->len; i++)
 		conn_at(list, i)->server->n_stuck = 0;
-	/* One lent connection's end never closes another. */
+	/* The list stays valid: closing one connection closes no other. */
 	for (i = 0; i < list->len; i++)
 		check_answer(conn_at(list, i), now_us);
 	g_ptr_array_free(list, TRUE);
 }
 
-static void log_not_opened(const struct rserver *s,
-			   const struct relay_answer *answer)
+static void log_open_refused(const struct rserver *s,
+			     const struct relay_answer *answer)
 {
 	struct log_line *l = log_event(LOG_FAILURE, "connection-refused");
 
@@ -462,7 +491,7 @@
 	log_event_end(l);
 }
 
-/* The platform's word on an opening. */
+/* Handles the platform's answer to the opening of a connection. */
 void relay_conn_opened(struct relay *r, uint64_t conn,
 		       const struct relay_answer *answer, uint64_t now_us)
 {
@@ -477,11 +506,11 @@
 			s->moved = true;
 		s->refused_until_us =
 			now_us + (answer->code == RELAY_NO_DATABASE ?
-					  UNKNOWN_DATABASE_US :
-					  REFUSED_US);
-		log_not_opened(s, answer);
+					  UNKNOWN_DATABASE_BACKOFF_US :
+					  REFUSED_BACKOFF_US);
+		log_open_refused(s, answer);
 		s->heard_us = now_us;
-		forget(c);
+		remove_conn(c);
 		rrun_dispatch(r, now_us);
 		return;
 	}
@@ -496,9 +525,9 @@
 	rrun_dispatch(r, now_us);
 }
 
-/* What an answer to a caller's statement shows of its server's load. */
-static void note_load(struct rconn *c, enum relay_code code, uint64_t took_us,
-		      uint64_t now_us)
+/* Updates the server's load figures from an answer to a caller's statement. */
+static void record_load(struct rconn *c, enum relay_code code, uint64_t took_us,
+			uint64_t now_us)
 {
 	struct rserver *s = c->server;
 	const struct relay_profile *profile = NULL;
@@ -515,7 +544,7 @@
 		rcl_on_answer(s, took_us, profile->aim_us, code, now_us);
 }
 
-/* An answer to what a connection had in flight. */
+/* Handles the answer to a connection's request in flight. */
 void relay_conn_answer(struct relay *r, uint64_t conn,
 		       const struct relay_answer *answer, uint64_t now_us)
 {
@@ -533,7 +562,7 @@
 	s->n_busy--;
 	if (step == STEP_CALLER) {
 		s->in_flight--;
-		note_load(c, answer->code, now_us - sent_us, now_us);
+		record_load(c, answer->code, now_us - sent_us, now_us);
 	}
 	rsv_conn_answered(s, c, sent_us);
 	rsv_heard(s, answer, sent_us, now_us);
@@ -546,7 +575,7 @@
 	rrun_dispatch(r, now_us);
 }
 
-/* A connection broke, or could not be opened. */
+/* Handles a connection that broke or could not be opened. */
 void relay_conn_lost(struct relay *r, uint64_t conn, bool refused,
 		     uint64_t now_us)
 {
@@ -570,7 +599,7 @@
 		s->open_after_us = now_us;
 	rsv_probe_soon(s);
 	rlm_on_lost(c, now_us);
-	forget(c);
+	remove_conn(c);
 	if (!opening)
 		rsv_conn_broke(s, now_us);
 	if (session)
--- a/packages/relay/src/pick.c
+++ b/packages/relay/src/pick.c
@@ -1,21 +1,30 @@
 /*
- * Which server runs a statement or transaction, and on which connection.
+ * Chooses the server that runs a statement or transaction, and the connection.
+ * Candidates are compared by their estimated cost in microseconds: what the
+ * statement would probably take there, plus penalties.
  */
 #define LOG_MODULE "pick"
 #include "relay_internal.h"
 
+/* Added to a replica's known lag before it is expected to be up to date. */
 #define LAG_MARGIN_US (30 * USEC_PER_MSEC)
+/* The lag that a replica of unknown lag is expected to have at most. */
 #define USUAL_LAG_US (100 * USEC_PER_MSEC)
-#define LAGGING_US (500 * USEC_PER_MSEC)
-#define CUT_OFF_COST_US (500 * USEC_PER_MSEC) /* above any load */
-#define OPEN_COST_US (12 * USEC_PER_MSEC)
+/* How long a replica that refused a read as lagging counts as lagging. */
+#define LAGGING_PENALTY_US (500 * USEC_PER_MSEC)
+/* Of a home that is probably cut off from the primary; above any load. */
+#define BAD_HOME_COST_US (500 * USEC_PER_MSEC)
+#define OPEN_COST_US (12 * USEC_PER_MSEC) /* of opening a connection */
 #define OTHER_ZONE_COST_US (25 * USEC_PER_MSEC)
-/* The primary alone can write: reads leave it room. */
+/* Reads avoid the primary, since no other server can run writes. */
 #define PRIMARY_FACTOR_NUM 3
 #define PRIMARY_FACTOR_DEN 2
 #define PRIMARY_COST_US (25 * USEC_PER_MSEC)
-/* Statements that come further apart don't tell how long it is in vain. */
-#define WANTED_AGAIN_US (500 * USEC_PER_MSEC)
+/*
+ * The longest gap between two statements that need the primary in which it
+ * counts as unavailable throughout.
+ */
+#define MAX_WANTED_GAP_US (500 * USEC_PER_MSEC)
 
 static uint64_t cost_us(const struct rserver *s, uint64_t now_us)
 {
@@ -29,19 +38,18 @@
 	if (g_strcmp0(s->info.zone, s->relay->zone))
 		cost += OTHER_ZONE_COST_US;
 	if (s->service->peers && !rvi_is_good_home(s, now_us))
-		cost += CUT_OFF_COST_US;
+		cost += BAD_HOME_COST_US;
 	if (s->relay->guards.avoid_outliers)
 		cost += rol_cost_us(&s->outlier, now_us);
 	return cost;
 }
 
 /*
- * What it costs the run that a server has no idle connection.
- *
- * Failure: the cheapest server's connections are all in use, or its new one
- * never comes up. The statement waits there until it is refused, while others
- * that may run it have idle connections and cost a few ms more. Guard: what it
- * has waited so far is what waiting costs, so it soon goes elsewhere.
+ * The cost of a server's lack of an idle connection. It includes the time that
+ * the run has waited so far. Otherwise, when the cheapest server's connections
+ * are all in use, or a new one is never established, the statement would wait
+ * there until it is refused, while other servers with idle connections cost
+ * just a few ms more.
  */
 static uint64_t wait_cost_us(const struct rserver *s,
 			     const struct rsession *session, uint64_t now_us)
@@ -63,7 +71,7 @@
 		rcn_may_open(s, now_us) || rcn_make_room(s, false, now_us));
 }
 
-/* Why the primary may not run anything now; NULL: it may. */
+/* The reason why the primary may run nothing now; NULL: it may. */
 static const char *primary_blocker(const struct rserver *s, uint64_t now_us)
 {
 	if (!rsv_leads_on(s, now_us))
@@ -83,9 +91,10 @@
 }
 
 /*
- * Whether a replica can be expected to have what a read must see: it showed
- * so, or it had the time for it and has not lagged just now. The server checks
- * the floor that goes along; a refusal costs a round trip.
+ * Whether a replica can be expected to have applied the log up to the floor,
+ * the position that a read must see: it has reported so, or the floor is older
+ * than its lag and it has not lagged recently. The server checks the floor,
+ * too, which is sent along; its refusal costs a round trip.
  */
 static bool is_fresh_enough(const struct rserver *s,
 			    const struct rsample *floor, uint64_t now_us)
@@ -97,10 +106,10 @@
 	    now_us > floor->us + s->lag_us + LAG_MARGIN_US)
 		return true;
 	return now_us > floor->us + USUAL_LAG_US &&
-	       now_us > s->lagging_us + LAGGING_US;
+	       now_us > s->lagging_us + LAGGING_PENALTY_US;
 }
 
-/* Why a replica may not run the read; NULL: it may. */
+/* The reason why a replica may not run the read; NULL: it may. */
 static const char *replica_blocker(const struct rserver *s,
 				   const struct rsample *floor, uint64_t now_us)
 {
@@ -129,7 +138,7 @@
 	return true;
 }
 
-static unsigned failures(const struct rrun *run, const struct rserver *s)
+static unsigned count_failures(const struct rrun *run, const struct rserver *s)
 {
 	unsigned i, n = 0;
 
@@ -139,7 +148,7 @@
 	return n;
 }
 
-/* Makes the server the best one if it costs the run the least so far. */
+/* Makes the server the best candidate if it is the cheapest so far. */
 void rpk_consider(struct rserver *s, struct rserver **best, uint64_t *least,
 		  const struct rsession *session, uint64_t now_us)
 {
@@ -148,7 +157,7 @@
 	if (!can_lend(s, session, now_us))
 		return;
 	cost = cost_us(s, now_us) + wait_cost_us(s, session, now_us) +
-	       failures(&session->run, s) * USEC_PER_SEC;
+	       count_failures(&session->run, s) * USEC_PER_SEC;
 	if (*best && cost >= *least)
 		return;
 	*best = s;
@@ -180,7 +189,7 @@
 	return best;
 }
 
-/* Takes an idle connection of the server chosen, or has one opened. */
+/* Finds an idle connection to the chosen server, or starts to open one. */
 void rpk_take_conn(struct rsession *s, struct rpick *out, uint64_t now_us)
 {
 	struct rserver *server = out->server;
@@ -195,19 +204,22 @@
 		rcn_open(server, account, now_us);
 }
 
-/* Since when the primary is wanted in vain; a long rest counts for nothing. */
+/*
+ * Tracks since when statements have needed the primary while it could not be
+ * used. A gap of more than MAX_WANTED_GAP_US between them starts anew.
+ */
 void rpk_note_primary_use(struct rservice *v, uint64_t wanted_us,
 			  uint64_t now_us)
 {
 	if (v->primary && primary_may_run(v->primary, now_us)) {
 		v->usable_us = now_us;
 		v->in_vain_us = 0;
-	} else if (!v->in_vain_us || now_us > wanted_us + WANTED_AGAIN_US) {
+	} else if (!v->in_vain_us || now_us > wanted_us + MAX_WANTED_GAP_US) {
 		v->in_vain_us = now_us;
 	}
 }
 
-/* One of the service's own servers, or NULL. */
+/* Chooses one of the service's own servers rather than a home; or NULL. */
 static struct rserver *choose_own(struct rsession *s, struct rservice *v,
 				  const struct relay_profile *profile,
 				  struct rpick *out, uint64_t now_us)
@@ -230,8 +242,8 @@
 }
 
 /*
- * Chooses for the session's run. Without a connection the run waits; one is
- * being opened where that is possible.
+ * Chooses a server and a connection for the session's run. If there is no idle
+ * connection the run stays in the queue, and one is opened where possible.
  */
 void rpk_choose(struct rsession *s, struct rpick *out, uint64_t now_us)
 {
@@ -333,7 +345,7 @@
 	return replica_blocker(server, floor, now_us);
 }
 
-/* Adds each server that could run the session's statement, or why not. */
+/* Logs each server of the service, with the reason why it can't run this. */
 void rpk_log_candidates(const struct rsession *s,
 			const struct relay_profile *profile, struct log_line *l,
 			uint64_t now_us)
