--- a/packages/relay/src/climit.c
+++ b/packages/relay/src/climit.c
@@ -1,39 +1,44 @@
 /*
- * How many statements this proxy keeps in flight at a server: an adaptive
- * concurrency limit. What prepares a connection for a statement counts too.
+ * An adaptive concurrency limit: how many statements this proxy keeps in flight
+ * at a server. Steps that prepare a connection for a statement count, too.
  *
- * Failure: replicas fall behind, all that must be fresh goes to the primary,
- * and that is more than it can run. Its queue fills up; every statement waits
- * there in the order of arrival for most of its aim, those that come in vain
- * are shed, and nearly all end late, though the server works all the time. It
- * shows as a service of which hardly anything is served in time for as long
- * as it lasts. Guard: where too many statements take long, fewer are kept in
- * flight, and the rest wait here, where those of a higher priority and an
- * earlier due time come first and the others are refused in time to go
- * elsewhere.
+ * Failure: replicas fall behind, so all reads that must be fresh go to the
+ * primary, which can't run that many. Its queue fills up. Every statement waits
+ * there in the order of arrival for most of its latency target, the excess is
+ * shed, and nearly all end late although the server is always busy. Hardly any
+ * statement of the service is served in time while the overload lasts.
+ *
+ * Guard: when too many statements are slow, fewer are kept in flight. The rest
+ * wait in this proxy's queue, where higher priorities and earlier deadlines
+ * come first and the others are refused in time to go elsewhere.
  */
 #include "relay_internal.h"
 
 /*
- * A statement is slow when the server took more than this share of its
- * profile's aim: as much as it may wait here.
+ * A statement is slow when the server took more than its profile's latency
+ * target divided by this: the same time as it may wait in the queue here.
+ */
+#define SLOW_DIVISOR 4
+/*
+ * The server is congested when more than one statement in this many is slow.
+ * Without a queue at the server it is one in 15.
  */
-#define SLOW_SHARE 4
-/* One slow one in so many is too much; without a queue it is one in 15. */
-#define CONGESTED_SHARE 4
-/* As few as may be judged: slow ones come in runs. */
-#define JUDGED_LEAST 8
-#define JUDGE_US (50 * USEC_PER_MSEC)
+#define CONGESTED_DIVISOR 4
+/* The least answers in an evaluation; slow ones come in runs. */
+#define MIN_ANSWERS 8
+#define MIN_INTERVAL_US (50 * USEC_PER_MSEC) /* the shortest time between two \
+					      */
 /*
- * Down to a half within three judgements, up by one in two: the first ends an
- * overload within a second, the second keeps it from coming back at once.
+ * The limit halves within about three evaluations and grows by one in two. The
+ * fast decrease ends an overload within a second; the slow increase keeps it
+ * from coming back at once.
  */
-#define SHRINK 0.8
-#define GROW 0.5
-/* More than a server's slots and as much again is no limit any more. */
-#define FREE_SLOTS 4
+#define DECREASE_FACTOR 0.8
+#define INCREASE_STEP 0.5
+/* The limit is lifted once it exceeds this multiple of the server's slots. */
+#define UNLIMITED_SLOTS 4
 
-/* Whether no further statement should be sent there. */
+/* Whether the limit allows no further statement to the server now. */
 bool rcl_is_full(const struct rserver *s)
 {
 	const struct rclimit *l = &s->limit;
@@ -43,45 +48,48 @@
 	return s->n_busy >= (unsigned)l->most;
 }
 
-/* One more connection is busy; it is counted already. */
+/* Notes that one more connection is busy; n_busy includes it already. */
 void rcl_on_sent(struct rserver *s)
 {
 	s->limit.peak = MAX(s->limit.peak, s->n_busy);
 }
 
-static void shrink(struct rclimit *l)
+static void decrease(struct rclimit *l)
 {
 	double from = l->peak;
 
 	if (l->most && l->most < from)
 		from = l->most;
-	l->most = MAX(from * SHRINK, 1);
+	l->most = MAX(from * DECREASE_FACTOR, 1);
 }
 
-static void grow(struct rclimit *l, unsigned slots)
+static void increase(struct rclimit *l, unsigned slots)
 {
 	if (!l->most || l->peak < (unsigned)l->most)
 		return;
-	l->most += GROW;
-	if (l->most > slots * FREE_SLOTS)
+	l->most += INCREASE_STEP;
+	if (l->most > slots * UNLIMITED_SLOTS)
 		l->most = 0;
 }
 
-/* The server took so long for a statement of that aim, or shed it. */
+/*
+ * Notes how long the server took for a statement of the given latency target,
+ * or that it shed it, and adapts the limit.
+ */
 void rcl_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
 		   enum relay_code code, uint64_t now_us)
 {
 	struct rclimit *l = &s->limit;
 
 	l->n++;
-	if (code == RELAY_BUSY || took_us * SLOW_SHARE > aim_us)
+	if (code == RELAY_BUSY || took_us * SLOW_DIVISOR > aim_us)
 		l->n_slow++;
-	if (l->n < JUDGED_LEAST || now_us < l->judged_us + JUDGE_US)
+	if (l->n < MIN_ANSWERS || now_us < l->judged_us + MIN_INTERVAL_US)
 		return;
-	if (l->n_slow * CONGESTED_SHARE > l->n)
-		shrink(l);
+	if (l->n_slow * CONGESTED_DIVISOR > l->n)
+		decrease(l);
 	else
-		grow(l, MAX(s->info.slots, 1));
+		increase(l, MAX(s->info.slots, 1));
 	l->n = l->n_slow = 0;
 	l->peak = s->n_busy;
 	l->judged_us = now_us;
--- a/packages/relay/src/limit.c
+++ b/packages/relay/src/limit.c
@@ -1,30 +1,34 @@
 /*
- * Limits of client accounts, over all proxies: operations that wait for a
+ * Rate limits of client accounts over all proxies: operations that wait for a
  * token.
  *
- * The proxy that a caller came to asks the account's grantors for a token for
- * each operation, after the operation has come; grantor.c says why their sum
- * holds. A grantor without a token says when it has one; until then the others
- * are asked, and then callers are refused at once.
+ * For each operation that arrives, the proxy asks one of the account's grantors
+ * for a token; grantor.c says why all grantors together keep the limit. A
+ * grantor without a token answers when it will have one. Until then only the
+ * others are asked, and when none has tokens, callers are refused at once.
  */
 #define LOG_MODULE "limit"
 #include "limit_internal.h"
 
 #include <string.h>
 
-/* What a grantor may be silent, until the next one is asked. */
-#define ASK_US (60 * USEC_PER_MSEC)
-/* One that is no grantor, by its own list, is not asked for so long. */
-#define NO_GRANTOR_US (500 * USEC_PER_MSEC)
-/* Connections to grantors that are not asked close after that. */
-#define UNUSED_US (3 * USEC_PER_SEC)
-#define TICK_LIMITS_US (20 * USEC_PER_MSEC)
-#define BINDS_US (5 * USEC_PER_SEC) /* a limit that refused binds so long */
+/* How long a grantor's answer is awaited before the next one is asked. */
+#define GRANT_TIMEOUT_US (60 * USEC_PER_MSEC)
+/* How long a proxy is not asked that failed or says that it is no grantor. */
+#define FAILED_GRANTOR_BACKOFF_US (500 * USEC_PER_MSEC)
+/* Connections to a grantor close this long after the last request. */
+#define UNUSED_CLOSE_US (3 * USEC_PER_SEC)
+#define LIMITS_TICK_US (20 * USEC_PER_MSEC)
+/* A limit is in force ("binds") for this long after its last refusal. */
+#define BINDS_US (5 * USEC_PER_SEC)
+/* How long the bucket of an account that was removed is kept. */
 #define FORGET_US (60 * USEC_PER_SEC)
-/* Told to callers where no grantor is known. */
-#define COME_BACK_US USEC_PER_SEC
-#define GIVEN_OVER_US USEC_PER_SEC /* what came here is averaged over that */
-#define LEAST_PER_S 1.0 /* tokens; rarer ones count as so many */
+/* After how long callers are told to retry where no grantor is known. */
+#define NO_GRANTOR_RETRY_AFTER_US USEC_PER_SEC
+/* The period over which the rate of tokens that came here is averaged. */
+#define GIVEN_AVERAGE_US USEC_PER_SEC
+/* Lower bound of that rate where refused callers are told when to retry. */
+#define MIN_GIVEN_PER_S 1.0
 
 static void limit_free(gpointer data)
 {
@@ -37,7 +41,7 @@
 	g_free(l);
 }
 
-/* No account has been seen yet. */
+/* Creates the empty tables of limits. */
 void rlm_init(struct relay *r)
 {
 	r->limits = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
@@ -48,7 +52,7 @@
 	rgr_init(r);
 }
 
-/* After the connections and sessions are gone. */
+/* Frees the tables; no connection or session may exist any more. */
 void rlm_clear(struct relay *r)
 {
 	rgr_clear(r);
@@ -57,7 +61,7 @@
 	rservice_destroy(r->grantors);
 }
 
-/* The limit of an account, made when it is first asked for. */
+/* The limit of an account, created on first use. */
 struct rlimit *rlm_find(struct relay *r, const char *account)
 {
 	struct rlimit *l = g_hash_table_lookup(r->limits, account);
@@ -87,19 +91,19 @@
 	log_event_end(line);
 }
 
-/* Takes in tokens that came, or that none did. */
+/* Updates the average rate with n tokens that came now; n may be 0. */
 static void note_given(struct rlimit *l, unsigned n, uint64_t now_us)
 {
-	uint64_t since_us = MIN(now_us - l->given_us, GIVEN_OVER_US);
-	double kept = 1 - (double)since_us / GIVEN_OVER_US;
+	uint64_t since_us = MIN(now_us - l->given_us, GIVEN_AVERAGE_US);
+	double kept = 1 - (double)since_us / GIVEN_AVERAGE_US;
 
 	l->given_per_s = l->given_per_s * kept +
-			 n * (double)USEC_PER_SEC / GIVEN_OVER_US;
+			 n * (double)USEC_PER_SEC / GIVEN_AVERAGE_US;
 	l->given_us = now_us;
 }
 
-/* The whole rate, until it shows how much of it comes here. */
-static void begin_to_bind(struct rlimit *l, uint64_t now_us)
+/* Assumes the account's whole rate until this proxy's part of it is known. */
+static void begin_binding(struct rlimit *l, uint64_t now_us)
 {
 	const struct relay_account *a =
 		relay_catalog_account(l->relay->catalog, l->account);
@@ -115,39 +119,38 @@
 	l->n_refused++;
 	counter_add(l->relay->n_limited, 1);
 	if (!l->refused_us)
-		begin_to_bind(l, now_us);
+		begin_binding(l, now_us);
 	l->refused_us = now_us;
 }
 
-/* When the first grantor has a token again; now, if one may have. */
-static uint64_t first_us(const struct rlimit *l, uint64_t now_us)
+/* When the first grantor may have a token, not before now; NEVER_US: none. */
+static uint64_t first_token_us(const struct rlimit *l, uint64_t now_us)
 {
-	uint64_t first = NEVER_US;
+	uint64_t first_at_us = NEVER_US;
 	unsigned i;
 
 	for (i = 0; i < l->n_grantors; i++)
-		first = MIN(first, l->grantors[i].empty_until_us);
-	return l->n_grantors ? MAX(first, now_us) : NEVER_US;
+		first_at_us = MIN(first_at_us, l->grantors[i].empty_until_us);
+	return l->n_grantors ? MAX(first_at_us, now_us) : NEVER_US;
 }
 
 /*
- * How long the next one that is refused is to stay away.
- *
- * Failure: all who are refused are told when the next token comes. They come
- * back together, one gets it, and the others use up their retries. Guard: each
- * is told a time after those who were refused before, as far apart as tokens
- * come here.
+ * After how long the next refused caller should retry. If all were told when
+ * the next token comes, they would retry together, one would get it, and the
+ * others would use up their retries. So each is told a time after that of the
+ * one refused before, at the intervals in which tokens come here.
  */
-static uint64_t stay_away_us(struct rlimit *l, uint64_t now_us)
+static uint64_t next_retry_after_us(struct rlimit *l, uint64_t now_us)
 {
-	uint64_t first = first_us(l, now_us);
+	uint64_t first_at_us = first_token_us(l, now_us);
 	uint64_t apart_us;
 
-	if (first == NEVER_US)
-		return COME_BACK_US;
+	if (first_at_us == NEVER_US)
+		return NO_GRANTOR_RETRY_AFTER_US;
 	note_given(l, 0, now_us);
-	apart_us = (uint64_t)(USEC_PER_SEC / MAX(l->given_per_s, LEAST_PER_S));
-	l->turn_us = MAX(first, l->turn_us + apart_us);
+	apart_us =
+		(uint64_t)(USEC_PER_SEC / MAX(l->given_per_s, MIN_GIVEN_PER_S));
+	l->turn_us = MAX(first_at_us, l->turn_us + apart_us);
 	return l->turn_us - now_us;
 }
 
@@ -157,14 +160,15 @@
 	char text[64];
 
 	note_refused(l, now_us);
-	wait_us = stay_away_us(l, now_us);
+	wait_us = next_retry_after_us(l, now_us);
 	g_snprintf(text, sizeof(text),
 		   "the account is at its limit; come back in %u ms",
 		   (unsigned)(wait_us / USEC_PER_MSEC) + 1);
 	rrun_refuse_limited(s, text, now_us);
 }
 
-static void refuse_late(struct rlimit *l, uint64_t first, uint64_t now_us)
+static void refuse_hopeless(struct rlimit *l, uint64_t first_at_us,
+			    uint64_t now_us)
 {
 	GList *link, *next;
 
@@ -172,7 +176,8 @@
 		struct rsession *s = link->data;
 
 		next = link->next;
-		if (first <= s->run.token_by_us && now_us < s->run.token_by_us)
+		if (first_at_us <= s->run.token_by_us &&
+		    now_us < s->run.token_by_us)
 			continue;
 		g_queue_unlink(&l->waiting, link);
 		refuse(l, s, now_us);
@@ -187,11 +192,12 @@
 }
 
 /*
- * Operations begin in the order in which they came. A token is of the window in
- * which it was asked for: none is kept for an operation that came later.
+ * Starts operations in the order of arrival, one for each token. A token counts
+ * in the time window in which it was asked for, so none is kept for an
+ * operation that arrived after the request.
  */
-static void hand_out(struct rlimit *l, unsigned given, uint64_t asked_us,
-		     uint64_t now_us)
+static void distribute(struct rlimit *l, unsigned given, uint64_t asked_us,
+		       uint64_t now_us)
 {
 	note_given(l, given, now_us);
 	while (given-- && l->waiting.head && !came_later(l, asked_us)) {
@@ -214,13 +220,13 @@
 	return s;
 }
 
-static bool fails(const struct rserver *s)
+static bool is_failing(const struct rserver *s)
 {
 	return s->failing_us != 0;
 }
 
-/* The next one that may have a token; false: none may now. */
-static bool choose(struct rlimit *l, uint64_t now_us)
+/* Chooses the first grantor that may have a token; false: none may now. */
+static bool choose_grantor(struct rlimit *l, uint64_t now_us)
 {
 	unsigned i;
 
@@ -238,8 +244,8 @@
 	return false;
 }
 
-/* The chosen one is not asked again for so long. */
-static void leave(struct rlimit *l, uint64_t for_us, uint64_t now_us)
+/* The chosen grantor is not asked again for that time. */
+static void back_off(struct rlimit *l, uint64_t for_us, uint64_t now_us)
 {
 	if (l->chosen < l->n_grantors)
 		l->grantors[l->chosen].empty_until_us = now_us + for_us;
@@ -252,14 +258,15 @@
 	unsigned given;
 
 	if (!rgr_grant(l, l->waiting.length, &given, &wait_us, now_us))
-		wait_us = NO_GRANTOR_US;
+		wait_us = FAILED_GRANTOR_BACKOFF_US;
 	if (wait_us)
-		leave(l, wait_us, now_us);
+		back_off(l, wait_us, now_us);
 	l->chosen_us = 0;
-	hand_out(l, given, now_us, now_us);
+	distribute(l, given, now_us, now_us);
 }
 
-static void send_ask(struct rlimit *l, struct rserver *server, uint64_t now_us)
+static void send_request(struct rlimit *l, struct rserver *server,
+			 uint64_t now_us)
 {
 	struct rconn *c = g_queue_peek_head(&server->idle);
 	char text[STR_U64_SIZE];
@@ -274,32 +281,36 @@
 	c->state = RCONN_LENT;
 	c->ask = l;
 	l->ask = c;
-	rcn_send(c, STEP_TAKE, &st, ASK_US, now_us);
+	rcn_send(c, STEP_TAKE, &st, GRANT_TIMEOUT_US, now_us);
 }
 
-/* True: an answer is awaited. False: the chosen one can't be asked. */
+/*
+ * Asks the chosen grantor, another proxy, once there is a connection. Returns
+ * false if it can't be asked.
+ */
 static bool ask_other(struct rlimit *l, uint64_t now_us)
 {
 	struct rserver *server =
 		server_of(l->relay, l->grantors[l->chosen].name, now_us);
 
-	if (!server || fails(server) || now_us > l->chosen_us + ASK_US) {
-		leave(l, NO_GRANTOR_US, now_us);
+	if (!server || is_failing(server) ||
+	    now_us > l->chosen_us + GRANT_TIMEOUT_US) {
+		back_off(l, FAILED_GRANTOR_BACKOFF_US, now_us);
 		return false;
 	}
 	if (server->idle.length)
-		send_ask(l, server, now_us);
+		send_request(l, server, now_us);
 	else if (!server->opening.length)
 		rcn_open(server, "", now_us);
 	return true;
 }
 
-/* Asks for what the waiting operations need, one grantor after the other. */
-static void serve(struct rlimit *l, uint64_t now_us)
+/* Asks one grantor after the other for tokens for the waiting operations. */
+static void request_tokens(struct rlimit *l, uint64_t now_us)
 {
 	while (l->waiting.length && !l->ask) {
-		if (!choose(l, now_us)) {
-			refuse_late(l, first_us(l, now_us), now_us);
+		if (!choose_grantor(l, now_us)) {
+			refuse_hopeless(l, first_token_us(l, now_us), now_us);
 			return;
 		}
 		if (!strcmp(l->grantors[l->chosen].name, l->relay->name))
@@ -309,7 +320,7 @@
 	}
 }
 
-/* A grantor's answer. */
+/* Handles a grantor's answer: the tokens, and when it will have more. */
 void rlm_on_answer(struct rconn *c, const struct relay_answer *answer,
 		   uint64_t now_us)
 {
@@ -326,15 +337,15 @@
 	if (answer->code != RELAY_OK ||
 	    !str_to_u64(str_take_word(&rest), &given) ||
 	    !str_to_u64(rest, &wait_us))
-		wait_us = NO_GRANTOR_US;
+		wait_us = FAILED_GRANTOR_BACKOFF_US;
 	if (wait_us)
-		leave(l, wait_us, now_us);
+		back_off(l, wait_us, now_us);
 	l->chosen_us = 0;
-	hand_out(l, (unsigned)given, asked_us, now_us);
-	serve(l, now_us);
+	distribute(l, (unsigned)given, asked_us, now_us);
+	request_tokens(l, now_us);
 }
 
-/* The connection ended, and what was asked on it: the next one is asked. */
+/* Handles a lost connection with a request: the next grantor is asked. */
 void rlm_on_lost(struct rconn *c, uint64_t now_us)
 {
 	struct rlimit *l = c->ask;
@@ -344,10 +355,10 @@
 	c->ask = NULL;
 	l->ask = NULL;
 	rsv_failed(c->server, false, now_us);
-	leave(l, NO_GRANTOR_US, now_us);
+	back_off(l, FAILED_GRANTOR_BACKOFF_US, now_us);
 }
 
-/* It is closed by this proxy; nothing of it counts any more. */
+/* Drops the request in flight on a connection that this proxy closes. */
 void rlm_forget(struct rconn *c)
 {
 	if (!c->ask)
@@ -357,7 +368,7 @@
 	c->ask = NULL;
 }
 
-/* A connection to a grantor stands, or one was lost. */
+/* Goes on with all limits after a connection was opened or lost. */
 void rlm_serve_all(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
@@ -366,10 +377,10 @@
 	g_hash_table_iter_init(&iter, r->limits_active);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		if (((struct rlimit *)value)->waiting.length)
-			serve(value, now_us);
+			request_tokens(value, now_us);
 }
 
-/* Whether the session's operation takes a token before it begins. */
+/* Whether the session's operation needs a token before it starts. */
 bool rlm_applies(const struct rsession *s)
 {
 	const struct relay *r = s->relay;
@@ -379,7 +390,7 @@
 	       *s->account && !has_token;
 }
 
-/* The operation waits for its token, which may be there at once. */
+/* Queues the operation for a token, which it may get at once. */
 void rlm_take(struct rsession *s, uint64_t now_us)
 {
 	struct rlimit *l = rlm_find(s->relay, s->account);
@@ -387,10 +398,10 @@
 	s->run.state = RRUN_LIMITED;
 	g_hash_table_add(s->relay->limits_active, l);
 	g_queue_push_tail_link(&l->waiting, &s->run.link);
-	serve(l, now_us);
+	request_tokens(l, now_us);
 }
 
-/* The session ends, or its operation was given up. */
+/* Removes the operation of a session that ends from the queue. */
 void rlm_drop(struct rsession *s)
 {
 	struct rlimit *l = g_hash_table_lookup(s->relay->limits, s->account);
@@ -399,7 +410,7 @@
 		g_queue_unlink(&l->waiting, &s->run.link);
 }
 
-/* The operation has waited for as long as it may. */
+/* Refuses an operation that has waited too long for its token. */
 void rlm_give_up(struct rsession *s, uint64_t now_us)
 {
 	struct rlimit *l = g_hash_table_lookup(s->relay->limits, s->account);
@@ -417,17 +428,17 @@
 	for (i = 0; i < r->grantors->servers->len; i++) {
 		struct rserver *s = rservice_server(r->grantors, i);
 
-		if (!s->listed || now_us < s->asked_us + UNUSED_US)
+		if (!s->listed || now_us < s->asked_us + UNUSED_CLOSE_US)
 			continue;
 		s->listed = false;
 		s->unlisted_us = now_us;
 	}
 }
 
-/* True: there is nothing left to look after. */
+/* Handles a limit's timers; true: it needs none any more. */
 static bool tick_limit(struct rlimit *l, uint64_t now_us)
 {
-	serve(l, now_us);
+	request_tokens(l, now_us);
 	if (l->refused_us && now_us >= l->refused_us + BINDS_US) {
 		log_binds(l, false);
 		l->refused_us = 0;
@@ -436,13 +447,13 @@
 	return !l->refused_us && !l->waiting.length && !l->ask;
 }
 
-/* Goes on with what waits. */
+/* Handles the timers of all limits. */
 void rlm_tick(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!r->settings.limits || now_us < r->limits_us + TICK_LIMITS_US)
+	if (!r->settings.limits || now_us < r->limits_us + LIMITS_TICK_US)
 		return;
 	r->limits_us = now_us;
 	rgr_tick(r, now_us);
@@ -463,8 +474,8 @@
 }
 
 /*
- * Accounts that the configuration has no more. One that comes back at once
- * finds its bucket as it was.
+ * Drops the limits of accounts that are no longer configured. An account that
+ * is configured again within FORGET_US finds its bucket unchanged.
  */
 void rlm_on_catalog(struct relay *r, uint64_t now_us)
 {
@@ -477,7 +488,7 @@
 			g_hash_table_iter_remove(&iter);
 }
 
-/* Appends the limits that bind, as JSON. */
+/* Appends the limits in force, as JSON. */
 void rlm_write_status(const struct relay *r, GString *out)
 {
 	const char *comma = "";
--- a/packages/relay/src/limit_internal.h
+++ b/packages/relay/src/limit_internal.h
@@ -2,43 +2,48 @@
 #define CELERYQUAY_RELAY_LIMIT_INTERNAL_H
 
 /*
- * Limits of client accounts. Prefixes: rlm_ operations that wait for a token,
- * and who is asked for it; rgr_ who gives tokens, and how many.
+ * Rate limits of client accounts. Prefixes: rlm_ operations that wait for a
+ * token, and the requests for tokens; rgr_ the grantors, which give tokens.
  */
 
 #include "relay_internal.h"
 
+/* A proxy that is listed, or was until recently, and may be a grantor. */
 struct member {
 	char *name;
-	uint64_t listed_us; /* 0: it was when this proxy began */
-	uint64_t left_us; /* 0: it is listed */
-	unsigned list; /* the newest that it is in */
+	uint64_t listed_us; /* joined the list then, 0: it was in the first */
+	uint64_t left_us; /* left the list then, 0: still listed */
+	unsigned list; /* number of the newest list with it */
 };
 
+/* A proxy that gives tokens of one account. */
 struct grantor {
 	char *name;
-	uint64_t empty_until_us;
+	uint64_t empty_until_us; /* not asked until then */
 };
 
+/* The rate limit of one account, as seen by this proxy. */
 struct rlimit {
 	char *account;
 	struct relay *relay;
-	/* As one that grants. */
+	/* This proxy's token bucket, if it is a grantor of the account. */
 	double tokens;
-	uint64_t filled_us; /* 0: not yet */
-	/* As one that asks. */
+	uint64_t filled_us; /* last refill, 0: never used yet */
+	/* Operations of this proxy's callers that need tokens. */
 	GQueue waiting; /* struct rsession by arrival */
-	struct rconn *ask; /* in flight */
+	struct rconn *ask; /* carries the request in flight, or NULL */
 	unsigned n_grantors;
-	struct grantor grantors[LIMIT_GRANTORS]; /* in the order of asking */
-	unsigned ranked; /* members_changed when they were */
-	unsigned chosen;
-	uint64_t chosen_us; /* one is waited for since, 0: none is */
-	uint64_t refused_us; /* the last operation; 0: it does not bind */
-	uint64_t n_refused; /* since it binds */
-	double given_per_s; /* tokens that came here, while it binds */
-	uint64_t given_us; /* the same is of then */
-	uint64_t turn_us; /* the last that was refused is to come back then */
+	struct grantor grantors[LIMIT_GRANTORS]; /* in the order in which they
+						    are asked */
+	unsigned ranked; /* members_changed that `grantors` are of */
+	unsigned chosen; /* index of the grantor that is being asked */
+	uint64_t chosen_us; /* it was chosen then, 0: none is being asked */
+	/* The limit is in force: it refused an operation a short time ago. */
+	uint64_t refused_us; /* last refusal, 0: not in force */
+	uint64_t n_refused; /* operations, since it came into force */
+	double given_per_s; /* average rate of tokens that came here */
+	uint64_t given_us; /* given_per_s was updated then */
+	uint64_t turn_us; /* when the last refused caller was told to retry */
 };
 
 /* grantor.c */
--- a/packages/relay/src/outlier.c
+++ b/packages/relay/src/outlier.c
@@ -1,39 +1,46 @@
 /*
- * A server that fails part of what it is asked, while its health is good.
+ * Outlier detection: a server that fails part of its statements although its
+ * health checks pass.
  *
- * Failure: one server of a group sheds, fails or swallows a share of its
- * statements. Its latency looks best of all, since it works less, so it gets
- * more; callers see retries, late answers and refusals. Guard: what failures
- * cost is added to the server's cost, so that others are preferred while they
- * have room. It is never taken out altogether, what it showed fades, and where
- * all fail alike, as in an overload, nothing changes between them.
+ * Failure: one server of a group sheds, fails or never answers a share of its
+ * statements. Since it does less work its latency looks best, so it gets more
+ * of them, and callers see retries, late answers and refusals. Guard: the
+ * average delay that its failures cause is added to the server's cost, so that
+ * others are preferred while they have capacity. The server is never excluded
+ * altogether, the penalty decays, and where all servers fail alike, as in an
+ * overload, the order between them doesn't change.
  */
 #include "relay_internal.h"
 
 /*
- * A statement that a server sheds costs a further try: a round trip, a pause
- * of up to 40 ms, and one of six tries. One that fails took its work besides;
- * one whose answer is lost waits 150 ms for its second copy.
+ * What a failure costs the statement. One that the server sheds needs a retry:
+ * a round trip, a backoff of up to 40 ms, and one of six tries. One that fails
+ * has also used the server's time. One whose answer is lost is retried after
+ * 150 ms at the earliest.
+ */
+#define SHED_COST_US (60 * USEC_PER_MSEC)
+#define FAILED_COST_US (100 * USEC_PER_MSEC)
+#define LOST_COST_US (250 * USEC_PER_MSEC)
+/*
+ * The newest answer counts one eighth of the moving average, so that about ten
+ * statements decide.
  */
-#define SHED_US (60 * USEC_PER_MSEC)
-#define FAILED_US (100 * USEC_PER_MSEC)
-#define LOST_US (250 * USEC_PER_MSEC)
-/* An eighth counts for the newest: some ten statements decide. */
 #define WEIGHT 8
-/* What was seen counts half after this long without news of it. */
+/* Without a new answer the penalty halves after each such period. */
 #define HALF_LIFE_US (1 * USEC_PER_SEC)
-#define HALVES_MAX 20
+/* After more half-lives the penalty is 0; bounds the shift. */
+#define MAX_HALF_LIVES 20
 
-/* What its failures add to the server's cost now. */
+/* The penalty that is added to the server's cost now. */
 uint64_t rol_cost_us(const struct routlier *o, uint64_t now_us)
 {
 	uint64_t since_us = now_us - MIN(o->noted_us, now_us);
-	uint64_t halves = since_us / HALF_LIFE_US;
+	uint64_t half_lives = since_us / HALF_LIFE_US;
 
-	return halves > HALVES_MAX ? 0 : o->cost_us >> halves;
+	return half_lives > MAX_HALF_LIVES ? 0 : o->cost_us >> half_lives;
 }
 
-static void note(struct routlier *o, uint64_t us, uint64_t now_us)
+static void add_sample(struct routlier *o, uint64_t us, uint64_t now_us)
 {
 	uint64_t before_us = rol_cost_us(o, now_us);
 
@@ -41,19 +48,19 @@
 	o->noted_us = now_us;
 }
 
-/* A server answered a caller's statement. */
+/* Notes the server's answer to a caller's statement. */
 void rol_on_answer(struct routlier *o, enum relay_code code, uint64_t now_us)
 {
 	if (code == RELAY_OK)
-		note(o, 0, now_us);
+		add_sample(o, 0, now_us);
 	else if (code == RELAY_BUSY)
-		note(o, SHED_US, now_us);
+		add_sample(o, SHED_COST_US, now_us);
 	else if (code == RELAY_FAILED)
-		note(o, FAILED_US, now_us);
+		add_sample(o, FAILED_COST_US, now_us);
 }
 
-/* The answer did not come, or not in the usual time. */
+/* Notes an answer that is lost or later than usual. */
 void rol_on_lost(struct routlier *o, uint64_t now_us)
 {
-	note(o, LOST_US, now_us);
+	add_sample(o, LOST_COST_US, now_us);
 }
