--- a/packages/relay/src/account.c
+++ b/packages/relay/src/account.c
@@ -1,13 +1,13 @@
 /*
- * Client accounts: whose a caller's operations are, and whether its key is
- * still good.
+ * Client accounts: which account a caller's operations belong to, and whether
+ * its key is still valid.
  */
 #define LOG_MODULE "account"
 #include "relay_internal.h"
 
 #include <string.h>
 
-/* How long ago all was known that says which keys are good. */
+/* The age of the configuration that says which keys are valid. */
 uint64_t rac_age_us(const struct relay *r, uint64_t now_us)
 {
 	if (r->unreadable || !r->known_us)
@@ -16,12 +16,14 @@
 }
 
 /*
- * Failure: a key is taken away while this proxy is cut off, stands still or
- * hears of old news, and its holder goes on as if nothing had happened. It
- * shows as operations that run long after the operators had closed the account.
- * Guard: the age counts from the sending of the question whose answer was
- * current, and the clock is read after the operation. So an operation that runs
- * was sent less than key_max_age_us after a moment at which its key was good.
+ * Whether the configuration is too old to tell which keys are valid.
+ *
+ * Failure: a key is revoked while this proxy is partitioned from the store, is
+ * suspended or gets outdated answers, and the key goes on working. Operations
+ * run long after the operators have closed the account. Guard: the age counts
+ * from when the request was sent whose answer was current, and the clock is
+ * read after the operation has arrived. So an operation that runs was sent less
+ * than key_max_age_us after a moment at which its key was valid.
  */
 bool rac_is_stale(const struct relay *r, uint64_t now_us)
 {
@@ -40,8 +42,11 @@
 	return !profile || !profile->is_public;
 }
 
-/* A transaction stays whose it was; false: it can't be this account's. */
-static bool take_account(struct rsession *s, const char *name)
+/*
+ * Sets the session's account; false: an open transaction belongs to another
+ * account, which can't change.
+ */
+static bool set_account(struct rsession *s, const char *name)
 {
 	if (!strcmp(s->account, name))
 		return true;
@@ -52,16 +57,17 @@
 	return true;
 }
 
-/* Another proxy has checked the key, and says whose it is. */
-static enum relay_code check_peer(const struct rsession *s, const char **why)
+/* Checks a session of another proxy, which has checked the caller's key. */
+static enum relay_code check_peer_session(const struct rsession *s,
+					  const char **why)
 {
 	if (*s->account || !needs_key(s))
 		return RELAY_OK;
-	*why = "no account was named";
+	*why = "the statement names no account";
 	return RELAY_MALFORMED;
 }
 
-/* Whether the session's key is good now; anything but OK says why not. */
+/* Checks the session's key; `why` explains any code but RELAY_OK. */
 enum relay_code rac_check(struct rsession *s, uint64_t now_us, const char **why)
 {
 	const struct relay *r = s->relay;
@@ -70,24 +76,24 @@
 	if (!r->settings.accounts || !r->guards.check_keys)
 		return RELAY_OK;
 	if (s->peer)
-		return check_peer(s, why);
+		return check_peer_session(s, why);
 	a = relay_catalog_account_of_key(r->catalog, s->key);
 	if (needs_key(s) && rac_is_stale(r, now_us)) {
-		*why = "it is not known which keys are good; come back in 1 s";
+		*why = "the list of valid keys is out of date; come back in 1 s";
 		return RELAY_BUSY;
 	}
 	if (needs_key(s) && !a) {
-		*why = "the key is not known";
+		*why = "unknown key";
 		return RELAY_UNAUTHORIZED;
 	}
-	if (!take_account(s, a ? a->name : "")) {
-		*why = "the key is another account's now";
+	if (!set_account(s, a ? a->name : "")) {
+		*why = "the key belongs to another account now";
 		return RELAY_UNAUTHORIZED;
 	}
 	return RELAY_OK;
 }
 
-/* How urgent the session's account is; 0 is the highest. */
+/* The priority of the session's account; 0 is the highest. */
 unsigned rac_priority(const struct rsession *s)
 {
 	const struct relay_account *a =
--- a/packages/relay/src/grantor.c
+++ b/packages/relay/src/grantor.c
@@ -1,17 +1,18 @@
 /*
- * Who gives tokens of an account's limit, and how many; limit.c says how they
- * are asked for.
+ * Which proxies give tokens of an account's rate limit, and how many; limit.c
+ * has the requests for them.
  *
- * The first few of the listed proxies in rendezvous order are the account's
- * grantors. Each has a token bucket with its part of the rate and of the burst.
+ * An account's grantors are the first LIMIT_GRANTORS listed proxies in
+ * rendezvous order. Each has a token bucket with an equal part of the account's
+ * rate and burst.
  *
- * Failure: two halves of a split fleet each count an account's operations, and
- * together let twice its limit through. Guard: each half has only the grantors
- * on its side, and no grantor gives more than its part. Who is a grantor goes
- * by a list that is younger than key_max_age_us, in which whoever left counts
- * on for as long, and whoever is new waits for as long; so there are never more
- * than so many. A bucket begins nearly empty, so that a grantor that starts
- * anew gives no token twice.
+ * Failure: the two sides of a network partition each count an account's
+ * operations, and together admit twice its limit. Guard: each side reaches only
+ * its own grantors, and no grantor gives more than its part. A grantor needs a
+ * list that is at most key_max_age_us old. A proxy that left the list is ranked
+ * for that long after, and a new one gives no tokens for that long, so there
+ * are never more than LIMIT_GRANTORS at once. A bucket starts nearly empty, so
+ * that a grantor that restarts gives no token twice.
  */
 #define LOG_MODULE "grantor"
 #include "limit_internal.h"
@@ -19,19 +20,21 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define ASK_MOST 64 /* tokens at once */
-#define DEFAULT_AGE_US (5 * USEC_PER_SEC)
+#define MAX_TOKENS_PER_REQUEST 64 /* tokens per request */
+/* The greatest age of a list where key_max_age_us sets no limit. */
+#define DEFAULT_MAX_AGE_US (5 * USEC_PER_SEC)
 /*
- * Of what the rule leaves above rate and burst: how much a bucket holds more,
- * since callers don't come to its grantor evenly; and how much it begins with.
+ * Parts of the allowance above rate and burst (see allowed_excess()): what a
+ * bucket holds in addition, since requests are not spread evenly over the
+ * grantors, and what it starts with.
  */
-#define SPARE_SHARE 0.5
-#define FIRST_SHARE 0.4
+#define BUCKET_SPARE_SHARE 0.5
+#define INITIAL_SPARE_SHARE 0.4
 
-static uint64_t max_age_us(const struct relay *r)
+static uint64_t list_max_age_us(const struct relay *r)
 {
 	return r->settings.key_max_age_us ? r->settings.key_max_age_us :
-					    DEFAULT_AGE_US;
+					    DEFAULT_MAX_AGE_US;
 }
 
 static void member_free(gpointer data)
@@ -42,14 +45,14 @@
 	g_free(m);
 }
 
-/* Nobody is listed yet. */
+/* Creates the empty table of proxies that may be grantors. */
 void rgr_init(struct relay *r)
 {
 	r->members = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					   member_free);
 }
 
-/* After the limits are gone. */
+/* Frees the table; no limit may exist any more. */
 void rgr_clear(struct relay *r)
 {
 	g_hash_table_destroy(r->members);
@@ -94,7 +97,7 @@
 	}
 }
 
-/* The proxies as they are listed now, this one included if it is. */
+/* Handles a new list of proxies, which may include this one. */
 void rgr_on_peers(struct relay *r, const struct relay_server_info *infos,
 		  unsigned n_infos, uint64_t now_us)
 {
@@ -109,7 +112,7 @@
 	note_left(r, now_us);
 }
 
-/* Forgets who left so long ago that nobody goes by a list with it. */
+/* Drops proxies that left so long ago that no list in use has them. */
 void rgr_tick(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
@@ -119,7 +122,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct member *m = value;
 
-		if (!m->left_us || now_us < m->left_us + max_age_us(r))
+		if (!m->left_us || now_us < m->left_us + list_max_age_us(r))
 			continue;
 		g_hash_table_iter_remove(&iter);
 		r->members_changed++;
@@ -132,8 +135,9 @@
 				    XXH3_64bits(account, strlen(account)));
 }
 
-static void take_place(const struct member *best[], unsigned *n,
-		       const struct member *m, const char *account)
+/* Inserts a proxy into the best ones by score if it is one of them. */
+static void insert_ranked(const struct member *best[], unsigned *n,
+			  const struct member *m, const char *account)
 {
 	unsigned i, at = *n;
 
@@ -148,8 +152,11 @@
 	best[at] = m;
 }
 
-/* This one first, which costs nothing; then each proxy has its own order. */
-static unsigned place_of(const struct rlimit *l, const char *name)
+/*
+ * Orders the grantors to ask: this proxy first, since that needs no request,
+ * then the others in an order that differs between proxies.
+ */
+static unsigned asking_order(const struct rlimit *l, const char *name)
 {
 	const char *self = l->relay->name;
 
@@ -158,15 +165,16 @@
 	return 1 + (unsigned)(score(name, self) % G_MAXINT);
 }
 
-static int by_place(gconstpointer a, gconstpointer b, gpointer limit)
+static int compare_asking_order(gconstpointer a, gconstpointer b,
+				gpointer limit)
 {
-	unsigned x = place_of(limit, ((const struct grantor *)a)->name);
-	unsigned y = place_of(limit, ((const struct grantor *)b)->name);
+	unsigned x = asking_order(limit, ((const struct grantor *)a)->name);
+	unsigned y = asking_order(limit, ((const struct grantor *)b)->name);
 
 	return (x > y) - (x < y);
 }
 
-static bool is_ranked(const struct rlimit *l)
+static bool is_self_ranked(const struct rlimit *l)
 {
 	unsigned i;
 
@@ -176,18 +184,21 @@
 	return false;
 }
 
-/* The grantor before it has given what could have gathered here. */
-static void begin_empty(struct rlimit *l)
+/*
+ * Empties the bucket of a new grantor: the former one may have given the tokens
+ * that would have gathered here.
+ */
+static void empty_bucket(struct rlimit *l)
 {
 	l->tokens = 0;
 	l->filled_us = l->relay->ticked_us;
 }
 
-/* Works out who the account's grantors are, if the list has changed. */
+/* Determines the account's grantors anew if the list has changed. */
 void rgr_rank(struct rlimit *l)
 {
 	const struct member *best[LIMIT_GRANTORS];
-	bool was_other = l->n_grantors && !is_ranked(l);
+	bool was_other = l->n_grantors && !is_self_ranked(l);
 	struct relay *r = l->relay;
 	GHashTableIter iter;
 	gpointer value;
@@ -198,19 +209,19 @@
 	l->ranked = r->members_changed;
 	g_hash_table_iter_init(&iter, r->members);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		take_place(best, &n, value, l->account);
+		insert_ranked(best, &n, value, l->account);
 	for (i = 0; i < l->n_grantors; i++)
 		g_free(l->grantors[i].name);
 	for (i = 0; i < n; i++)
 		l->grantors[i] =
 			(struct grantor){ .name = g_strdup(best[i]->name) };
 	l->n_grantors = n;
-	l->chosen = n; /* what is in flight is of the ranking before */
+	l->chosen = n; /* the request in flight went by the old ranking */
 	l->chosen_us = 0;
 	g_qsort_with_data(l->grantors, (gint)n, sizeof(l->grantors[0]),
-			  by_place, l);
-	if (was_other && is_ranked(l))
-		begin_empty(l);
+			  compare_asking_order, l);
+	if (was_other && is_self_ranked(l))
+		empty_bucket(l);
 }
 
 static bool is_grantor(const struct rlimit *l, uint64_t now_us)
@@ -219,14 +230,18 @@
 	const struct member *self = g_hash_table_lookup(r->members, r->name);
 
 	if (!self || self->left_us || r->stopping ||
-	    rac_age_us(r, now_us) > max_age_us(r) ||
-	    (self->listed_us && now_us < self->listed_us + max_age_us(r)))
+	    rac_age_us(r, now_us) > list_max_age_us(r) ||
+	    (self->listed_us && now_us < self->listed_us + list_max_age_us(r)))
 		return false;
-	return is_ranked(l);
+	return is_self_ranked(l);
 }
 
-/* What the rule leaves above the rate and the burst of a window. */
-static double spare_of(const struct relay *r, const struct relay_account *a)
+/*
+ * The operations that may be admitted in a time window above the account's rate
+ * and burst, by the settings limit_overage and limit_slack.
+ */
+static double allowed_excess(const struct relay *r,
+			     const struct relay_account *a)
 {
 	const struct relay_settings *set = &r->settings;
 	double window_s = (double)set->limit_window_us / USEC_PER_SEC;
@@ -236,38 +251,38 @@
 }
 
 /*
- * From when on tokens gather in a bucket that has given none: an earlier life
- * of this process, or the grantor before it, gave those of before.
+ * From when on tokens gather in an unused bucket. This process before a
+ * restart, or the former grantor, may have given those from before.
  */
-static uint64_t begins_us(const struct relay *r)
+static uint64_t filling_since_us(const struct relay *r)
 {
 	const struct member *self = g_hash_table_lookup(r->members, r->name);
-	uint64_t since_us = self->listed_us ? self->listed_us + max_age_us(r) :
-					      0;
+	uint64_t since_us =
+		self->listed_us ? self->listed_us + list_max_age_us(r) : 0;
 
 	return MAX(since_us, r->started_us);
 }
 
-static void fill(struct rlimit *l, const struct relay_account *a,
-		 uint64_t now_us)
+static void refill(struct rlimit *l, const struct relay_account *a,
+		   uint64_t now_us)
 {
-	double part = 1.0 / l->n_grantors;
-	double spare = spare_of(l->relay, a);
-	double most = (a->burst + SPARE_SHARE * spare) * part;
+	double share = 1.0 / l->n_grantors;
+	double spare = allowed_excess(l->relay, a);
+	double capacity = (a->burst + BUCKET_SPARE_SHARE * spare) * share;
 
 	if (!l->filled_us) {
-		l->tokens = FIRST_SHARE * spare * part;
-		l->filled_us = begins_us(l->relay);
+		l->tokens = INITIAL_SPARE_SHARE * spare * share;
+		l->filled_us = filling_since_us(l->relay);
 	}
-	l->tokens += a->rate_per_s * part * (double)(now_us - l->filled_us) /
+	l->tokens += a->rate_per_s * share * (double)(now_us - l->filled_us) /
 		     USEC_PER_SEC;
-	l->tokens = MIN(l->tokens, most);
+	l->tokens = MIN(l->tokens, capacity);
 	l->filled_us = now_us;
 }
 
-/* Until a whole token is there. */
-static uint64_t until_next_us(const struct rlimit *l,
-			      const struct relay_account *a)
+/* The time until the bucket has a whole token. */
+static uint64_t next_token_after_us(const struct rlimit *l,
+				    const struct relay_account *a)
 {
 	double rate = a->rate_per_s / l->n_grantors;
 
@@ -276,7 +291,10 @@
 	return (uint64_t)((1 - l->tokens) / rate * USEC_PER_SEC) + 1;
 }
 
-/* Gives up to so many tokens. False: this proxy is no grantor. */
+/*
+ * Gives up to `wanted` tokens; when fewer, wait_us is the time until the next.
+ * Returns false if this proxy is no grantor of the account.
+ */
 bool rgr_grant(struct rlimit *l, unsigned wanted, unsigned *given,
 	       uint64_t *wait_us, uint64_t now_us)
 {
@@ -288,17 +306,17 @@
 	rgr_rank(l);
 	if (!a || !is_grantor(l, now_us))
 		return false;
-	fill(l, a, now_us);
+	refill(l, a, now_us);
 	if (a->rate_per_s > 0 || a->burst > 0)
 		*given = (unsigned)MIN((double)wanted, l->tokens);
 	l->tokens -= *given;
 	if (*given < wanted)
-		*wait_us = until_next_us(l, a);
+		*wait_us = next_token_after_us(l, a);
 	return true;
 }
 
-static void answer_ask(struct rsession *s, enum relay_code code,
-		       const char *text)
+static void send_answer(struct rsession *s, enum relay_code code,
+			const char *text)
 {
 	struct relay_answer answer = { .code = code,
 				       .text = str_from_c(text),
@@ -307,7 +325,7 @@
 	s->relay->ops->answer(s->relay->ctx, s->id, &answer);
 }
 
-/* Another proxy asks for tokens: their account and how many. */
+/* Answers another proxy's request for a number of an account's tokens. */
 void rgr_on_asked(struct rsession *s, const struct relay_statement *st,
 		  uint64_t now_us)
 {
@@ -319,13 +337,14 @@
 	if (!str_to_u64(st->text, &wanted) ||
 	    !relay_catalog_account(s->relay->catalog, account) ||
 	    !rgr_grant(rlm_find(s->relay, account),
-		       (unsigned)MIN(wanted, ASK_MOST), &given, &wait_us,
-		       now_us)) {
-		answer_ask(s, RELAY_MOVED, "no grantor of it");
+		       (unsigned)MIN(wanted, MAX_TOKENS_PER_REQUEST), &given,
+		       &wait_us, now_us)) {
+		send_answer(s, RELAY_MOVED,
+			    "this proxy is no grantor of the account");
 	} else {
 		g_snprintf(text, sizeof(text), "%u %" G_GUINT64_FORMAT, given,
 			   wait_us);
-		answer_ask(s, RELAY_OK, text);
+		send_answer(s, RELAY_OK, text);
 	}
 	g_free(account);
 }
--- a/packages/relay/src/limit.c
+++ b/packages/relay/src/limit.c
@@ -21,7 +21,7 @@
 #define LIMITS_TICK_US (20 * USEC_PER_MSEC)
 /* A limit is in force ("binds") for this long after its last refusal. */
 #define BINDS_US (5 * USEC_PER_SEC)
-/* How long the bucket of an account that was removed is kept. */
+/* A removed account's bucket is kept this long after its last refill. */
 #define FORGET_US (60 * USEC_PER_SEC)
 /* After how long callers are told to retry where no grantor is known. */
 #define NO_GRANTOR_RETRY_AFTER_US USEC_PER_SEC
@@ -124,7 +124,7 @@
 }
 
 /* When the first grantor may have a token, not before now; NEVER_US: none. */
-static uint64_t first_token_us(const struct rlimit *l, uint64_t now_us)
+static uint64_t first_token_at_us(const struct rlimit *l, uint64_t now_us)
 {
 	uint64_t first_at_us = NEVER_US;
 	unsigned i;
@@ -142,7 +142,7 @@
  */
 static uint64_t next_retry_after_us(struct rlimit *l, uint64_t now_us)
 {
-	uint64_t first_at_us = first_token_us(l, now_us);
+	uint64_t first_at_us = first_token_at_us(l, now_us);
 	uint64_t apart_us;
 
 	if (first_at_us == NEVER_US)
@@ -167,8 +167,8 @@
 	rrun_refuse_limited(s, text, now_us);
 }
 
-static void refuse_hopeless(struct rlimit *l, uint64_t first_at_us,
-			    uint64_t now_us)
+static void refuse_unservable(struct rlimit *l, uint64_t first_at_us,
+			      uint64_t now_us)
 {
 	GList *link, *next;
 
@@ -310,7 +310,8 @@
 {
 	while (l->waiting.length && !l->ask) {
 		if (!choose_grantor(l, now_us)) {
-			refuse_hopeless(l, first_token_us(l, now_us), now_us);
+			refuse_unservable(l, first_token_at_us(l, now_us),
+					  now_us);
 			return;
 		}
 		if (!strcmp(l->grantors[l->chosen].name, l->relay->name))
@@ -475,7 +476,7 @@
 
 /*
  * Drops the limits of accounts that are no longer configured. An account that
- * is configured again within FORGET_US finds its bucket unchanged.
+ * is soon configured again finds its bucket unchanged.
  */
 void rlm_on_catalog(struct relay *r, uint64_t now_us)
 {
--- a/packages/relay/src/session.c
+++ b/packages/relay/src/session.c
@@ -1,6 +1,6 @@
 /*
- * Callers' sessions: what each has set and prepared, and the transaction that
- * it has open. Statements that no server needs to see are answered here.
+ * Callers' sessions: their values, prepared statements and open transaction.
+ * Statements that need no server are answered here.
  */
 #define LOG_MODULE "session"
 #include "relay_internal.h"
@@ -9,10 +9,16 @@
 
 #include <string.h>
 
-#define REST_US (100 * USEC_PER_MSEC)
-/* The balancer has gone by two answers, a second apart, that it isn't ready. */
-#define RED_FOR_US (3 * USEC_PER_SEC)
-#define VALUES_MAX 256 /* names, and prepared statements, of one session */
+/* A session that is idle for this long may be ended by a planned stop. */
+#define MIN_IDLE_US (100 * USEC_PER_MSEC)
+/*
+ * How long an isolated proxy reports itself as not ready before it ends
+ * sessions. The load balancer has by then seen two such answers, a second
+ * apart, and sends no new sessions here.
+ */
+#define NOT_READY_US (3 * USEC_PER_SEC)
+/* Bounds the values, and the prepared statements, of one session. */
+#define MAX_VALUES 256
 
 static void prepared_free(gpointer data)
 {
@@ -22,7 +28,7 @@
 	g_free(p);
 }
 
-/* A session without values, outside a transaction. */
+/* Creates a session without values, outside a transaction. */
 struct rsession *rss_create(struct relay *r, uint64_t id, const char *database,
 			    const char *key)
 {
@@ -49,7 +55,7 @@
 	return s;
 }
 
-/* Frees a session that has no connection and waits for none. */
+/* Frees a session that has no connection and is in no queue. */
 void rss_destroy(gpointer session)
 {
 	struct rsession *s = session;
@@ -78,13 +84,13 @@
 		.state = s->state,
 	};
 
-	/* What needs no server goes well or is the caller's own mistake. */
+	/* Only errors are logged here; they are the caller's own. */
 	if (code != RELAY_OK)
 		rlg_statement(s, code, answer.text, s->used_us);
 	s->relay->ops->answer(s->relay->ctx, s->id, &answer);
 }
 
-/* Rolls back what is open at a server and lets its connection go. */
+/* Rolls back an open transaction and releases its connection. */
 void rss_abort(struct rsession *s, uint64_t now_us)
 {
 	if (s->conn)
@@ -94,7 +100,7 @@
 
 static void run_set(struct rsession *s, const struct relay_statement *st)
 {
-	if (g_hash_table_size(s->values) >= VALUES_MAX) {
+	if (g_hash_table_size(s->values) >= MAX_VALUES) {
 		rss_answer(s, RELAY_MALFORMED, "too many values are set");
 		return;
 	}
@@ -106,8 +112,8 @@
 {
 	struct rprepared *p;
 
-	if (g_hash_table_size(s->prepared) >= VALUES_MAX) {
-		rss_answer(s, RELAY_MALFORMED, "too many statements");
+	if (g_hash_table_size(s->prepared) >= MAX_VALUES) {
+		rss_answer(s, RELAY_MALFORMED, "too many prepared statements");
 		return;
 	}
 	p = g_new0(struct rprepared, 1);
@@ -215,7 +221,8 @@
 		rrun_start(s, st, st->verb == RELAY_WRITE, now_us);
 		break;
 	default:
-		rss_answer(s, RELAY_MALFORMED, "not a caller's statement");
+		rss_answer(s, RELAY_MALFORMED,
+			   "callers may not send this statement");
 		break;
 	}
 }
@@ -237,7 +244,7 @@
 	log_event_end(l);
 }
 
-/* The key goes first, so that a stranger learns no database's name. */
+/* The key is checked first, so that strangers can't probe database names. */
 static enum relay_code check_session(struct rsession *s, const char **why,
 				     uint64_t now_us)
 {
@@ -279,7 +286,7 @@
 	return true;
 }
 
-/* A caller came. The database's name is looked up with each transaction. */
+/* Opens a caller's session. Each transaction looks its database up anew. */
 bool relay_session_open(struct relay *r, uint64_t session, const char *database,
 			const char *key, struct relay_answer *answer,
 			uint64_t now_us)
@@ -287,7 +294,7 @@
 	return open_session(r, session, false, database, key, answer, now_us);
 }
 
-/* Another proxy came, for its sessions. */
+/* Opens a session for another proxy, which carries its callers' statements. */
 bool relay_session_open_peer(struct relay *r, uint64_t session,
 			     const char *database, const char *key,
 			     struct relay_answer *answer, uint64_t now_us)
@@ -296,10 +303,12 @@
 }
 
 /*
- * What only proxies may send. A floor holds for the statement or transaction
- * that it comes with, since the next may be another caller's.
+ * Handles the fields that only proxies may send; false: a caller sent them, or
+ * a statement without an id. A floor holds only for the statement or
+ * transaction that it comes with, since the next may be another caller's.
  */
-static bool take_peer_part(struct rsession *s, const struct relay_statement *st)
+static bool accept_peer_fields(struct rsession *s,
+			       const struct relay_statement *st)
 {
 	if (!s->peer)
 		return st->id.len && !st->after.term;
@@ -327,11 +336,12 @@
 }
 
 /*
- * Whether the statement's account may go on. A transaction whose key was taken
- * away is rolled back, which its caller is told in place of an answer.
+ * Checks the session's key before a statement that needs a server, and answers
+ * the statement if it may not run. A transaction whose key was revoked is
+ * rolled back.
  */
-static bool is_allowed(struct rsession *s, const struct relay_statement *st,
-		       uint64_t now_us)
+static bool check_key(struct rsession *s, const struct relay_statement *st,
+		      uint64_t now_us)
 {
 	const char *why = "";
 	enum relay_code code = RELAY_OK;
@@ -349,7 +359,7 @@
 	return false;
 }
 
-/* A caller's statement; its answer comes now or later. */
+/* Handles a caller's statement; it is answered now or later. */
 void relay_session_statement(struct relay *r, uint64_t session,
 			     const struct relay_statement *statement,
 			     uint64_t now_us)
@@ -359,11 +369,12 @@
 	if (!s || rrun_is_active(s))
 		return;
 	s->used_us = now_us;
-	s->hung_up = false; /* it came before its caller heard of that */
+	s->hung_up = false; /* sent before the caller saw the hang-up */
 	rrun_note(s, statement, now_us);
-	if (!take_peer_part(s, statement))
-		rss_answer(s, RELAY_MALFORMED, "not a caller's statement");
-	else if (!is_allowed(s, statement, now_us))
+	if (!accept_peer_fields(s, statement))
+		rss_answer(s, RELAY_MALFORMED,
+			   "callers may not send this statement");
+	else if (!check_key(s, statement, now_us))
 		return;
 	else if (s->peer && statement->verb == RELAY_RESET)
 		run_reset(s);
@@ -382,8 +393,8 @@
 }
 
 /*
- * The caller is gone. What it has in flight at a server is left to end there;
- * the connection's answer is dropped.
+ * Handles the end of a caller's connection. A statement in flight at a server
+ * goes on there, and its answer is dropped.
  */
 void relay_session_closed(struct relay *r, uint64_t session, uint64_t now_us)
 {
@@ -402,7 +413,7 @@
 	rrun_dispatch(r, now_us);
 }
 
-static bool rests_too_long(const struct rsession *s, uint64_t now_us)
+static bool is_idle_too_long(const struct rsession *s, uint64_t now_us)
 {
 	uint64_t limit_us =
 		relay_catalog_idle_transaction_us(s->relay->catalog);
@@ -416,10 +427,10 @@
 }
 
 /*
- * Failure: a session is closed while its caller's next request is on the way,
- * which is then lost. It shows as a connection that ends without an answer
- * during a planned stop. So a session ends right after an answer, or else when
- * it has been at rest, once the balancer sends no new ones here.
+ * Ends a session during a planned stop, once the load balancer sends no new
+ * ones here. If it were closed while the caller's next request is on its way,
+ * that request would get no answer. So a session ends right after an answer,
+ * or when it has been idle for MIN_IDLE_US.
  */
 void rss_end_if_stopping(struct rsession *s, uint64_t now_us)
 {
@@ -433,23 +444,23 @@
 }
 
 /*
- * Failure: this proxy is cut off from all homes, and sessions that callers
- * keep open are refused here, statement by statement, while other proxies
- * would serve them. Guard: such a session ends right after a refusal, once
- * the balancer has had the time to send no new ones here.
+ * Ends a session right after a refusal while a network partition separates this
+ * proxy from all homes, once the load balancer sends no new ones here.
+ * Otherwise sessions that callers keep open would be refused statement by
+ * statement, while other proxies would serve them.
  */
 void rss_end_if_isolated(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
 
 	if (s->peer || s->hung_up || !r->isolated_us || s->state != 'I' ||
-	    now_us < r->isolated_us + RED_FOR_US)
+	    now_us < r->isolated_us + NOT_READY_US)
 		return;
 	s->hung_up = true;
 	r->ops->hang_up(r->ctx, s->id);
 }
 
-/* The same where one service's primary is beyond a partition; cutoff.c. */
+/* The same when a partition separates it from one service's primary. */
 void rss_end_if_cut_off(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
@@ -466,19 +477,19 @@
 	r->ops->hang_up(r->ctx, s->id);
 }
 
-/* Ends what rests too long, and the session itself when the proxy stops. */
+/* Ends idle transactions, and sessions when the proxy stops. */
 void rss_tick(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
 
 	rrun_tick(s, now_us);
-	if (rests_too_long(s, now_us)) {
+	if (is_idle_too_long(s, now_us)) {
 		rlg_session(s, "transaction-ended", "idle for too long",
 			    now_us);
 		rss_abort(s, now_us);
 		s->state = 'E';
 	}
-	if (now_us > s->used_us + REST_US ||
+	if (now_us > s->used_us + MIN_IDLE_US ||
 	    now_us > r->stop_us + r->settings.drain_us)
 		rss_end_if_stopping(s, now_us);
 }
