--- a/packages/relay/include/celeryquay/relay/catalog.h
+++ b/packages/relay/include/celeryquay/relay/catalog.h
@@ -2,17 +2,17 @@
 #define CELERYQUAY_RELAY_CATALOG_H
 
 /*
- * One version of the operators' configuration: profiles by the database name
- * that callers give, and the services that stand behind them. Built once,
- * read only afterwards, reference-counted.
+ * One version of the operators' configuration: the profiles of databases, by
+ * the name that callers give, the services that serve them, and the client
+ * accounts. Reference-counted, and immutable once it is built.
  */
 
 #include <celeryquay/core/types.h>
 
 enum relay_kind {
 	RELAY_KIND_PRIMARY, /* every read sees every acknowledged write */
-	RELAY_KIND_BOUNDED, /* a read may be max_age_us old */
-	RELAY_KIND_OWN_WRITES, /* the same, but sees its session's writes */
+	RELAY_KIND_BOUNDED, /* a read's data may be max_age_us old */
+	RELAY_KIND_OWN_WRITES, /* the same, but it sees its session's writes */
 	RELAY_KINDS,
 };
 
@@ -21,24 +21,25 @@
 	char *service;
 	enum relay_kind kind;
 	uint64_t timeout_us; /* of a statement */
-	uint64_t aim_us; /* of a whole operation */
-	uint64_t max_age_us;
+	uint64_t aim_us; /* latency target of a whole operation */
+	uint64_t max_age_us; /* staleness bound of reads; see `kind` */
 	unsigned priority; /* 0 is the highest */
 	bool is_public; /* callers need no key */
 };
 
-/* A client account: what its operations may be. */
+/* A client account: the rate limit and priority of its operations. */
 struct relay_account {
 	char *name;
-	double rate_per_s; /* operations, at all proxies together */
-	double burst; /* of these at once */
+	double rate_per_s; /* operations per second at all proxies together */
+	double burst; /* operations that may come at once above the rate */
 	unsigned priority; /* 0 is the highest */
 };
 
 struct relay_service_conf {
 	char *name;
-	unsigned max_connections; /* at each server, of all proxies */
-	unsigned sync_replicas;
+	/* To each server, from all proxies together; 0: no limit. */
+	unsigned max_connections;
+	unsigned sync_replicas; /* not used by the relay */
 };
 
 struct relay_catalog;
@@ -47,18 +48,19 @@
 					   uint64_t idle_transaction_us);
 struct relay_catalog *relay_catalog_ref(struct relay_catalog *c);
 void relay_catalog_unref(struct relay_catalog *c);
-/* Both copy what they are given. A later profile of a database wins. */
+/* Both copy their argument. A later profile of a database replaces it. */
 void relay_catalog_add_profile(struct relay_catalog *c,
 			       const struct relay_profile *profile);
 void relay_catalog_add_service(struct relay_catalog *c,
 			       const struct relay_service_conf *service);
 
-/* Copies it; false: the name is there already, and nothing is added. */
+/* Copies its argument; false: the name exists already, nothing is added. */
 bool relay_catalog_add_account(struct relay_catalog *c,
 			       const struct relay_account *account);
 /*
- * A key of an account that was added. False: it is empty, or it is another
- * account's, too, and from now on nobody's.
+ * Adds a key of an account that was added before. False: the key is empty, or
+ * the account is unknown, or another account has the same key, which is then
+ * accepted for neither.
  */
 bool relay_catalog_add_key(struct relay_catalog *c, const char *key,
 			   const char *account);
--- a/packages/relay/src/catalog.c
+++ b/packages/relay/src/catalog.c
@@ -13,11 +13,14 @@
 	GHashTable *services; /* name -> struct relay_service_conf */
 	GPtrArray *service_list;
 	GHashTable *accounts; /* name -> struct relay_account */
-	/* key -> struct relay_account; NULL: of more than one */
+	/* key -> struct relay_account; NULL: several accounts have the key */
 	GHashTable *keys;
 };
 
-/* Keys are chosen outside: nobody is to find many that collide. */
+/*
+ * Keys come from outside. The random seed keeps anyone from flooding the table
+ * with keys whose hashes collide.
+ */
 static guint hash_key(gconstpointer key)
 {
 	static uint64_t seed;
@@ -71,14 +74,14 @@
 	return c;
 }
 
-/* One more owner. */
+/* Adds a reference. */
 struct relay_catalog *relay_catalog_ref(struct relay_catalog *c)
 {
 	c->refs++;
 	return c;
 }
 
-/* One owner less; NULL is fine. */
+/* Drops a reference, and frees the catalog with the last one; NULL is fine. */
 void relay_catalog_unref(struct relay_catalog *c)
 {
 	if (!c || --c->refs)
@@ -91,7 +94,7 @@
 	g_free(c);
 }
 
-/* Copies a profile; a later one of the same database takes its place. */
+/* Adds a copy of a profile; it replaces an earlier one of the database. */
 void relay_catalog_add_profile(struct relay_catalog *c,
 			       const struct relay_profile *profile)
 {
@@ -102,7 +105,7 @@
 	g_hash_table_replace(c->profiles, copy->database, copy);
 }
 
-/* Copies a service; a name that is there already is left as it is. */
+/* Adds a copy of a service unless there is one of that name. */
 void relay_catalog_add_service(struct relay_catalog *c,
 			       const struct relay_service_conf *service)
 {
@@ -116,7 +119,7 @@
 	g_ptr_array_add(c->service_list, copy);
 }
 
-/* Copies an account; a name that is there already is left as it is. */
+/* Adds a copy of an account unless there is one of that name. */
 bool relay_catalog_add_account(struct relay_catalog *c,
 			       const struct relay_account *account)
 {
@@ -131,8 +134,9 @@
 }
 
 /*
- * Failure: two accounts are given the same key, and whoever holds it acts for
- * the one that comes last. Guard: such a key opens nothing.
+ * Adds a key of an account. If two accounts were configured with the same key,
+ * its holder could act for whichever was added last, so such a key is accepted
+ * for neither.
  */
 bool relay_catalog_add_key(struct relay_catalog *c, const char *key,
 			   const char *account)
@@ -151,7 +155,7 @@
 	return true;
 }
 
-/* Whose key it is, NULL when it is nobody's. */
+/* The account of a key, NULL when no single account has it. */
 const struct relay_account *relay_catalog_account_of_key(
 	const struct relay_catalog *c, const char *key)
 {
@@ -165,25 +169,25 @@
 	return g_hash_table_lookup(c->accounts, name);
 }
 
-/* How many accounts there are. */
+/* The number of accounts. */
 unsigned relay_catalog_accounts(const struct relay_catalog *c)
 {
 	return g_hash_table_size(c->accounts);
 }
 
-/* The operators' number of this configuration. */
+/* The version number that the operators gave this configuration. */
 uint64_t relay_catalog_version(const struct relay_catalog *c)
 {
 	return c->version;
 }
 
-/* How long a transaction may rest, in microseconds; 0: no limit. */
+/* How long a transaction may be idle, in microseconds; 0: no limit. */
 uint64_t relay_catalog_idle_transaction_us(const struct relay_catalog *c)
 {
 	return c->idle_transaction_us;
 }
 
-/* The profile behind a database's name, NULL when there is none. */
+/* The profile of a database, NULL when there is none. */
 const struct relay_profile *relay_catalog_profile(const struct relay_catalog *c,
 						  const char *database)
 {
@@ -197,13 +201,13 @@
 	return g_hash_table_lookup(c->services, name);
 }
 
-/* How many services there are. */
+/* The number of services. */
 unsigned relay_catalog_services(const struct relay_catalog *c)
 {
 	return c->service_list->len;
 }
 
-/* The services by number, from 0. */
+/* A service by its index, from 0. */
 const struct relay_service_conf *relay_catalog_service_at(
 	const struct relay_catalog *c, unsigned index)
 {
--- a/packages/relay/src/steps.c
+++ b/packages/relay/src/steps.c
@@ -1,18 +1,23 @@
 /*
- * Brings a connection to where its session needs it, one statement at a time:
- * values, the prepared statement, the transaction, then the caller's own.
+ * Prepares a connection for its session, one statement at a time: a reset, the
+ * values, the prepared statement, BEGIN, and last the caller's own statement.
  */
 #define LOG_MODULE "steps"
 #include "relay_internal.h"
 
 #include <celeryquay/base/log.h>
 
-#define SETUP_TIMEOUT_US USEC_PER_SEC
-/* Between two proxies and back, with what each does: 2 to 3 ms measured. */
-#define HOP_US (4 * USEC_PER_MSEC)
-#define NAMES_MAX 200 /* prepared at one connection before it is reset */
+#define SETUP_TIMEOUT_US USEC_PER_SEC /* of one step */
+/*
+ * Allowed for the round trip between two proxies and their own work, which take
+ * 2 to 3 ms.
+ */
+#define PEER_ROUND_TRIP_US (4 * USEC_PER_MSEC)
+/* Statements prepared on one connection before it is reset. */
+#define MAX_PREPARED_NAMES 200
 
-static void note_step(struct rconn *c, const char *key, const char *value)
+/* Remembers what the step in flight sets; see rstep_done(). */
+static void remember_step(struct rconn *c, const char *key, const char *value)
 {
 	g_free(c->step_key);
 	g_free(c->step_value);
@@ -20,7 +25,10 @@
 	c->step_value = g_strdup(value);
 }
 
-/* Something of another session is there, which only a reset takes away. */
+/*
+ * Whether the connection has values that the session doesn't have, or too many
+ * prepared statements; only a reset removes these.
+ */
 static bool needs_reset(const struct rconn *c, const struct rsession *s)
 {
 	GHashTableIter iter;
@@ -28,7 +36,7 @@
 
 	if (c->in_block || !s->relay->guards.clean_values)
 		return false;
-	if (c->n_names > NAMES_MAX)
+	if (c->n_names > MAX_PREPARED_NAMES)
 		return true;
 	g_hash_table_iter_init(&iter, c->values);
 	while (g_hash_table_iter_next(&iter, &key, NULL))
@@ -59,7 +67,7 @@
 
 		if (has && !strcmp(has, value))
 			continue;
-		note_step(c, key, value);
+		remember_step(c, key, value);
 		st.name = str_from_c(key);
 		st.text = str_from_c(value);
 		rcn_send(c, STEP_SET, &st, SETUP_TIMEOUT_US, now_us);
@@ -79,8 +87,9 @@
 }
 
 /*
- * Names of callers collide, so a connection gives its own, one for each kind
- * and shape, which all sessions that come to it share.
+ * Prepares the session's statement on the connection unless it is there. The
+ * names that callers choose collide, so a connection uses names of its own, one
+ * for each kind (read or write) and shape, which all its sessions share.
  */
 static bool send_prepare(struct rconn *c, uint64_t now_us)
 {
@@ -96,7 +105,7 @@
 	has = g_hash_table_contains(c->prepared, key);
 	if (!has) {
 		g_snprintf(name, sizeof(name), "p%u", ++c->n_names);
-		note_step(c, key, name);
+		remember_step(c, key, name);
 		st.verb = p->writes ? RELAY_PREPARE_WRITE : RELAY_PREPARE_READ;
 		st.name = str_from_c(name);
 		st.text = str_from_c(p->shape);
@@ -112,21 +121,21 @@
 }
 
 /*
- * How long another proxy may wait for a server: what is left here, less the
- * way there and back.
+ * How long another proxy may wait for a server: the time left here, less the
+ * round trip to it. Servers are not told (0).
  */
-static uint64_t wait_at_us(const struct rconn *c, const struct rrun *run,
-			   uint64_t now_us)
+static uint64_t peer_wait_us(const struct rconn *c, const struct rrun *run,
+			     uint64_t now_us)
 {
 	if (!c->server->service->peers)
 		return 0;
-	return run->give_up_us > now_us + HOP_US ?
-		       run->give_up_us - now_us - HOP_US :
+	return run->give_up_us > now_us + PEER_ROUND_TRIP_US ?
+		       run->give_up_us - now_us - PEER_ROUND_TRIP_US :
 		       1;
 }
 
-/* Only other proxies are told; a connection to a server has its own. */
-static struct str account_at(const struct rconn *c)
+/* Sent to other proxies only; a connection to a server has one account. */
+static struct str account_to_send(const struct rconn *c)
 {
 	return c->server->service->peers ? str_from_c(c->session->account) :
 					   STR("");
@@ -142,9 +151,9 @@
 	if (s->read_only)
 		st.verb = RELAY_BEGIN_READ;
 	st.after = s->run.after;
-	st.wait_us = wait_at_us(c, &s->run, now_us);
-	st.account = account_at(c);
-	/* Another try of it is the relay's own. */
+	st.wait_us = peer_wait_us(c, &s->run, now_us);
+	st.account = account_to_send(c);
+	/* A retry of the BEGIN has no id: it is the relay's own. */
 	st.id = str_from_gstring(s->run.begin_id);
 	c->in_block = true;
 	rcn_send(c, STEP_BEGIN, &st, time_left_us(&s->run, now_us), now_us);
@@ -152,7 +161,7 @@
 	return true;
 }
 
-static void send_own(struct rconn *c, uint64_t now_us)
+static void send_statement(struct rconn *c, uint64_t now_us)
 {
 	struct rsession *s = c->session;
 	struct rrun *run = &s->run;
@@ -171,8 +180,8 @@
 	}
 	if (s->state == 'I' && !run->writes)
 		st.after = run->after;
-	st.wait_us = wait_at_us(c, run, now_us);
-	st.account = account_at(c);
+	st.wait_us = peer_wait_us(c, run, now_us);
+	st.account = account_to_send(c);
 	run->sent = true;
 	rcn_send(c, STEP_CALLER, &st, time_left_us(run, now_us), now_us);
 }
@@ -183,10 +192,10 @@
 	if (send_reset(c, now_us) || send_value(c, now_us) ||
 	    send_prepare(c, now_us) || send_begin(c, now_us))
 		return;
-	send_own(c, now_us);
+	send_statement(c, now_us);
 }
 
-/* Notes what a step before the caller's did; false when it was refused. */
+/* Handles the answer to a preparing step; false when it was refused. */
 bool rstep_done(struct rconn *c, enum rstep step,
 		const struct relay_answer *answer)
 {
