--- a/packages/relay/include/celeryquay/relay/statement.h
+++ b/packages/relay/include/celeryquay/relay/statement.h
@@ -33,10 +33,8 @@
 
 struct relay_statement {
 	enum relay_verb verb;
-	struct str
-		id; /* given by the caller; empty: the relay's own statement */
-	/* SET: name of the value; PREPARE, EXECUTE, DEALLOCATE: the statement's
-	 */
+	struct str id; /* from the caller; empty: the relay's own statement */
+	/* Of a value (SET) or statement (PREPARE, EXECUTE, DEALLOCATE). */
 	struct str name;
 	struct str text; /* the rest: item, data, value or shape, unchanged */
 	struct position after; /* the log must reach this; term 0: any */
@@ -92,7 +90,7 @@
 struct relay_status {
 	enum server_role role;
 	uint64_t term;
-	struct position received; /* end of its log */
+	struct position received; /* newest log position that it has */
 	uint64_t held; /* the term of the newest PAUSE, 0: none */
 	uint64_t lag_us; /* how far it is behind its primary */
 	unsigned busy; /* statements that it is running */
--- a/packages/relay/src/account.c
+++ b/packages/relay/src/account.c
@@ -63,7 +63,7 @@
 {
 	if (*s->account || !needs_key(s))
 		return RELAY_OK;
-	*why = "the statement names no account";
+	*why = "no account was named";
 	return RELAY_MALFORMED;
 }
 
@@ -79,15 +79,15 @@
 		return check_peer_session(s, why);
 	a = relay_catalog_account_of_key(r->catalog, s->key);
 	if (needs_key(s) && rac_is_stale(r, now_us)) {
-		*why = "the list of valid keys is out of date; come back in 1 s";
+		*why = "it is not known which keys are good; come back in 1 s";
 		return RELAY_BUSY;
 	}
 	if (needs_key(s) && !a) {
-		*why = "unknown key";
+		*why = "the key is not known";
 		return RELAY_UNAUTHORIZED;
 	}
 	if (!set_account(s, a ? a->name : "")) {
-		*why = "the key belongs to another account now";
+		*why = "the key is another account's now";
 		return RELAY_UNAUTHORIZED;
 	}
 	return RELAY_OK;
--- a/packages/relay/src/climit.c
+++ b/packages/relay/src/climit.c
@@ -24,10 +24,10 @@
  * Without a queue at the server it is one in 15.
  */
 #define CONGESTED_DIVISOR 4
-/* The least answers in an evaluation; slow ones come in runs. */
+/* Fewer answers are not evaluated, since slow ones come in runs. */
 #define MIN_ANSWERS 8
-#define MIN_INTERVAL_US (50 * USEC_PER_MSEC) /* the shortest time between two \
-					      */
+/* The shortest time between two evaluations. */
+#define MIN_INTERVAL_US (50 * USEC_PER_MSEC)
 /*
  * The limit halves within about three evaluations and grows by one in two. The
  * fast decrease ends an overload within a second; the slow increase keeps it
--- a/packages/relay/src/grantor.c
+++ b/packages/relay/src/grantor.c
@@ -339,8 +339,7 @@
 	    !rgr_grant(rlm_find(s->relay, account),
 		       (unsigned)MIN(wanted, MAX_TOKENS_PER_REQUEST), &given,
 		       &wait_us, now_us)) {
-		send_answer(s, RELAY_MOVED,
-			    "this proxy is no grantor of the account");
+		send_answer(s, RELAY_MOVED, "no grantor of it");
 	} else {
 		g_snprintf(text, sizeof(text), "%u %" G_GUINT64_FORMAT, given,
 			   wait_us);
--- a/packages/relay/src/relay_internal.h
+++ b/packages/relay/src/relay_internal.h
@@ -39,7 +39,7 @@
 
 #define RUN_TRIES 6
 
-/* What a connection has in flight. */
+/* The kind of request that a connection has in flight. */
 enum rstep {
 	STEP_NONE,
 	STEP_RESET,
@@ -48,9 +48,9 @@
 	STEP_BEGIN,
 	STEP_CALLER, /* the caller's own statement */
 	STEP_ROLLBACK,
-	STEP_STATUS,
-	STEP_ORDER,
-	STEP_TAKE, /* tokens of an account's limit */
+	STEP_STATUS, /* a probe */
+	STEP_ORDER, /* PAUSE, RESUME or STEP_DOWN */
+	STEP_TAKE, /* a request for tokens of an account's rate limit */
 };
 
 enum rconn_state { RCONN_OPENING, RCONN_IDLE, RCONN_LENT };
@@ -60,36 +60,36 @@
 	struct relay *relay;
 	struct rserver *server;
 	enum rconn_state state;
-	char *account; /* whose it is; empty: the proxy's own */
+	char *account; /* that it was opened for; empty: the proxy's own */
 	bool in_block; /* a transaction is open on it, or may be */
-	struct rsession *session; /* lent to; NULL: its caller is gone */
+	struct rsession *session; /* that uses it; NULL: none, or it is gone */
 	enum rstep step;
-	struct rlimit *ask; /* whose tokens are asked for, or NULL */
-	char *step_key; /* the name being set, or what is being prepared */
-	char *step_value; /* its value, or its name at the server */
+	struct rlimit *ask; /* STEP_TAKE: of the tokens asked for, or NULL */
+	char *step_key; /* name of the value, or key in `prepared` */
+	char *step_value; /* the value, or the prepared name at the server */
 	uint64_t opened_us;
-	uint64_t sent_us;
+	uint64_t sent_us; /* the step in flight, or the opening, began then */
 	uint64_t deadline_us; /* of the step in flight */
-	uint64_t used_us;
+	uint64_t used_us; /* became idle then */
 	GHashTable *values; /* name -> value, as the server has them */
 	GHashTable *prepared; /* kind and shape -> name at the server */
-	unsigned n_names; /* given out since the last reset */
+	unsigned n_names; /* prepared names used since the last reset */
 	GList link; /* in the server's idle or opening connections */
 };
 
-/* What a server's failures cost of late. */
+/* The cost of a server's recent failures; see outlier.c. */
 struct routlier {
-	uint64_t cost_us;
-	uint64_t noted_us;
+	uint64_t cost_us; /* moving average per statement, decays */
+	uint64_t noted_us; /* cost_us was updated then */
 };
 
-/* How many connections to a server may be busy at once; see climit.c. */
+/* The limit of connections to a server that are busy at once; see climit.c. */
 struct rclimit {
-	double most; /* 0: no limit */
-	unsigned peak; /* busy at once since it was judged */
+	double most; /* the limit, 0: none */
+	unsigned peak; /* most busy at once since the last evaluation */
 	unsigned n; /* answers since then */
 	unsigned n_slow; /* of these, slow or shed */
-	uint64_t judged_us;
+	uint64_t judged_us; /* last evaluation */
 };
 
 /* What shows that a replica was not paused. */
@@ -226,20 +226,20 @@
 
 enum rrun_state {
 	RRUN_NONE,
-	RRUN_LIMITED, /* for a token of its account; limit.c */
-	RRUN_WAITING, /* for a server and a connection */
-	RRUN_RUNNING,
-	RRUN_PAUSED, /* the server was busy; sent again soon */
-	RRUN_CONFIRMING, /* done; is its primary still the primary? */
+	RRUN_LIMITED, /* waits for a token of its account; limit.c */
+	RRUN_WAITING, /* queued for a server and a connection */
+	RRUN_RUNNING, /* has a connection */
+	RRUN_PAUSED, /* waits to retry on its connection; server was busy */
+	RRUN_CONFIRMING, /* executed; checks that the primary still is it */
 };
 
-#define TRY_SERVER_SIZE 48
+#define TRY_SERVER_SIZE 48 /* longer names are cut off in logs */
 
-/* A try that left nothing behind. */
+/* A failed try that had no effect at the server. */
 struct rtry {
 	char server[TRY_SERVER_SIZE];
 	enum relay_code code;
-	uint64_t after_us; /* since the statement came */
+	uint64_t after_us; /* from the statement's arrival to the failure */
 };
 
 /* The statement that a session has in flight. */
@@ -251,56 +251,57 @@
 	GString *text;
 	bool writes;
 	unsigned priority; /* 0 is the highest */
-	unsigned account_priority; /* the same, among those of one priority */
-	GString *begin_id; /* of the BEGIN that no server has seen yet */
-	bool begins; /* opens the transaction at the server, too */
-	bool sent; /* the caller's statement is out, or may be */
+	unsigned account_priority; /* of its account, second to `priority` */
+	GString *begin_id; /* id of the BEGIN that no server has seen yet */
+	bool begins; /* opens the transaction at the server first */
+	bool sent; /* a server may have run the caller's statement */
 	bool to_primary; /* no replica may run it */
 	uint64_t arrived_us;
-	uint64_t deadline_us; /* the profile's timeout */
-	uint64_t due_us; /* its arrival and its profile's aim */
-	uint64_t give_up_us; /* it is refused unless a server was found */
-	uint64_t token_by_us; /* it is refused unless it has one by then */
-	uint64_t again_us; /* when paused */
-	uint64_t answered_us;
-	struct rserver *failed_by[RUN_TRIES]; /* those that did not run it */
-	struct rtry failed[RUN_TRIES]; /* the same, for the log */
-	GString *server; /* that it was sent to last */
-	enum relay_code code; /* what the last one said */
-	unsigned tries;
-	struct rserver *done_by; /* when it is to be confirmed */
-	struct position after;
-	GList link; /* in the relay's waiting runs */
-	/* What the caller is told once confirmed. */
+	uint64_t deadline_us; /* of its profile's timeout */
+	uint64_t due_us; /* deadline of its profile's latency target */
+	uint64_t give_up_us; /* refused then if no server was found */
+	uint64_t token_by_us; /* refused then if it has no token */
+	uint64_t again_us; /* the next try is not before then */
+	uint64_t answered_us; /* the server answered then; RRUN_CONFIRMING */
+	struct rserver *failed_by[RUN_TRIES]; /* servers of failed tries */
+	struct rtry failed[RUN_TRIES]; /* the same tries, for the log */
+	GString *server; /* name of the server of the last try */
+	enum relay_code code; /* answer to the last failed try */
+	unsigned tries; /* failed ones */
+	struct rserver *done_by; /* server that ran it; RRUN_CONFIRMING */
+	struct position after; /* a replica's log must reach this */
+	GList link; /* in the relay's waiting runs, or a limit's */
+	/* The answer that the caller gets once it is confirmed. */
 	GString *rows;
 	GString *signature;
 	struct position position;
-	uint64_t term;
+	uint64_t term; /* the service's term when the run got its server */
 };
 
+/* A prepared statement of a session. */
 struct rprepared {
 	bool writes;
-	char *shape;
+	char *shape; /* its text, as PREPARE gave it */
 };
 
 struct rsession {
 	uint64_t id;
 	struct relay *relay;
 	char *database;
-	char *key; /* never told to anybody */
-	char *account; /* whose it is; empty: the database needs none */
-	char state; /* as its caller sees it */
+	char *key; /* the caller's secret: not logged or passed on */
+	char *account; /* the caller's; empty: the database needs none */
+	char state; /* of the transaction, as in struct relay_answer */
 	GHashTable *values; /* name -> value */
 	GHashTable *prepared; /* name -> struct rprepared */
-	struct position floor; /* its reads see this */
-	uint64_t floor_us; /* the primary's log stood there then */
-	struct rconn *conn;
-	bool read_only; /* the open transaction */
-	bool wrote; /* the same */
-	bool limited; /* the same; it has its token */
-	uint64_t used_us;
-	bool hung_up;
-	bool peer; /* another proxy's */
+	struct position floor; /* its reads must see the log up to this */
+	uint64_t floor_us; /* the primary's log had reached it then */
+	struct rconn *conn; /* that it uses now, or NULL */
+	bool read_only; /* the open transaction is */
+	bool wrote; /* the open transaction has written */
+	bool limited; /* the open transaction has its token */
+	uint64_t used_us; /* last statement or answer */
+	bool hung_up; /* its caller was told to disconnect */
+	bool peer; /* opened by another proxy */
 	struct rrun run;
 };
 
@@ -471,12 +472,13 @@
 			const struct rsession *session);
 bool rcn_has_idle(const struct rserver *s, const char *account);
 bool rcn_is_opening(const struct rserver *s, const char *account);
+/* `close` false: only checks whether there is one to close. */
 bool rcn_make_room(struct rserver *s, bool close, uint64_t now_us);
 void rcn_lend(struct rconn *c, struct rsession *session);
 void rcn_give_back(struct rconn *c, uint64_t now_us);
 void rcn_roll_back(struct rconn *c, struct str id, uint64_t now_us);
 void rcn_close_idle(struct rserver *s);
-/* Whether this proxy is to have connections to the server at all. */
+/* Whether this proxy keeps connections to the server at all. */
 bool rcn_is_ours(const struct rserver *s);
 void rcn_tick(struct rserver *s, uint64_t now_us);
 void rcn_expire(struct relay *r, uint64_t now_us);
@@ -490,7 +492,7 @@
 void rss_end_if_isolated(struct rsession *s, uint64_t now_us);
 void rss_end_if_cut_off(struct rsession *s, uint64_t now_us);
 void rss_answer(struct rsession *s, enum relay_code code, const char *text);
-/* The transaction is over without a commit; its connection is cleaned. */
+/* Rolls back an open transaction and releases its connection. */
 void rss_abort(struct rsession *s, uint64_t now_us);
 
 /* account.c */
@@ -538,24 +540,24 @@
 bool rrun_is_active(const struct rsession *s);
 bool rrun_has_time_for_peer(const struct rsession *s, uint64_t now_us);
 
-/* steps.c: brings a connection to where the session needs it */
+/* steps.c: prepares a connection for its session's statement */
 void rstep_next(struct rconn *c, uint64_t now_us);
 bool rstep_done(struct rconn *c, enum rstep step,
 		const struct relay_answer *answer);
 
 /* pick.c */
 struct rpick {
-	struct rserver *server; /* NULL: none now */
-	struct rconn *conn; /* idle there; NULL: none */
-	struct position after; /* a replica must have this */
-	const char *why;
-	bool cut_off; /* another proxy may reach what this one can't */
+	struct rserver *server; /* NULL: none can run it now */
+	struct rconn *conn; /* idle connection to it; NULL: none */
+	struct position after; /* a replica's log must reach this */
+	const char *why; /* reason for the choice, for logs */
+	bool cut_off; /* another proxy may reach the primary; refuse it */
 };
 void rpk_choose(struct rsession *s, struct rpick *out, uint64_t now_us);
 void rpk_consider(struct rserver *s, struct rserver **best, uint64_t *least,
 		  const struct rsession *session, uint64_t now_us);
 void rpk_take_conn(struct rsession *s, struct rpick *out, uint64_t now_us);
-/* Since when the primary is wanted in vain; a long rest counts for nothing. */
+/* Tracks since when the primary has been needed but could not be used. */
 void rpk_note_primary_use(struct rservice *v, uint64_t wanted_us,
 			  uint64_t now_us);
 void rpk_log_candidates(const struct rsession *s,
--- a/packages/relay/src/run.c
+++ b/packages/relay/src/run.c
@@ -284,8 +284,7 @@
 	run->sent = false;
 	if (run->tries == RUN_TRIES) {
 		fail(s, code == RELAY_MOVED ? RELAY_BUSY : code,
-		     "no server ran the statement; all tries are used up",
-		     now_us);
+		     "no server could execute it", now_us);
 		return;
 	}
 	record_try(run, server, code, now_us);
@@ -562,8 +561,8 @@
 							    RELAY_BUSY,
 			      now_us);
 	else
-		fail(s, RELAY_ABORTED,
-		     "the session could not be set up at the server", now_us);
+		fail(s, RELAY_ABORTED, "the session could not be set up",
+		     now_us);
 }
 
 /* Handles an answer on a connection whose session has left it. */
--- a/packages/relay/src/session.c
+++ b/packages/relay/src/session.c
@@ -222,7 +222,7 @@
 		break;
 	default:
 		rss_answer(s, RELAY_MALFORMED,
-			   "callers may not send this statement");
+			   "not a statement that a caller may send");
 		break;
 	}
 }
@@ -373,7 +373,7 @@
 	rrun_note(s, statement, now_us);
 	if (!accept_peer_fields(s, statement))
 		rss_answer(s, RELAY_MALFORMED,
-			   "callers may not send this statement");
+			   "not a statement that a caller may send");
 	else if (!check_key(s, statement, now_us))
 		return;
 	else if (s->peer && statement->verb == RELAY_RESET)
