--- a/packages/relay/src/conn.c
+++ b/packages/relay/src/conn.c
@@ -128,7 +128,8 @@
 }
 
 /* The number of values in which the connection and the session differ. */
-static unsigned differences(const struct rconn *c, const struct rsession *s)
+static unsigned count_differences(const struct rconn *c,
+				  const struct rsession *s)
 {
 	unsigned n_same = 0, n = g_hash_table_size(c->values);
 	GHashTableIter iter;
@@ -198,7 +199,7 @@
 
 		if (!belongs_to(l->data, account))
 			continue;
-		n = differences(l->data, session);
+		n = count_differences(l->data, session);
 		if (best && n >= least)
 			continue;
 		best = l->data;
--- a/packages/relay/src/grantor.c
+++ b/packages/relay/src/grantor.c
@@ -20,7 +20,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MAX_TOKENS_PER_REQUEST 64 /* tokens per request */
+#define MAX_TOKENS_PER_REQUEST 64
 /* The greatest age of a list where key_max_age_us sets no limit. */
 #define DEFAULT_MAX_AGE_US (5 * USEC_PER_SEC)
 /*
@@ -72,7 +72,7 @@
 	return m;
 }
 
-static void note_listed(struct relay *r, const char *name, uint64_t listed_us)
+static void record_listed(struct relay *r, const char *name, uint64_t listed_us)
 {
 	struct member *m = member_of(r, name);
 
@@ -83,7 +83,7 @@
 	m->listed_us = listed_us;
 }
 
-static void note_left(struct relay *r, uint64_t now_us)
+static void record_left(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -108,8 +108,8 @@
 		return;
 	r->members_lists++;
 	for (i = 0; i < n_infos; i++)
-		note_listed(r, infos[i].id, is_first ? 0 : now_us);
-	note_left(r, now_us);
+		record_listed(r, infos[i].id, is_first ? 0 : now_us);
+	record_left(r, now_us);
 }
 
 /* Drops proxies that left so long ago that no list in use has them. */
--- a/packages/relay/src/limit.c
+++ b/packages/relay/src/limit.c
@@ -92,7 +92,7 @@
 }
 
 /* Updates the average rate with n tokens that came now; n may be 0. */
-static void note_given(struct rlimit *l, unsigned n, uint64_t now_us)
+static void update_given_rate(struct rlimit *l, unsigned n, uint64_t now_us)
 {
 	uint64_t since_us = MIN(now_us - l->given_us, GIVEN_AVERAGE_US);
 	double kept = 1 - (double)since_us / GIVEN_AVERAGE_US;
@@ -114,7 +114,7 @@
 	l->turn_us = 0;
 }
 
-static void note_refused(struct rlimit *l, uint64_t now_us)
+static void record_refused(struct rlimit *l, uint64_t now_us)
 {
 	l->n_refused++;
 	counter_add(l->relay->n_limited, 1);
@@ -147,7 +147,7 @@
 
 	if (first_at_us == NEVER_US)
 		return NO_GRANTOR_RETRY_AFTER_US;
-	note_given(l, 0, now_us);
+	update_given_rate(l, 0, now_us);
 	apart_us =
 		(uint64_t)(USEC_PER_SEC / MAX(l->given_per_s, MIN_GIVEN_PER_S));
 	l->turn_us = MAX(first_at_us, l->turn_us + apart_us);
@@ -159,7 +159,7 @@
 	uint64_t wait_us;
 	char text[64];
 
-	note_refused(l, now_us);
+	record_refused(l, now_us);
 	wait_us = next_retry_after_us(l, now_us);
 	g_snprintf(text, sizeof(text),
 		   "the account is at its limit; come back in %u ms",
@@ -199,7 +199,7 @@
 static void distribute(struct rlimit *l, unsigned given, uint64_t asked_us,
 		       uint64_t now_us)
 {
-	note_given(l, given, now_us);
+	update_given_rate(l, given, now_us);
 	while (given-- && l->waiting.head && !came_later(l, asked_us)) {
 		GList *link = g_queue_pop_head_link(&l->waiting);
 
--- a/packages/relay/src/limit_internal.h
+++ b/packages/relay/src/limit_internal.h
@@ -33,8 +33,7 @@
 	GQueue waiting; /* struct rsession by arrival */
 	struct rconn *ask; /* carries the request in flight, or NULL */
 	unsigned n_grantors;
-	struct grantor grantors[LIMIT_GRANTORS]; /* in the order in which they
-						    are asked */
+	struct grantor grantors[LIMIT_GRANTORS]; /* in asking order */
 	unsigned ranked; /* members_changed that `grantors` are of */
 	unsigned chosen; /* index of the grantor that is being asked */
 	uint64_t chosen_us; /* it was chosen then, 0: none is being asked */
--- a/packages/relay/src/pick.c
+++ b/packages/relay/src/pick.c
@@ -61,8 +61,9 @@
 	return OPEN_COST_US + (now_us - MIN(run->arrived_us, now_us));
 }
 
-static bool can_lend(struct rserver *s, const struct rsession *session,
-		     uint64_t now_us)
+/* Whether the run can get a connection to the server, now or soon. */
+static bool can_provide_conn(struct rserver *s, const struct rsession *session,
+			     uint64_t now_us)
 {
 	const char *account = rcn_account(s, session);
 
@@ -154,7 +155,7 @@
 {
 	uint64_t cost;
 
-	if (!can_lend(s, session, now_us))
+	if (!can_provide_conn(s, session, now_us))
 		return;
 	cost = cost_us(s, now_us) + wait_cost_us(s, session, now_us) +
 	       count_failures(&session->run, s) * USEC_PER_SEC;
@@ -287,7 +288,7 @@
 {
 	if (!blocker && rcl_is_full(s))
 		blocker = "at-limit";
-	if (!blocker && !can_lend(s, session, now_us))
+	if (!blocker && !can_provide_conn(s, session, now_us))
 		blocker = "no-connection";
 	log_object(l, NULL);
 	log_cstr(l, "server", s->info.id);
--- a/packages/relay/src/run.c
+++ b/packages/relay/src/run.c
@@ -10,7 +10,10 @@
 
 #include <celeryquay/base/log.h>
 
-/* Linear backoff: the n-th retry waits n - 1 times as long. */
+/*
+ * Linear backoff: the n-th retry waits n - 1 times as long, or n times as long
+ * within a transaction.
+ */
 #define RETRY_BACKOFF_US (8 * USEC_PER_MSEC)
 /* The queue timeout is a profile's latency target divided by this. */
 #define QUEUE_TIMEOUT_DIVISOR 4
@@ -483,10 +486,7 @@
 		wait_us = until_us - now_us;
 	g_snprintf(text, sizeof(text), "no server in time; come back in %u ms",
 		   (unsigned)(wait_us / USEC_PER_MSEC));
-	/*
-	 * RELAY_MOVED is between proxies: it says that a home can't reach a
-	 * server. To a caller that is the same as a busy service.
-	 */
+	/* Callers need not know that a home is cut off from a server. */
 	fail(s, s->run.code == RELAY_MOVED ? RELAY_BUSY : s->run.code, text,
 	     now_us);
 }
