--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -125,7 +125,7 @@
 static void leave(struct fake *f)
 {
 	f->servers[0].leaving = true;
-	fake_list(f);
+	fake_publish_lists(f);
 }
 
 static const struct fault {
--- a/packages/cli/tests/test_explain.c
+++ b/packages/cli/tests/test_explain.c
@@ -18,7 +18,7 @@
 	fake = fake_create(3, n_relays, 1);
 	log_file = fake_log_open(fake);
 	fake->homes = homes;
-	fake_list(fake);
+	fake_publish_lists(fake);
 	fake_run(fake, USEC_PER_SEC);
 }
 
@@ -133,7 +133,7 @@
 	fake_run(fake, 6 * USEC_PER_SEC);
 	s = hist_open(fake, 0, 0, RELAY_KIND_PRIMARY);
 	ck_assert_int_eq(hist_run(fake, s, RELAY_WRITE, "", "1"), RELAY_OK);
-	number = fake_join(fake, 0);
+	number = fake_add_replica(fake, 0);
 	fake->servers[1].dark = fake->servers[2].dark = true;
 	fake_run(fake, 1500 * MS);
 	ck_assert_int_eq(hist_run(fake, s, RELAY_WRITE, "", "1"), RELAY_BUSY);
--- a/packages/daemon/src/relay_node.c
+++ b/packages/daemon/src/relay_node.c
@@ -238,8 +238,8 @@
 }
 
 /*
- * A lease must be over, with the margins that lead.c leaves, before others give
- * a server up.
+ * A lease must be over, with the margins that primary.c leaves, before others
+ * give a server up.
  */
 static bool check_times(struct settings *s, const struct relay_settings *set,
 			struct err *err)
--- a/packages/relay/include/celeryquay/relay/feed_source.h
+++ b/packages/relay/include/celeryquay/relay/feed_source.h
@@ -25,7 +25,7 @@
  * Keeps what the proxy knows younger than max_age_us while the store answers;
  * 0: no limit.
  */
-void feed_source_keep_young(struct feed_source *f, uint64_t max_age_us);
+void feed_source_set_max_age(struct feed_source *f, uint64_t max_age_us);
 /* The next call to make. */
 struct feed_plan {
 	/* Whom to ask; NULL: the store. Valid until the next list. */
@@ -50,7 +50,7 @@
 void feed_source_on_store(struct feed_source *f, bool answered,
 			  uint64_t now_us);
 /* A value can only be had from the store: the next plan asks it. */
-void feed_source_on_missing(struct feed_source *f);
+void feed_source_on_value_missing(struct feed_source *f);
 /*
  * The largest value that this proxy may send to each of its followers, in
  * bytes; 0: its bandwidth is unknown.
--- a/packages/relay/include/celeryquay/relay/relay.h
+++ b/packages/relay/include/celeryquay/relay/relay.h
@@ -132,7 +132,7 @@
  */
 void relay_on_catalog_unreadable(struct relay *r);
 /* All that the store had at known_us has been reported to the relay. */
-void relay_on_known(struct relay *r, uint64_t known_us);
+void relay_on_known_as_of(struct relay *r, uint64_t known_us);
 /* A version not newer than the one in force is ignored. Takes a reference. */
 void relay_on_catalog(struct relay *r, struct relay_catalog *catalog,
 		      uint64_t now_us);
@@ -149,14 +149,14 @@
  * Part of the list, before it is complete: a proxy in it may be asked for the
  * rest.
  */
-void relay_on_first_peers(struct relay *r,
-			  const struct relay_server_info *infos,
-			  unsigned n_infos, uint64_t now_us);
+void relay_on_partial_peers(struct relay *r,
+			    const struct relay_server_info *infos,
+			    unsigned n_infos, uint64_t now_us);
 /*
  * Whether relay_on_peers() should be called now with a list of n proxies; if
  * not, a later list replaces it.
  */
-bool relay_takes_peers(const struct relay *r, unsigned n, uint64_t now_us);
+bool relay_wants_peers(const struct relay *r, unsigned n, uint64_t now_us);
 /*
  * Decides whether the store or another proxy is asked for all this. Owned by
  * the relay.
@@ -177,7 +177,7 @@
  * Another proxy passed on what the store said at heard_us; the store does not
  * answer that proxy now.
  */
-void relay_on_store_heard(struct relay *r, uint64_t heard_us);
+void relay_on_store_heard_at(struct relay *r, uint64_t heard_us);
 /* Duration of a call to the store that does not wait for news. */
 void relay_on_store_call(struct relay *r, uint64_t took_us);
 enum relay_claim { RELAY_CLAIM_DONE, RELAY_CLAIM_LOST, RELAY_CLAIM_UNKNOWN };
--- a/packages/relay/include/celeryquay/relay/server_list.h
+++ b/packages/relay/include/celeryquay/relay/server_list.h
@@ -28,7 +28,8 @@
 /*
  * The key's entry became unreadable: the server that it named gets no new work.
  */
-void relay_server_list_withdraw(struct relay_server_list *l, const char *key);
+void relay_server_list_mark_unusable(struct relay_server_list *l,
+				     const char *key);
 unsigned relay_server_list_size(const struct relay_server_list *l);
 /* Calls `pass` with the list if it has changed since the last call. */
 void relay_server_list_pass(struct relay_server_list *l, struct relay *r,
@@ -37,8 +38,9 @@
  * Calls `pass` with the list while it is incomplete; it still counts as
  * changed.
  */
-void relay_server_list_show(const struct relay_server_list *l, struct relay *r,
-			    relay_list_fn pass, uint64_t now_us);
+void relay_server_list_pass_partial(const struct relay_server_list *l,
+				    struct relay *r, relay_list_fn pass,
+				    uint64_t now_us);
 
 /* Copies the info and its strings. */
 void relay_server_info_copy(struct relay_server_info *to,
--- a/packages/relay/src/account.c
+++ b/packages/relay/src/account.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* The age of the configuration that says which keys are valid. */
-uint64_t rac_age_us(const struct relay *r, uint64_t now_us)
+uint64_t raccount_keys_age_us(const struct relay *r, uint64_t now_us)
 {
 	if (r->unreadable || !r->known_us)
 		return NEVER_US;
@@ -25,13 +25,13 @@
  * read after the operation has arrived. So an operation that runs was sent less
  * than key_max_age_us after a moment at which its key was valid.
  */
-bool rac_is_stale(const struct relay *r, uint64_t now_us)
+bool raccount_are_keys_stale(const struct relay *r, uint64_t now_us)
 {
 	const struct relay_settings *set = &r->settings;
 
 	return set->accounts && r->guards.check_key_age &&
 	       set->key_max_age_us &&
-	       rac_age_us(r, now_us) > set->key_max_age_us;
+	       raccount_keys_age_us(r, now_us) > set->key_max_age_us;
 }
 
 static bool needs_key(const struct rsession *s)
@@ -68,7 +68,8 @@
 }
 
 /* Checks the session's key; `why` explains any code but RELAY_OK. */
-enum relay_code rac_check(struct rsession *s, uint64_t now_us, const char **why)
+enum relay_code raccount_check_key(struct rsession *s, uint64_t now_us,
+				   const char **why)
 {
 	const struct relay *r = s->relay;
 	const struct relay_account *a;
@@ -78,7 +79,7 @@
 	if (s->peer)
 		return check_peer_session(s, why);
 	a = relay_catalog_account_of_key(r->catalog, s->key);
-	if (needs_key(s) && rac_is_stale(r, now_us)) {
+	if (needs_key(s) && raccount_are_keys_stale(r, now_us)) {
 		*why = "it is not known which keys are good; come back in 1 s";
 		return RELAY_BUSY;
 	}
@@ -94,7 +95,7 @@
 }
 
 /* The priority of the session's account; 0 is the highest. */
-unsigned rac_priority(const struct rsession *s)
+unsigned raccount_priority(const struct rsession *s)
 {
 	const struct relay_account *a =
 		relay_catalog_account(s->relay->catalog, s->account);
--- a/packages/relay/src/cleanup.c
+++ b/packages/relay/src/cleanup.c
@@ -21,11 +21,11 @@
 static bool is_pause_needed(const struct rservice *v, const struct rserver *s,
 			    uint64_t now_us)
 {
-	if (now_us < v->relay->duty_used_us + PROMOTED_WITHIN_US)
+	if (now_us < v->relay->duty_others_seen_at_us + PROMOTION_MAX_US)
 		return true;
 	if (is_own_pause(v, s))
-		return rch_is_told(v, now_us);
-	return now_us < s->seen_pause_at_us + PROMOTED_WITHIN_US;
+		return rfailover_is_promotion_pending(v, now_us);
+	return now_us < s->seen_pause_at_us + PROMOTION_MAX_US;
 }
 
 /*
@@ -47,18 +47,18 @@
 	struct relay *r = v->relay;
 
 	if (!r->guards.resume_under_duty)
-		return !rdt_is_others(r, now_us);
+		return !rduty_is_held_elsewhere(r, now_us);
 	if (s->seen_pause_term != s->status.held) {
 		s->seen_pause_term = s->status.held;
 		s->seen_pause_at_us = now_us;
 	}
-	if (rdt_is_others(r, now_us) || !r->duty_known || r->stopping ||
-	    is_pause_needed(v, s, now_us))
+	if (rduty_is_held_elsewhere(r, now_us) || !r->duty_known ||
+	    r->stopping || is_pause_needed(v, s, now_us))
 		return false;
-	if (rdt_is_fresh(r, now_us))
+	if (rduty_is_claim_valid(r, now_us))
 		return true;
-	if (now_us > r->claim_sent_us + CLAIM_RETRY_INTERVAL_US)
-		rdt_claim(r, now_us);
+	if (now_us > r->claim_sent_at_us + CLAIM_RETRY_INTERVAL_US)
+		rduty_claim(r, now_us);
 	return false;
 }
 
@@ -66,7 +66,7 @@
  * Resumes replicas that need not be paused any more, and makes primaries of an
  * older term step down.
  */
-void rtd_tick(struct rservice *v, uint64_t now_us)
+void rcleanup_tick(struct rservice *v, uint64_t now_us)
 {
 	unsigned i;
 
@@ -75,11 +75,12 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (s == v->primary || !rsv_is_up(s) || !s->status_at_us)
+		if (s == v->primary || !rserver_is_up(s) || !s->status_at_us)
 			continue;
 		if (s->status.role == ROLE_PRIMARY && s->status.term < v->term)
-			rsv_order_again(s, RELAY_STEP_DOWN, v->term, now_us);
+			rserver_repeat_order(s, RELAY_STEP_DOWN, v->term,
+					     now_us);
 		else if (s->status.held > v->term && may_resume(v, s, now_us))
-			rsv_order_again(s, RELAY_RESUME, 0, now_us);
+			rserver_repeat_order(s, RELAY_RESUME, 0, now_us);
 	}
 }
--- a/packages/relay/src/conn.c
+++ b/packages/relay/src/conn.c
@@ -41,7 +41,8 @@
 #define NEARLY_FULL_CLOSE_US (600 * USEC_PER_MSEC)
 
 /* Starts to open a connection for an account; "": for the proxy itself. */
-struct rconn *rcn_open(struct rserver *s, const char *account, uint64_t now_us)
+struct rconn *rconn_open(struct rserver *s, const char *account,
+			 uint64_t now_us)
 {
 	struct rconn *c = g_new0(struct rconn, 1);
 
@@ -66,7 +67,7 @@
 }
 
 /* Frees a connection; called by the hash table of connections. */
-void rcn_free(gpointer conn)
+void rconn_free(gpointer conn)
 {
 	struct rconn *c = conn;
 
@@ -94,8 +95,8 @@
 		g_queue_unlink(&s->idle, &c->link);
 	if (c->step != STEP_NONE)
 		s->n_busy--;
-	rlm_forget(c);
-	if (c->state == RCONN_LENT && c->step == STEP_CALLER)
+	rlimit_on_closing(c);
+	if (c->state == RCONN_IN_USE && c->step == STEP_CALLER)
 		s->in_flight--;
 	if (c->session)
 		c->session->conn = NULL;
@@ -103,16 +104,16 @@
 }
 
 /* Closes a connection; its session, if any, is not notified. */
-void rcn_close(struct rconn *c)
+void rconn_close(struct rconn *c)
 {
 	c->relay->ops->close(c->relay->ctx, c->id);
 	remove_conn(c);
 }
 
 /* Sends one statement. The connection is busy until its answer or loss. */
-void rcn_send(struct rconn *c, enum rstep step,
-	      const struct relay_statement *statement, uint64_t timeout_us,
-	      uint64_t now_us)
+void rconn_send(struct rconn *c, enum rstep step,
+		const struct relay_statement *statement, uint64_t timeout_us,
+		uint64_t now_us)
 {
 	if (c->step == STEP_NONE)
 		c->server->n_busy++;
@@ -121,7 +122,7 @@
 	c->deadline_us = now_us + timeout_us;
 	if (step == STEP_CALLER)
 		c->server->in_flight++;
-	rcl_on_sent(c->server);
+	inflight_on_sent(c->server);
 	if (!statement->id.len)
 		counter_add(c->relay->n_own, 1);
 	c->relay->ops->send(c->relay->ctx, c->id, statement);
@@ -152,7 +153,8 @@
  * A connection between proxies carries all accounts' statements, each with its
  * account's name.
  */
-const char *rcn_account(const struct rserver *s, const struct rsession *session)
+const char *rconn_account(const struct rserver *s,
+			  const struct rsession *session)
 {
 	if (s->service->peers || !s->relay->guards.own_connections)
 		return "";
@@ -175,21 +177,21 @@
 }
 
 /* Whether the server has an idle connection of the account. */
-bool rcn_has_idle(const struct rserver *s, const char *account)
+bool rconn_has_idle(const struct rserver *s, const char *account)
 {
 	return has_conn_of(&s->idle, account);
 }
 
 /* Whether a connection of the account is being opened. */
-bool rcn_is_opening(const struct rserver *s, const char *account)
+bool rconn_is_opening(const struct rserver *s, const char *account)
 {
 	return has_conn_of(&s->opening, account);
 }
 
 /* The idle connection whose values differ least from the session's, or NULL. */
-struct rconn *rcn_take(struct rserver *s, const struct rsession *session)
+struct rconn *rconn_find_idle(struct rserver *s, const struct rsession *session)
 {
-	const char *account = rcn_account(s, session);
+	const char *account = rconn_account(s, session);
 	struct rconn *best = NULL;
 	unsigned least = 0;
 	GList *l;
@@ -232,12 +234,12 @@
  * connections from before the restart; without accounts, a proxy that has just
  * started may open up to the limit.
  */
-bool rcn_may_open(const struct rserver *s, uint64_t now_us)
+bool rconn_may_open(const struct rserver *s, uint64_t now_us)
 {
 	unsigned limit = s->service->max_connections;
 	unsigned there = MAX(s->status.connections, s->n_conns);
 
-	if (!rsv_is_up(s) || now_us < s->refused_until_us)
+	if (!rserver_is_up(s) || now_us < s->refused_until_us)
 		return false;
 	if (!limit || s->n_conns < s->relay->settings.warm_connections)
 		return true;
@@ -254,21 +256,22 @@
  * the least recently used idle one (`close` false: only checks that there is
  * one). Returns false when there is none.
  */
-bool rcn_make_room(struct rserver *s, bool close, uint64_t now_us)
+bool rconn_make_room(struct rserver *s, bool close, uint64_t now_us)
 {
 	if (!s->relay->settings.accounts || s->service->peers ||
-	    !s->idle.length || !rsv_is_up(s) || now_us < s->refused_until_us)
+	    !s->idle.length || !rserver_is_up(s) ||
+	    now_us < s->refused_until_us)
 		return false;
 	if (close)
-		rcn_close(g_queue_peek_tail(&s->idle));
+		rconn_close(g_queue_peek_tail(&s->idle));
 	return true;
 }
 
 /* Assigns an idle connection to the session. */
-void rcn_lend(struct rconn *c, struct rsession *session)
+void rconn_assign(struct rconn *c, struct rsession *session)
 {
 	g_queue_unlink(&c->server->idle, &c->link);
-	c->state = RCONN_LENT;
+	c->state = RCONN_IN_USE;
 	c->session = session;
 	session->conn = c;
 }
@@ -278,7 +281,7 @@
  * of an open transaction. `id` is the id of the caller's ROLLBACK; empty: the
  * rollback is the relay's own.
  */
-void rcn_roll_back(struct rconn *c, struct str id, uint64_t now_us)
+void rconn_roll_back(struct rconn *c, struct str id, uint64_t now_us)
 {
 	struct relay_statement st = { .verb = RELAY_ROLLBACK, .id = id };
 
@@ -289,22 +292,22 @@
 	if (c->step != STEP_NONE)
 		return; /* wait for the answer in flight */
 	if (c->in_block)
-		rcn_send(c, STEP_ROLLBACK, &st, USEC_PER_SEC, now_us);
+		rconn_send(c, STEP_ROLLBACK, &st, USEC_PER_SEC, now_us);
 	else
-		rcn_give_back(c, now_us);
+		rconn_release(c, now_us);
 }
 
 /* Takes the connection from its session and makes it idle or closes it. */
-void rcn_give_back(struct rconn *c, uint64_t now_us)
+void rconn_release(struct rconn *c, uint64_t now_us)
 {
 	if (c->session || c->in_block) {
-		rcn_roll_back(c, STR(""), now_us);
+		rconn_roll_back(c, STR(""), now_us);
 		return;
 	}
 	if (c->step != STEP_NONE)
 		return;
-	if (!rsv_is_wanted(c->server, now_us)) {
-		rcn_close(c);
+	if (!rserver_keeps_conns(c->server, now_us)) {
+		rconn_close(c);
 		return;
 	}
 	c->state = RCONN_IDLE;
@@ -317,7 +320,7 @@
  * Whether this proxy keeps connections to the server at all. No proxy does if
  * the server is listed for a service that is in no configuration.
  */
-bool rcn_is_ours(const struct rserver *s)
+bool rconn_is_wanted(const struct rserver *s)
 {
 	const struct rservice *v = s->service;
 
@@ -325,10 +328,10 @@
 }
 
 /* Closes all idle connections to the server. */
-void rcn_close_idle(struct rserver *s)
+void rconn_close_idle(struct rserver *s)
 {
 	while (s->idle.head)
-		rcn_close(s->idle.head->data);
+		rconn_close(s->idle.head->data);
 }
 
 static void close_spare(struct rserver *s, uint64_t now_us)
@@ -343,23 +346,24 @@
 	    s->status.connections + MIN_FREE_CONNS >=
 		    s->service->max_connections)
 		after_us = NEARLY_FULL_CLOSE_US;
-	if (!rsv_takes_work(s, now_us))
+	if (!rserver_takes_work(s, now_us))
 		after_us = 0;
 	/* The last one proves that the server did not restart, see server.c. */
-	if (!rsv_is_wanted(s, now_us) || !rcn_is_ours(s) ||
+	if (!rserver_keeps_conns(s, now_us) || !rconn_is_wanted(s) ||
 	    (s->n_conns > set->warm_connections &&
 	     now_us > c->used_us + after_us))
-		rcn_close(c);
+		rconn_close(c);
 }
 
 /* Closes spare connections and keeps the configured number open. */
-void rcn_tick(struct rserver *s, uint64_t now_us)
+void rconn_tick(struct rserver *s, uint64_t now_us)
 {
 	close_spare(s, now_us);
-	if (rcn_is_ours(s) && rsv_takes_work(s, now_us) && !s->opening.length &&
+	if (rconn_is_wanted(s) && rserver_takes_work(s, now_us) &&
+	    !s->opening.length &&
 	    s->n_conns < s->relay->settings.warm_connections &&
-	    rcn_may_open(s, now_us))
-		rcn_open(s, "", now_us);
+	    rconn_may_open(s, now_us))
+		rconn_open(s, "", now_us);
 }
 
 /*
@@ -403,14 +407,14 @@
 
 	log_ended(c, "connection-silent", now_us);
 	if (c->step == STEP_CALLER)
-		rol_on_lost(&s->outlier, now_us);
+		routlier_on_lost(&s->outlier, now_us);
 	counter_add(c->relay->n_lost, 1);
 	if (s->probing == c)
-		rsv_failed(s, false, silent_since_us(c));
-	rsv_probe_soon(s);
-	rlm_on_lost(c, now_us);
-	rcn_close(c);
-	rsv_conn_broke(s, now_us);
+		rserver_on_failure(s, false, silent_since_us(c));
+	rserver_probe_soon(s);
+	rlimit_on_lost(c, now_us);
+	rconn_close(c);
+	rserver_on_conn_broke(s, now_us);
 	if (session)
 		rrun_on_lost(session, s, true, now_us);
 }
@@ -462,7 +466,7 @@
  * Such a connection is never used again, so that no late answer can reach
  * another caller.
  */
-void rcn_expire(struct relay *r, uint64_t now_us)
+void rconn_expire(struct relay *r, uint64_t now_us)
 {
 	GPtrArray *list = list_conns(r);
 	unsigned i;
@@ -516,13 +520,13 @@
 		return;
 	}
 	c->opened_us = now_us;
-	rsv_conn_opened(s, now_us);
-	rsv_heard(s, answer, c->sent_us, now_us);
+	rserver_on_conn_opened(s, now_us);
+	rserver_on_answer(s, answer, c->sent_us, now_us);
 	g_queue_unlink(&s->opening, &c->link);
-	c->state = RCONN_LENT;
-	rcn_give_back(c, now_us);
-	rsv_tick(s, now_us);
-	rlm_serve_all(r, now_us);
+	c->state = RCONN_IN_USE;
+	rconn_release(c, now_us);
+	rserver_tick(s, now_us);
+	rlimit_request_all(r, now_us);
 	rrun_dispatch(r, now_us);
 }
 
@@ -534,15 +538,15 @@
 	const struct relay_profile *profile = NULL;
 
 	s->latency_us = (s->latency_us * 7 + took_us) / 8;
-	rmt_answered(s, took_us);
+	rmetrics_answered(s, took_us);
 	if (s->service->peers)
 		return;
-	rol_on_answer(&s->outlier, code, now_us);
+	routlier_on_answer(&s->outlier, code, now_us);
 	if (c->session)
 		profile = relay_catalog_profile(c->relay->catalog,
 						c->session->database);
 	if (profile)
-		rcl_on_answer(s, took_us, profile->aim_us, code, now_us);
+		inflight_on_answer(s, took_us, profile->aim_us, code, now_us);
 }
 
 /* Handles the answer to a connection's request in flight. */
@@ -565,12 +569,12 @@
 		s->in_flight--;
 		record_load(c, answer->code, now_us - sent_us, now_us);
 	}
-	rsv_conn_answered(s, c, sent_us);
-	rsv_heard(s, answer, sent_us, now_us);
+	rserver_on_conn_answered(s, c, sent_us);
+	rserver_on_answer(s, answer, sent_us, now_us);
 	if (step == STEP_STATUS || step == STEP_ORDER)
-		rsv_probe_answered(c, answer, now_us);
+		rserver_on_probe_answered(c, answer, now_us);
 	else if (step == STEP_TAKE)
-		rlm_on_answer(c, answer, now_us);
+		rlimit_on_answer(c, answer, now_us);
 	else
 		rrun_on_answer(c, step, answer, now_us);
 	rrun_dispatch(r, now_us);
@@ -592,20 +596,20 @@
 	opening = c->state == RCONN_OPENING;
 	log_ended(c, "connection-lost", now_us);
 	if (c->step == STEP_CALLER)
-		rol_on_lost(&s->outlier, now_us);
+		routlier_on_lost(&s->outlier, now_us);
 	counter_add(r->n_lost, 1);
 	if (opening)
-		rsv_failed(s, refused, c->sent_us);
+		rserver_on_failure(s, refused, c->sent_us);
 	else
 		s->open_after_us = now_us;
-	rsv_probe_soon(s);
-	rlm_on_lost(c, now_us);
+	rserver_probe_soon(s);
+	rlimit_on_lost(c, now_us);
 	remove_conn(c);
 	if (!opening)
-		rsv_conn_broke(s, now_us);
+		rserver_on_conn_broke(s, now_us);
 	if (session)
 		rrun_on_lost(session, s, false, now_us);
-	rsv_tick(s, now_us);
-	rlm_serve_all(r, now_us);
+	rserver_tick(s, now_us);
+	rlimit_request_all(r, now_us);
 	rrun_dispatch(r, now_us);
 }
--- a/packages/relay/src/duty.c
+++ b/packages/relay/src/duty.c
@@ -8,11 +8,11 @@
 /*
  * Whether another proxy claimed the duty so recently that it may be using it.
  */
-bool rdt_is_others(const struct relay *r, uint64_t now_us)
+bool rduty_is_held_elsewhere(const struct relay *r, uint64_t now_us)
 {
 	if (!r->duty_holder || !strcmp(r->duty_holder, r->name))
 		return false;
-	return now_us < r->duty_changed_us + r->settings.claim_hold_us;
+	return now_us < r->duty_changed_at_us + r->settings.claim_hold_us;
 }
 
 /*
@@ -21,23 +21,23 @@
  * an outdated, lower token. Guard: a claim is used only for half of the time in
  * which no other proxy may make one, and only while no other claim is known.
  */
-bool rdt_is_fresh(const struct relay *r, uint64_t now_us)
+bool rduty_is_claim_valid(const struct relay *r, uint64_t now_us)
 {
 	return r->token &&
 	       (!r->guards.fresh_claim ||
 		(r->token == r->duty_revision &&
-		 now_us < r->claimed_us + r->settings.claim_hold_us / 2));
+		 now_us < r->claimed_at_us + r->settings.claim_hold_us / 2));
 }
 
 /*
  * Claims the duty unless a claim is under way. The outcome goes to
- * rch_on_claimed().
+ * rfailover_on_claimed().
  */
-void rdt_claim(struct relay *r, uint64_t now_us)
+void rduty_claim(struct relay *r, uint64_t now_us)
 {
 	if (r->claiming)
 		return;
 	r->claiming = true;
-	r->claim_sent_us = now_us;
+	r->claim_sent_at_us = now_us;
 	r->ops->claim(r->ctx, r->duty_revision);
 }
--- a/packages/relay/src/failover.c
+++ b/packages/relay/src/failover.c
@@ -6,7 +6,7 @@
  *   revision is the token that the platform checks, so tokens only increase. A
  *   proxy that sees another's claim does nothing for claim_hold_us.
  * FENCE: the primary steps down, or every other server is paused in a higher
- *   term. Either takes away what the lease of rld_holds() rests on.
+ *   term. Either takes away what the lease of rprimary_lease_holds() rests on.
  * CATCH_UP: the target receives the rest of the log of a primary that stepped
  *   down.
  * HOLD: leases that other proxies got before the pause expire, and a claim made
@@ -42,7 +42,7 @@
 #define FENCE_TIMEOUT_US (2500 * USEC_PER_MSEC)
 /*
  * How long a step-down waits for a silent replica: less than the 5 s for which
- * rsv_leads_on() lets a leaving primary have work.
+ * rserver_takes_primary_work() lets a leaving primary have work.
  */
 #define STEP_DOWN_DELAY_MAX_US (4 * USEC_PER_SEC)
 #define CATCH_UP_TIMEOUT_US (2 * USEC_PER_SEC)
@@ -51,7 +51,7 @@
 #define MAX_PROMOTE_RETRIES 3
 
 /* Whether this proxy is replacing the service's primary. */
-bool rch_is_running(const struct rservice *v)
+bool rfailover_is_running(const struct rservice *v)
 {
 	if (v->phase == PHASE_CLAIM) /* the second claim of a change */
 		return v->fenced_at_us || v->stepped_down;
@@ -59,30 +59,30 @@
 }
 
 /* Whether a promotion that this proxy requested may still take effect. */
-bool rch_is_told(const struct rservice *v, uint64_t now_us)
+bool rfailover_is_promotion_pending(const struct rservice *v, uint64_t now_us)
 {
 	return v->promotion_sent_at_us &&
-	       now_us < v->promotion_sent_at_us + PROMOTED_WITHIN_US;
+	       now_us < v->promotion_sent_at_us + PROMOTION_MAX_US;
 }
 
 /* When a primary can be expected again, 0 if there is one that works. */
-uint64_t rch_expected_us(const struct rservice *v)
+uint64_t rfailover_expected_primary_at_us(const struct rservice *v)
 {
 	if (!v->primary)
 		return v->no_primary_us + TYPICAL_CHANGE_US;
-	if (v->primary->failing_us)
-		return v->primary->failing_us + TYPICAL_CHANGE_US;
+	if (v->primary->failing_since_us)
+		return v->primary->failing_since_us + TYPICAL_CHANGE_US;
 	return 0;
 }
 
 /* The phase's name in logs. */
-const char *rch_phase_name(enum rphase phase)
+const char *rfailover_phase_name(enum rphase phase)
 {
 	static const char *const names[] = {
-		[PHASE_WATCH] = "none",	   [PHASE_CLAIM] = "claim",
-		[PHASE_FENCE] = "fence",   [PHASE_CATCH_UP] = "catch-up",
-		[PHASE_HOLD] = "hold",	   [PHASE_PROMOTE] = "promote",
-		[PHASE_SETTLE] = "settle",
+		[PHASE_WATCH] = "none",		  [PHASE_CLAIM] = "claim",
+		[PHASE_FENCE] = "fence",	  [PHASE_CATCH_UP] = "catch-up",
+		[PHASE_LEASE_EXPIRY] = "hold",	  [PHASE_PROMOTE] = "promote",
+		[PHASE_AWAIT_PRIMARY] = "settle",
 	};
 
 	return names[phase];
@@ -104,7 +104,7 @@
 	log_u64(l, "fence_term", v->fence_term);
 	log_u64(l, "token", v->relay->token);
 	log_u64(l, "try", v->tries + 1);
-	log_cstr(l, "after", rch_phase_name(v->phase));
+	log_cstr(l, "after", rfailover_phase_name(v->phase));
 	log_u64(l, "after_ms",
 		(now_us - MIN(v->phase_started_at_us, now_us)) / USEC_PER_MSEC);
 	log_event_end(l);
@@ -113,7 +113,7 @@
 static void enter(struct rservice *v, enum rphase phase, uint64_t now_us)
 {
 	if (phase != PHASE_WATCH)
-		log_change(v, rch_phase_name(phase), v->reason, now_us);
+		log_change(v, rfailover_phase_name(phase), v->reason, now_us);
 	v->phase = phase;
 	v->phase_started_at_us = now_us;
 }
@@ -141,7 +141,7 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (s != v->primary && rsv_is_up(s))
+		if (s != v->primary && rserver_is_up(s))
 			newest = position_max(newest, s->status.received);
 	}
 	return newest;
@@ -157,7 +157,7 @@
  */
 static bool is_alive_for_others(struct rservice *v, uint64_t now_us)
 {
-	uint64_t since_us = v->primary->failing_us;
+	uint64_t since_us = v->primary->failing_since_us;
 
 	if (now_us > since_us + ALIVE_FOR_OTHERS_MAX_US)
 		return false;
@@ -194,7 +194,7 @@
 		const struct rserver *s = rservice_server(v, i);
 
 		if (s != v->primary && !s->moved && !s->refused &&
-		    !rsv_is_up(s))
+		    !rserver_is_up(s))
 			return false;
 	}
 	return true;
@@ -209,15 +209,16 @@
 
 	if (p->info.leaving)
 		return may_step_down(v, now_us) ? "leaving" : NULL;
-	if (p->moved || (!p->listed &&
-			 now_us > p->unlisted_us + set->gone_after_us * 2 / 3))
+	if (p->moved ||
+	    (!p->listed &&
+	     now_us > p->unlisted_at_us + set->gone_after_us * 2 / 3))
 		return "gone";
-	if (!p->failing_us)
+	if (!p->failing_since_us)
 		return NULL;
 	elsewhere = is_alive_for_others(v, now_us);
 	if (p->refused)
 		limit_us = set->refused_after_us;
-	if (now_us < p->failing_us + limit_us || elsewhere)
+	if (now_us < p->failing_since_us + limit_us || elsewhere)
 		return NULL;
 	return p->refused ? "refused" : "silent";
 }
@@ -230,7 +231,7 @@
 		struct rserver *s = rservice_server(v, i);
 
 		if (s != v->primary && is_listed_at_address(s) &&
-		    rsv_is_up(s) && !s->info.leaving &&
+		    rserver_is_up(s) && !s->info.leaving &&
 		    s->status.role == ROLE_REPLICA)
 			return true;
 	}
@@ -249,7 +250,8 @@
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *s = rservice_server(v, i);
 
-		if (is_listed_at_address(s) && rsv_is_up(s) && !s->status_at_us)
+		if (is_listed_at_address(s) && rserver_is_up(s) &&
+		    !s->status_at_us)
 			return true;
 	}
 	return false;
@@ -273,7 +275,7 @@
 	struct relay *r = v->relay;
 
 	enter(v, PHASE_CLAIM, now_us);
-	rdt_claim(r, now_us);
+	rduty_claim(r, now_us);
 }
 
 /*
@@ -286,7 +288,7 @@
  */
 static void claim_again(struct rservice *v, uint64_t now_us)
 {
-	if (rdt_is_others(v->relay, now_us))
+	if (rduty_is_held_elsewhere(v->relay, now_us))
 		abort_change(v, "another has the duty", now_us);
 	else
 		start_claim(v, now_us);
@@ -307,7 +309,7 @@
 			(uint64_t)g_rand_int_range(v->relay->rng, 0, JITTER_US);
 	}
 	if (now_us < v->act_not_before_us || !v->relay->duty_known ||
-	    v->relay->stopping || rdt_is_others(v->relay, now_us))
+	    v->relay->stopping || rduty_is_held_elsewhere(v->relay, now_us))
 		return;
 	v->reason = why;
 	/*
@@ -326,15 +328,16 @@
 	v->stepped_down = false;
 	v->target = NULL;
 	v->tries = 0;
-	v->fence_term = rfn_term(v);
+	v->fence_term = rfence_next_term(v);
 	v->fenced_at_us = 0;
-	v->earlier_promotion_pending = rch_is_told(v, now_us);
+	v->earlier_promotion_pending =
+		rfailover_is_promotion_pending(v, now_us);
 	enter(v, PHASE_FENCE, now_us);
 }
 
 static bool is_planned(const struct rservice *v)
 {
-	return v->old && rsv_is_up(v->old);
+	return v->old && rserver_is_up(v->old);
 }
 
 /*
@@ -344,11 +347,11 @@
 static void on_fenced(struct rservice *v, uint64_t now_us)
 {
 	v->fenced_at_us = now_us;
-	rld_ask(v);
+	rprimary_probe_all(v);
 	if (v->relay->guards.claim_after_fence)
 		claim_again(v, now_us);
 	else
-		enter(v, PHASE_HOLD, now_us);
+		enter(v, PHASE_LEASE_EXPIRY, now_us);
 }
 
 static void fence(struct rservice *v, uint64_t now_us)
@@ -358,7 +361,7 @@
 		return;
 	}
 	if (!v->relay->guards.fence) {
-		enter(v, PHASE_HOLD, now_us);
+		enter(v, PHASE_LEASE_EXPIRY, now_us);
 		return;
 	}
 	if (v->stepped_down) {
@@ -366,9 +369,10 @@
 		return;
 	}
 	if (is_planned(v))
-		rsv_order_again(v->old, RELAY_STEP_DOWN, v->fence_term, now_us);
-	if (is_planned(v) || !rfn_pause_others(v, now_us) ||
-	    !rfn_no_two_are_left(v))
+		rserver_repeat_order(v->old, RELAY_STEP_DOWN, v->fence_term,
+				     now_us);
+	if (is_planned(v) || !rfence_pause_others(v, now_us) ||
+	    !rfence_at_most_one_unpaused(v))
 		return;
 	on_fenced(v, now_us);
 }
@@ -382,7 +386,7 @@
 		struct rserver *s = rservice_server(v, i);
 
 		if (s == v->old || s->info.leaving ||
-		    !is_listed_at_address(s) || !rsv_is_up(s) ||
+		    !is_listed_at_address(s) || !rserver_is_up(s) ||
 		    s->status.role != ROLE_REPLICA)
 			continue;
 		if (!best ||
@@ -397,7 +401,7 @@
 	struct rserver *best = best_target(v);
 
 	if (best)
-		rsv_probe_soon(best);
+		rserver_probe_soon(best);
 	if (best && position_cmp(best->status.received, v->old_position) < 0 &&
 	    now_us < v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
 		return;
@@ -410,8 +414,8 @@
 	 * before the promotion can take effect. All must be paused, as another
 	 * proxy may reach a replica that this one can't.
 	 */
-	if (!v->relay->guards.doubt_reborn ||
-	    (rfn_pause_others(v, now_us) && rfn_no_two_are_left(v)))
+	if (!v->relay->guards.distrust_restarted ||
+	    (rfence_pause_others(v, now_us) && rfence_at_most_one_unpaused(v)))
 		on_fenced(v, now_us);
 	else if (now_us > v->phase_started_at_us + CATCH_UP_TIMEOUT_US)
 		abort_change(v, "a replica could not be paused", now_us);
@@ -431,7 +435,8 @@
 {
 	const struct rserver *told;
 
-	if (!v->promotion_target_id || !rch_is_told(v, now_us) ||
+	if (!v->promotion_target_id ||
+	    !rfailover_is_promotion_pending(v, now_us) ||
 	    !strcmp(v->promotion_target_id, target->info.id))
 		return true;
 	told = g_hash_table_lookup(v->relay->servers, v->promotion_target_id);
@@ -478,31 +483,31 @@
 
 	/* A server that appeared after the pauses is paused like the others. */
 	if (v->fenced_at_us && v->relay->guards.claim_after_fence &&
-	    rfn_any_unpaused(v)) {
-		rmt_fence_again(v->relay);
+	    rfence_any_unpaused(v)) {
+		rmetrics_fence_repeated(v->relay);
 		fence_again(v, now_us);
 		return;
 	}
-	if (v->fenced_at_us && v->relay->guards.hold_before_promote &&
+	if (v->fenced_at_us && v->relay->guards.await_lease_expiry &&
 	    now_us + set->promote_least_us <
 		    v->fenced_at_us + set->authority_us)
 		return;
-	if (!rfn_pauses_stand(v)) {
+	if (!rfence_pauses_reported_again(v)) {
 		if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
 			abort_change(v, "a paused server is silent", now_us);
 		return;
 	}
-	if (v->fenced_at_us && rdt_is_fresh(v->relay, now_us) &&
-	    !rfn_knows_all_servers(v)) {
+	if (v->fenced_at_us && rduty_is_claim_valid(v->relay, now_us) &&
+	    !rfence_knows_all_servers(v)) {
 		/* The claim was made earlier, for another service's change. */
-		if (v->relay->claimed_us < v->fenced_at_us)
+		if (v->relay->claimed_at_us < v->fenced_at_us)
 			claim_again(v, now_us);
 		else if (now_us > v->phase_started_at_us + FENCE_TIMEOUT_US)
 			abort_change(v, "the list of servers is too old",
 				     now_us);
 		return;
 	}
-	if (rdt_is_fresh(v->relay, now_us))
+	if (rduty_is_claim_valid(v->relay, now_us))
 		promote(v, now_us);
 	else
 		claim_again(v, now_us);
@@ -510,15 +515,15 @@
 
 static void settle(struct rservice *v, uint64_t now_us)
 {
-	rfn_pause_others(v, now_us);
+	rfence_pause_others(v, now_us);
 	if (v->target)
-		rsv_probe_soon(v->target);
+		rserver_probe_soon(v->target);
 	if (now_us > v->phase_started_at_us + SETTLE_TIMEOUT_US)
 		abort_change(v, "the target does not lead", now_us);
 }
 
 /* Runs the state machine. */
-void rch_tick(struct rservice *v, uint64_t now_us)
+void rfailover_tick(struct rservice *v, uint64_t now_us)
 {
 	if ((!v->is_home || !v->configured) && v->phase == PHASE_WATCH)
 		return;
@@ -526,7 +531,7 @@
 	case PHASE_WATCH:
 		watch(v, now_us);
 		if (v->phase == PHASE_WATCH && !v->act_scheduled)
-			rtd_tick(v, now_us);
+			rcleanup_tick(v, now_us);
 		break;
 	case PHASE_CLAIM:
 		if (now_us > v->phase_started_at_us + CLAIM_TIMEOUT_US)
@@ -538,15 +543,15 @@
 	case PHASE_CATCH_UP:
 		catch_up(v, now_us);
 		break;
-	case PHASE_HOLD:
+	case PHASE_LEASE_EXPIRY:
 		hold(v, now_us);
 		break;
 	case PHASE_PROMOTE:
-		rfn_pause_others(v, now_us);
+		rfence_pause_others(v, now_us);
 		if (now_us > v->phase_started_at_us + PROMOTE_TIMEOUT_US)
-			rch_on_promoted(v, false, now_us);
+			rfailover_on_promoted(v, false, now_us);
 		break;
-	case PHASE_SETTLE:
+	case PHASE_AWAIT_PRIMARY:
 		settle(v, now_us);
 		break;
 	}
@@ -557,13 +562,14 @@
 	if (v->phase != PHASE_CLAIM)
 		return;
 	if (v->fenced_at_us || v->stepped_down)
-		enter(v, PHASE_HOLD, now_us);
+		enter(v, PHASE_LEASE_EXPIRY, now_us);
 	else
 		start_fence(v, now_us);
 }
 
 /* Handles a claim's outcome for every service that waits for it. */
-void rch_on_claimed(struct relay *r, enum relay_claim outcome, uint64_t now_us)
+void rfailover_on_claimed(struct relay *r, enum relay_claim outcome,
+			  uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -579,7 +585,7 @@
 		else
 			abort_change(v, "the claim was not confirmed", now_us);
 		if (v->phase != PHASE_WATCH)
-			rch_tick(v, now_us);
+			rfailover_tick(v, now_us);
 	}
 }
 
@@ -587,12 +593,12 @@
  * Handles the platform's answer to the promotion; accepted is also false if it
  * gave none.
  */
-void rch_on_promoted(struct rservice *v, bool accepted, uint64_t now_us)
+void rfailover_on_promoted(struct rservice *v, bool accepted, uint64_t now_us)
 {
 	if (v->phase != PHASE_PROMOTE)
 		return;
 	if (accepted) {
-		enter(v, PHASE_SETTLE, now_us);
+		enter(v, PHASE_AWAIT_PRIMARY, now_us);
 		return;
 	}
 	if (++v->tries > MAX_PROMOTE_RETRIES) {
@@ -604,7 +610,7 @@
 	 * the lower one.
 	 */
 	v->relay->token = 0;
-	enter(v, PHASE_HOLD, now_us);
+	enter(v, PHASE_LEASE_EXPIRY, now_us);
 }
 
 /*
@@ -614,7 +620,7 @@
  * target is ordered too, because it may be the only one that confirms the old
  * primary; its promotion ends the pause.
  */
-void rch_on_doubt(struct rserver *s, uint64_t now_us)
+void rfailover_on_maybe_restarted(struct rserver *s, uint64_t now_us)
 {
 	struct rservice *v = s->service;
 	bool stepped_down = s == v->old && v->stepped_down;
@@ -625,9 +631,9 @@
 	if (v->phase < PHASE_PROMOTE)
 		fence_again(v, now_us);
 	else if (stepped_down)
-		rsv_order(s, RELAY_STEP_DOWN, v->fence_term);
+		rserver_order(s, RELAY_STEP_DOWN, v->fence_term);
 	else
-		rsv_order(s, RELAY_PAUSE, v->fence_term);
+		rserver_order(s, RELAY_PAUSE, v->fence_term);
 }
 
 /*
@@ -645,11 +651,12 @@
 		return false;
 	if (v->term > v->term_at_start)
 		return true;
-	return !rch_is_told(v, now_us) && v->primary != v->old;
+	return !rfailover_is_promotion_pending(v, now_us) &&
+	       v->primary != v->old;
 }
 
 /* Handles a server's status, which a phase may be waiting for. */
-void rch_on_status(struct rserver *s, uint64_t now_us)
+void rfailover_on_status(struct rserver *s, uint64_t now_us)
 {
 	struct rservice *v = s->service;
 
--- a/packages/relay/src/feed_source.c
+++ b/packages/relay/src/feed_source.c
@@ -165,7 +165,7 @@
  * the delay with which the store may report changes. When the next watch ends,
  * that moment is two waits ago.
  */
-void feed_source_keep_young(struct feed_source *f, uint64_t max_age_us)
+void feed_source_set_max_age(struct feed_source *f, uint64_t max_age_us)
 {
 	uint64_t waits_us = max_age_us - MIN(max_age_us, MAX_AGE_MARGIN_US);
 	uint64_t wait_ms = MAX(waits_us / 2 / USEC_PER_MSEC, WATCHER_WAIT_MS);
@@ -557,7 +557,7 @@
 }
 
 /* The next plan asks the store. */
-void feed_source_on_missing(struct feed_source *f)
+void feed_source_on_value_missing(struct feed_source *f)
 {
 	f->ask_store_once = true;
 }
--- a/packages/relay/src/fence.c
+++ b/packages/relay/src/fence.c
@@ -5,7 +5,7 @@
 #include "relay_internal.h"
 
 /* A term above every term that a server of the service has reported. */
-uint64_t rfn_term(const struct rservice *v)
+uint64_t rfence_next_term(const struct rservice *v)
 {
 	uint64_t term = v->term;
 	unsigned i;
@@ -30,7 +30,7 @@
  */
 static bool may_confirm(const struct rservice *v, const struct rserver *s)
 {
-	return s != v->old && !s->moved && (s->listed || rsv_is_up(s));
+	return s != v->old && !s->moved && (s->listed || rserver_is_up(s));
 }
 
 /*
@@ -58,7 +58,7 @@
 }
 
 /* Whether a server that must be paused isn't. */
-bool rfn_any_unpaused(const struct rservice *v)
+bool rfence_any_unpaused(const struct rservice *v)
 {
 	unsigned i;
 
@@ -69,7 +69,7 @@
 }
 
 /* Pauses every server that may confirm the old primary. True once all are. */
-bool rfn_pause_others(struct rservice *v, uint64_t now_us)
+bool rfence_pause_others(struct rservice *v, uint64_t now_us)
 {
 	bool all = true;
 	unsigned i;
@@ -81,11 +81,11 @@
 			continue;
 		all = false;
 		/* A server that still acts as a primary can't be paused. */
-		rsv_order_again(s,
-				s->status.role == ROLE_PRIMARY ?
-					RELAY_STEP_DOWN :
-					RELAY_PAUSE,
-				v->fence_term, now_us);
+		rserver_repeat_order(s,
+				     s->status.role == ROLE_PRIMARY ?
+					     RELAY_STEP_DOWN :
+					     RELAY_PAUSE,
+				     v->fence_term, now_us);
 	}
 	return all;
 }
@@ -97,7 +97,7 @@
  * most one of the known servers, including those that left the list a moment
  * ago, may be unpaused, since a primary needs a second server to be relied on.
  */
-bool rfn_no_two_are_left(const struct rservice *v)
+bool rfence_at_most_one_unpaused(const struct rservice *v)
 {
 	unsigned i, n_paused = 0;
 
@@ -115,11 +115,11 @@
  * were paused. One that has not answered since may have restarted without its
  * pause.
  */
-bool rfn_pauses_stand(const struct rservice *v)
+bool rfence_pauses_reported_again(const struct rservice *v)
 {
 	unsigned i;
 
-	if (!v->fenced_at_us || !v->relay->guards.doubt_reborn)
+	if (!v->fenced_at_us || !v->relay->guards.distrust_restarted)
 		return true;
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
@@ -137,13 +137,13 @@
  * another server is promoted. Guard: the duty is claimed again once all are
  * paused, and the list must be current up to that claim. A server that was
  * listed before the pauses is therefore paused too; one listed later is in
- * doubt at every proxy, see word.c.
+ * doubt at every proxy, see trust.c.
  */
-bool rfn_knows_all_servers(const struct rservice *v)
+bool rfence_knows_all_servers(const struct rservice *v)
 {
 	const struct relay *r = v->relay;
 
 	return !r->guards.claim_after_fence ||
-	       (r->claimed_us >= v->fenced_at_us &&
+	       (r->claimed_at_us >= v->fenced_at_us &&
 		r->known_revision >= r->token);
 }
--- a/packages/relay/src/grantor.c
+++ b/packages/relay/src/grantor.c
@@ -2,7 +2,7 @@
  * Which proxies give tokens of an account's rate limit, and how many; limit.c
  * has the requests for them.
  *
- * An account's grantors are the first LIMIT_GRANTORS listed proxies in
+ * An account's grantors are the first MAX_GRANTORS listed proxies in
  * rendezvous order. Each has a token bucket with an equal part of the account's
  * rate and burst.
  *
@@ -11,7 +11,7 @@
  * its own grantors, and no grantor gives more than its part. A grantor needs a
  * list that is at most key_max_age_us old. A proxy that left the list is ranked
  * for that long after, and a new one gives no tokens for that long, so there
- * are never more than LIMIT_GRANTORS at once. A bucket starts nearly empty, so
+ * are never more than MAX_GRANTORS at once. A bucket starts nearly empty, so
  * that a grantor that restarts gives no token twice.
  */
 #define LOG_MODULE "grantor"
@@ -46,14 +46,14 @@
 }
 
 /* Creates the empty table of proxies that may be grantors. */
-void rgr_init(struct relay *r)
+void rgrantor_init(struct relay *r)
 {
 	r->members = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					   member_free);
 }
 
 /* Frees the table; no limit may exist any more. */
-void rgr_clear(struct relay *r)
+void rgrantor_clear(struct relay *r)
 {
 	g_hash_table_destroy(r->members);
 }
@@ -68,19 +68,20 @@
 	m->name = g_strdup(name);
 	m->left_us = NEVER_US; /* until it is listed */
 	g_hash_table_insert(r->members, m->name, m);
-	r->members_changed++;
+	r->n_member_changes++;
 	return m;
 }
 
-static void record_listed(struct relay *r, const char *name, uint64_t listed_us)
+static void record_listed(struct relay *r, const char *name,
+			  uint64_t listed_at_us)
 {
 	struct member *m = member_of(r, name);
 
-	m->list = r->members_lists;
+	m->list = r->n_member_lists;
 	if (!m->left_us)
 		return;
 	m->left_us = 0;
-	m->listed_us = listed_us;
+	m->listed_at_us = listed_at_us;
 }
 
 static void record_left(struct relay *r, uint64_t now_us)
@@ -92,28 +93,28 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct member *m = value;
 
-		if (!m->left_us && m->list != r->members_lists)
+		if (!m->left_us && m->list != r->n_member_lists)
 			m->left_us = now_us;
 	}
 }
 
 /* Handles a new list of proxies, which may include this one. */
-void rgr_on_peers(struct relay *r, const struct relay_server_info *infos,
-		  unsigned n_infos, uint64_t now_us)
+void rgrantor_on_peers(struct relay *r, const struct relay_server_info *infos,
+		       unsigned n_infos, uint64_t now_us)
 {
-	bool is_first = !r->members_lists;
+	bool is_first = !r->n_member_lists;
 	unsigned i;
 
 	if (!r->settings.limits)
 		return;
-	r->members_lists++;
+	r->n_member_lists++;
 	for (i = 0; i < n_infos; i++)
 		record_listed(r, infos[i].id, is_first ? 0 : now_us);
 	record_left(r, now_us);
 }
 
 /* Drops proxies that left so long ago that no list in use has them. */
-void rgr_tick(struct relay *r, uint64_t now_us)
+void rgrantor_tick(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -125,7 +126,7 @@
 		if (!m->left_us || now_us < m->left_us + list_max_age_us(r))
 			continue;
 		g_hash_table_iter_remove(&iter);
-		r->members_changed++;
+		r->n_member_changes++;
 	}
 }
 
@@ -144,9 +145,9 @@
 	while (at &&
 	       score(m->name, account) > score(best[at - 1]->name, account))
 		at--;
-	if (at == LIMIT_GRANTORS)
+	if (at == MAX_GRANTORS)
 		return;
-	*n = MIN(*n + 1, LIMIT_GRANTORS);
+	*n = MIN(*n + 1, MAX_GRANTORS);
 	for (i = *n - 1; i > at; i--)
 		best[i] = best[i - 1];
 	best[at] = m;
@@ -191,22 +192,22 @@
 static void empty_bucket(struct rlimit *l)
 {
 	l->tokens = 0;
-	l->filled_us = l->relay->ticked_us;
+	l->refilled_at_us = l->relay->ticked_us;
 }
 
 /* Determines the account's grantors anew if the list has changed. */
-void rgr_rank(struct rlimit *l)
+void rgrantor_update_ranking(struct rlimit *l)
 {
-	const struct member *best[LIMIT_GRANTORS];
+	const struct member *best[MAX_GRANTORS];
 	bool was_other = l->n_grantors && !is_self_ranked(l);
 	struct relay *r = l->relay;
 	GHashTableIter iter;
 	gpointer value;
 	unsigned i, n = 0;
 
-	if (l->ranked == r->members_changed)
+	if (l->ranked == r->n_member_changes)
 		return;
-	l->ranked = r->members_changed;
+	l->ranked = r->n_member_changes;
 	g_hash_table_iter_init(&iter, r->members);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		insert_ranked(best, &n, value, l->account);
@@ -217,7 +218,7 @@
 			(struct grantor){ .name = g_strdup(best[i]->name) };
 	l->n_grantors = n;
 	l->chosen = n; /* the request in flight went by the old ranking */
-	l->chosen_us = 0;
+	l->chosen_at_us = 0;
 	g_qsort_with_data(l->grantors, (gint)n, sizeof(l->grantors[0]),
 			  compare_asking_order, l);
 	if (was_other && is_self_ranked(l))
@@ -230,8 +231,9 @@
 	const struct member *self = g_hash_table_lookup(r->members, r->name);
 
 	if (!self || self->left_us || r->stopping ||
-	    rac_age_us(r, now_us) > list_max_age_us(r) ||
-	    (self->listed_us && now_us < self->listed_us + list_max_age_us(r)))
+	    raccount_keys_age_us(r, now_us) > list_max_age_us(r) ||
+	    (self->listed_at_us &&
+	     now_us < self->listed_at_us + list_max_age_us(r)))
 		return false;
 	return is_self_ranked(l);
 }
@@ -257,8 +259,9 @@
 static uint64_t filling_since_us(const struct relay *r)
 {
 	const struct member *self = g_hash_table_lookup(r->members, r->name);
-	uint64_t since_us =
-		self->listed_us ? self->listed_us + list_max_age_us(r) : 0;
+	uint64_t since_us = self->listed_at_us ?
+				    self->listed_at_us + list_max_age_us(r) :
+				    0;
 
 	return MAX(since_us, r->started_us);
 }
@@ -270,14 +273,14 @@
 	double spare = allowed_excess(l->relay, a);
 	double capacity = (a->burst + BUCKET_SPARE_SHARE * spare) * share;
 
-	if (!l->filled_us) {
+	if (!l->refilled_at_us) {
 		l->tokens = INITIAL_SPARE_SHARE * spare * share;
-		l->filled_us = filling_since_us(l->relay);
+		l->refilled_at_us = filling_since_us(l->relay);
 	}
-	l->tokens += a->rate_per_s * share * (double)(now_us - l->filled_us) /
-		     USEC_PER_SEC;
+	l->tokens += a->rate_per_s * share *
+		     (double)(now_us - l->refilled_at_us) / USEC_PER_SEC;
 	l->tokens = MIN(l->tokens, capacity);
-	l->filled_us = now_us;
+	l->refilled_at_us = now_us;
 }
 
 /* The time until the bucket has a whole token. */
@@ -295,15 +298,15 @@
  * Gives up to `wanted` tokens; when fewer, wait_us is the time until the next.
  * Returns false if this proxy is no grantor of the account.
  */
-bool rgr_grant(struct rlimit *l, unsigned wanted, unsigned *given,
-	       uint64_t *wait_us, uint64_t now_us)
+bool rgrantor_grant(struct rlimit *l, unsigned wanted, unsigned *given,
+		    uint64_t *wait_us, uint64_t now_us)
 {
 	const struct relay_account *a =
 		relay_catalog_account(l->relay->catalog, l->account);
 
 	*given = 0;
 	*wait_us = 0;
-	rgr_rank(l);
+	rgrantor_update_ranking(l);
 	if (!a || !is_grantor(l, now_us))
 		return false;
 	refill(l, a, now_us);
@@ -326,8 +329,8 @@
 }
 
 /* Answers another proxy's request for a number of an account's tokens. */
-void rgr_on_asked(struct rsession *s, const struct relay_statement *st,
-		  uint64_t now_us)
+void rgrantor_on_request(struct rsession *s, const struct relay_statement *st,
+			 uint64_t now_us)
 {
 	char *account = str_dup(st->name);
 	uint64_t wanted = 0, wait_us = 0;
@@ -336,9 +339,9 @@
 
 	if (!str_to_u64(st->text, &wanted) ||
 	    !relay_catalog_account(s->relay->catalog, account) ||
-	    !rgr_grant(rlm_find(s->relay, account),
-		       (unsigned)MIN(wanted, MAX_TOKENS_PER_REQUEST), &given,
-		       &wait_us, now_us)) {
+	    !rgrantor_grant(rlimit_find(s->relay, account),
+			    (unsigned)MIN(wanted, MAX_TOKENS_PER_REQUEST),
+			    &given, &wait_us, now_us)) {
 		send_answer(s, RELAY_MOVED, "no grantor of it");
 	} else {
 		g_snprintf(text, sizeof(text), "%u %" G_GUINT64_FORMAT, given,
--- a/packages/relay/src/climit.c
+++ b/packages/relay/src/inflight_limit.c
@@ -39,9 +39,9 @@
 #define UNLIMITED_SLOTS 4
 
 /* Whether the limit allows no further statement to the server now. */
-bool rcl_is_full(const struct rserver *s)
+bool inflight_is_full(const struct rserver *s)
 {
-	const struct rclimit *l = &s->limit;
+	const struct inflight_limit *l = &s->limit;
 
 	if (!l->most || !s->relay->guards.limit_in_flight)
 		return false;
@@ -49,12 +49,12 @@
 }
 
 /* Notes that one more connection is busy; n_busy includes it already. */
-void rcl_on_sent(struct rserver *s)
+void inflight_on_sent(struct rserver *s)
 {
 	s->limit.peak = MAX(s->limit.peak, s->n_busy);
 }
 
-static void decrease(struct rclimit *l)
+static void decrease(struct inflight_limit *l)
 {
 	double from = l->peak;
 
@@ -63,7 +63,7 @@
 	l->most = MAX(from * DECREASE_FACTOR, 1);
 }
 
-static void increase(struct rclimit *l, unsigned slots)
+static void increase(struct inflight_limit *l, unsigned slots)
 {
 	if (!l->most || l->peak < (unsigned)l->most)
 		return;
@@ -76,15 +76,15 @@
  * Notes how long the server took for a statement of the given latency target,
  * or that it shed it, and adapts the limit.
  */
-void rcl_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
-		   enum relay_code code, uint64_t now_us)
+void inflight_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
+			enum relay_code code, uint64_t now_us)
 {
-	struct rclimit *l = &s->limit;
+	struct inflight_limit *l = &s->limit;
 
 	l->n++;
 	if (code == RELAY_BUSY || took_us * SLOW_DIVISOR > aim_us)
 		l->n_slow++;
-	if (l->n < MIN_ANSWERS || now_us < l->judged_us + MIN_INTERVAL_US)
+	if (l->n < MIN_ANSWERS || now_us < l->evaluated_at_us + MIN_INTERVAL_US)
 		return;
 	if (l->n_slow * CONGESTED_DIVISOR > l->n)
 		decrease(l);
@@ -92,5 +92,5 @@
 		increase(l, MAX(s->info.slots, 1));
 	l->n = l->n_slow = 0;
 	l->peak = s->n_busy;
-	l->judged_us = now_us;
+	l->evaluated_at_us = now_us;
 }
--- a/packages/relay/src/limit.c
+++ b/packages/relay/src/limit.c
@@ -42,27 +42,27 @@
 }
 
 /* Creates the empty tables of limits. */
-void rlm_init(struct relay *r)
+void rlimit_init(struct relay *r)
 {
 	r->limits = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					  limit_free);
 	r->limits_active = g_hash_table_new(NULL, NULL);
 	r->grantors = rservice_create(r, RELAY_LIMITS);
 	r->grantors->peers = true;
-	rgr_init(r);
+	rgrantor_init(r);
 }
 
 /* Frees the tables; no connection or session may exist any more. */
-void rlm_clear(struct relay *r)
+void rlimit_clear(struct relay *r)
 {
-	rgr_clear(r);
+	rgrantor_clear(r);
 	g_hash_table_destroy(r->limits_active);
 	g_hash_table_destroy(r->limits);
 	rservice_destroy(r->grantors);
 }
 
 /* The limit of an account, created on first use. */
-struct rlimit *rlm_find(struct relay *r, const char *account)
+struct rlimit *rlimit_find(struct relay *r, const char *account)
 {
 	struct rlimit *l = g_hash_table_lookup(r->limits, account);
 
@@ -70,11 +70,11 @@
 		l = g_new0(struct rlimit, 1);
 		l->account = g_strdup(account);
 		l->relay = r;
-		l->ranked = r->members_changed - 1;
+		l->ranked = r->n_member_changes - 1;
 		g_queue_init(&l->waiting);
 		g_hash_table_insert(r->limits, l->account, l);
 	}
-	rgr_rank(l);
+	rgrantor_update_ranking(l);
 	return l;
 }
 
@@ -94,12 +94,12 @@
 /* Updates the average rate with n tokens that came now; n may be 0. */
 static void update_given_rate(struct rlimit *l, unsigned n, uint64_t now_us)
 {
-	uint64_t since_us = MIN(now_us - l->given_us, GIVEN_AVERAGE_US);
+	uint64_t since_us = MIN(now_us - l->given_at_us, GIVEN_AVERAGE_US);
 	double kept = 1 - (double)since_us / GIVEN_AVERAGE_US;
 
 	l->given_per_s = l->given_per_s * kept +
 			 n * (double)USEC_PER_SEC / GIVEN_AVERAGE_US;
-	l->given_us = now_us;
+	l->given_at_us = now_us;
 }
 
 /* Assumes the account's whole rate until this proxy's part of it is known. */
@@ -110,17 +110,17 @@
 
 	log_binds(l, true);
 	l->given_per_s = a ? a->rate_per_s : 0;
-	l->given_us = now_us;
-	l->turn_us = 0;
+	l->given_at_us = now_us;
+	l->last_retry_at_us = 0;
 }
 
 static void record_refused(struct rlimit *l, uint64_t now_us)
 {
 	l->n_refused++;
 	counter_add(l->relay->n_limited, 1);
-	if (!l->refused_us)
+	if (!l->last_refused_at_us)
 		begin_binding(l, now_us);
-	l->refused_us = now_us;
+	l->last_refused_at_us = now_us;
 }
 
 /* When the first grantor may have a token, not before now; NEVER_US: none. */
@@ -130,7 +130,7 @@
 	unsigned i;
 
 	for (i = 0; i < l->n_grantors; i++)
-		first_at_us = MIN(first_at_us, l->grantors[i].empty_until_us);
+		first_at_us = MIN(first_at_us, l->grantors[i].backoff_until_us);
 	return l->n_grantors ? MAX(first_at_us, now_us) : NEVER_US;
 }
 
@@ -150,8 +150,8 @@
 	update_given_rate(l, 0, now_us);
 	apart_us =
 		(uint64_t)(USEC_PER_SEC / MAX(l->given_per_s, MIN_GIVEN_PER_S));
-	l->turn_us = MAX(first_at_us, l->turn_us + apart_us);
-	return l->turn_us - now_us;
+	l->last_retry_at_us = MAX(first_at_us, l->last_retry_at_us + apart_us);
+	return l->last_retry_at_us - now_us;
 }
 
 static void refuse(struct rlimit *l, struct rsession *s, uint64_t now_us)
@@ -164,7 +164,7 @@
 	g_snprintf(text, sizeof(text),
 		   "the account is at its limit; come back in %u ms",
 		   (unsigned)(wait_us / USEC_PER_MSEC) + 1);
-	rrun_refuse_limited(s, text, now_us);
+	rrun_refuse_rate_limited(s, text, now_us);
 }
 
 static void refuse_unservable(struct rlimit *l, uint64_t first_at_us,
@@ -176,8 +176,8 @@
 		struct rsession *s = link->data;
 
 		next = link->next;
-		if (first_at_us <= s->run.token_by_us &&
-		    now_us < s->run.token_by_us)
+		if (first_at_us <= s->run.token_deadline_us &&
+		    now_us < s->run.token_deadline_us)
 			continue;
 		g_queue_unlink(&l->waiting, link);
 		refuse(l, s, now_us);
@@ -210,19 +210,19 @@
 static struct rserver *server_of(struct relay *r, const char *name,
 				 uint64_t now_us)
 {
-	const struct relay_server_info *p = rpr_find(r, name);
+	const struct relay_server_info *p = peers_find(r, name);
 	struct rserver *s;
 
 	if (!p)
 		return NULL;
-	s = rvi_list_home(r->grantors, p, now_us);
+	s = via_list_home(r->grantors, p, now_us);
 	s->asked_us = now_us;
 	return s;
 }
 
 static bool is_failing(const struct rserver *s)
 {
-	return s->failing_us != 0;
+	return s->failing_since_us != 0;
 }
 
 /* Chooses the first grantor that may have a token; false: none may now. */
@@ -230,15 +230,15 @@
 {
 	unsigned i;
 
-	if (l->chosen_us)
+	if (l->chosen_at_us)
 		return true;
 	for (i = 0; i < l->n_grantors; i++) {
 		const struct grantor *g = &l->grantors[i];
 
-		if (now_us < g->empty_until_us)
+		if (now_us < g->backoff_until_us)
 			continue;
 		l->chosen = i;
-		l->chosen_us = now_us;
+		l->chosen_at_us = now_us;
 		return true;
 	}
 	return false;
@@ -248,8 +248,8 @@
 static void back_off(struct rlimit *l, uint64_t for_us, uint64_t now_us)
 {
 	if (l->chosen < l->n_grantors)
-		l->grantors[l->chosen].empty_until_us = now_us + for_us;
-	l->chosen_us = 0;
+		l->grantors[l->chosen].backoff_until_us = now_us + for_us;
+	l->chosen_at_us = 0;
 }
 
 static void ask_self(struct rlimit *l, uint64_t now_us)
@@ -257,11 +257,11 @@
 	uint64_t wait_us;
 	unsigned given;
 
-	if (!rgr_grant(l, l->waiting.length, &given, &wait_us, now_us))
+	if (!rgrantor_grant(l, l->waiting.length, &given, &wait_us, now_us))
 		wait_us = FAILED_GRANTOR_BACKOFF_US;
 	if (wait_us)
 		back_off(l, wait_us, now_us);
-	l->chosen_us = 0;
+	l->chosen_at_us = 0;
 	distribute(l, given, now_us, now_us);
 }
 
@@ -278,10 +278,10 @@
 	st.text.data = text;
 	st.text.len = str_put_u64(text, l->waiting.length);
 	g_queue_unlink(&server->idle, &c->link);
-	c->state = RCONN_LENT;
+	c->state = RCONN_IN_USE;
 	c->ask = l;
 	l->ask = c;
-	rcn_send(c, STEP_TAKE, &st, GRANT_TIMEOUT_US, now_us);
+	rconn_send(c, STEP_TAKE, &st, GRANT_TIMEOUT_US, now_us);
 }
 
 /*
@@ -294,14 +294,14 @@
 		server_of(l->relay, l->grantors[l->chosen].name, now_us);
 
 	if (!server || is_failing(server) ||
-	    now_us > l->chosen_us + GRANT_TIMEOUT_US) {
+	    now_us > l->chosen_at_us + GRANT_TIMEOUT_US) {
 		back_off(l, FAILED_GRANTOR_BACKOFF_US, now_us);
 		return false;
 	}
 	if (server->idle.length)
 		send_request(l, server, now_us);
 	else if (!server->opening.length)
-		rcn_open(server, "", now_us);
+		rconn_open(server, "", now_us);
 	return true;
 }
 
@@ -322,8 +322,8 @@
 }
 
 /* Handles a grantor's answer: the tokens, and when it will have more. */
-void rlm_on_answer(struct rconn *c, const struct relay_answer *answer,
-		   uint64_t now_us)
+void rlimit_on_answer(struct rconn *c, const struct relay_answer *answer,
+		      uint64_t now_us)
 {
 	struct rlimit *l = c->ask;
 	struct str rest = answer->text;
@@ -331,7 +331,7 @@
 	uint64_t given = 0, wait_us = 0;
 
 	c->ask = NULL;
-	rcn_give_back(c, now_us);
+	rconn_release(c, now_us);
 	if (!l)
 		return;
 	l->ask = NULL;
@@ -341,13 +341,13 @@
 		wait_us = FAILED_GRANTOR_BACKOFF_US;
 	if (wait_us)
 		back_off(l, wait_us, now_us);
-	l->chosen_us = 0;
+	l->chosen_at_us = 0;
 	distribute(l, (unsigned)given, asked_us, now_us);
 	request_tokens(l, now_us);
 }
 
 /* Handles a lost connection with a request: the next grantor is asked. */
-void rlm_on_lost(struct rconn *c, uint64_t now_us)
+void rlimit_on_lost(struct rconn *c, uint64_t now_us)
 {
 	struct rlimit *l = c->ask;
 
@@ -355,22 +355,22 @@
 		return;
 	c->ask = NULL;
 	l->ask = NULL;
-	rsv_failed(c->server, false, now_us);
+	rserver_on_failure(c->server, false, now_us);
 	back_off(l, FAILED_GRANTOR_BACKOFF_US, now_us);
 }
 
 /* Drops the request in flight on a connection that this proxy closes. */
-void rlm_forget(struct rconn *c)
+void rlimit_on_closing(struct rconn *c)
 {
 	if (!c->ask)
 		return;
 	c->ask->ask = NULL;
-	c->ask->chosen_us = 0;
+	c->ask->chosen_at_us = 0;
 	c->ask = NULL;
 }
 
 /* Goes on with all limits after a connection was opened or lost. */
-void rlm_serve_all(struct relay *r, uint64_t now_us)
+void rlimit_request_all(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -382,28 +382,28 @@
 }
 
 /* Whether the session's operation needs a token before it starts. */
-bool rlm_applies(const struct rsession *s)
+bool rlimit_applies(const struct rsession *s)
 {
 	const struct relay *r = s->relay;
-	bool has_token = s->state != 'I' && s->limited;
+	bool has_token = s->state != 'I' && s->has_txn_token;
 
 	return r->settings.limits && r->guards.limit_accounts && !s->peer &&
 	       *s->account && !has_token;
 }
 
 /* Queues the operation for a token, which it may get at once. */
-void rlm_take(struct rsession *s, uint64_t now_us)
+void rlimit_queue(struct rsession *s, uint64_t now_us)
 {
-	struct rlimit *l = rlm_find(s->relay, s->account);
+	struct rlimit *l = rlimit_find(s->relay, s->account);
 
-	s->run.state = RRUN_LIMITED;
+	s->run.state = RRUN_AWAITING_TOKEN;
 	g_hash_table_add(s->relay->limits_active, l);
 	g_queue_push_tail_link(&l->waiting, &s->run.link);
 	request_tokens(l, now_us);
 }
 
 /* Removes the operation of a session that ends from the queue. */
-void rlm_drop(struct rsession *s)
+void rlimit_dequeue(struct rsession *s)
 {
 	struct rlimit *l = g_hash_table_lookup(s->relay->limits, s->account);
 
@@ -412,7 +412,7 @@
 }
 
 /* Refuses an operation that has waited too long for its token. */
-void rlm_give_up(struct rsession *s, uint64_t now_us)
+void rlimit_on_timeout(struct rsession *s, uint64_t now_us)
 {
 	struct rlimit *l = g_hash_table_lookup(s->relay->limits, s->account);
 
@@ -432,7 +432,7 @@
 		if (!s->listed || now_us < s->asked_us + UNUSED_CLOSE_US)
 			continue;
 		s->listed = false;
-		s->unlisted_us = now_us;
+		s->unlisted_at_us = now_us;
 	}
 }
 
@@ -440,24 +440,26 @@
 static bool tick_limit(struct rlimit *l, uint64_t now_us)
 {
 	request_tokens(l, now_us);
-	if (l->refused_us && now_us >= l->refused_us + BINDS_US) {
+	if (l->last_refused_at_us &&
+	    now_us >= l->last_refused_at_us + BINDS_US) {
 		log_binds(l, false);
-		l->refused_us = 0;
+		l->last_refused_at_us = 0;
 		l->n_refused = 0;
 	}
-	return !l->refused_us && !l->waiting.length && !l->ask;
+	return !l->last_refused_at_us && !l->waiting.length && !l->ask;
 }
 
 /* Handles the timers of all limits. */
-void rlm_tick(struct relay *r, uint64_t now_us)
+void rlimit_tick(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!r->settings.limits || now_us < r->limits_us + LIMITS_TICK_US)
+	if (!r->settings.limits ||
+	    now_us < r->limits_ticked_at_us + LIMITS_TICK_US)
 		return;
-	r->limits_us = now_us;
-	rgr_tick(r, now_us);
+	r->limits_ticked_at_us = now_us;
+	rgrantor_tick(r, now_us);
 	close_unused(r, now_us);
 	g_hash_table_iter_init(&iter, r->limits_active);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
@@ -471,14 +473,14 @@
 
 	return !relay_catalog_account(r->catalog, l->account) &&
 	       !g_hash_table_contains(r->limits_active, l) &&
-	       now_us > l->filled_us + FORGET_US;
+	       now_us > l->refilled_at_us + FORGET_US;
 }
 
 /*
  * Drops the limits of accounts that are no longer configured. An account that
  * is soon configured again finds its bucket unchanged.
  */
-void rlm_on_catalog(struct relay *r, uint64_t now_us)
+void rlimit_on_catalog(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -490,7 +492,7 @@
 }
 
 /* Appends the limits in force, as JSON. */
-void rlm_write_status(const struct relay *r, GString *out)
+void rlimit_write_status(const struct relay *r, GString *out)
 {
 	const char *comma = "";
 	GHashTableIter iter;
@@ -501,7 +503,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rlimit *l = value;
 
-		if (!l->refused_us)
+		if (!l->last_refused_at_us)
 			continue;
 		g_string_append_printf(out,
 				       "%s{\"account\":\"%s\",\"refused\":"
--- a/packages/relay/src/limit_internal.h
+++ b/packages/relay/src/limit_internal.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_RELAY_LIMIT_INTERNAL_H
 
 /*
- * Rate limits of client accounts. Prefixes: rlm_ operations that wait for a
- * token, and the requests for tokens; rgr_ the grantors, which give tokens.
+ * Rate limits of client accounts. Prefixes: rlimit_ operations that wait for a
+ * token, and the requests for tokens; rgrantor_ the grantors, which give
+ * tokens.
  */
 
 #include "relay_internal.h"
@@ -11,7 +12,8 @@
 /* A proxy that is listed, or was until recently, and may be a grantor. */
 struct member {
 	char *name;
-	uint64_t listed_us; /* joined the list then, 0: it was in the first */
+	uint64_t
+		listed_at_us; /* joined the list then, 0: it was in the first */
 	uint64_t left_us; /* left the list then, 0: still listed */
 	unsigned list; /* number of the newest list with it */
 };
@@ -19,7 +21,7 @@
 /* A proxy that gives tokens of one account. */
 struct grantor {
 	char *name;
-	uint64_t empty_until_us; /* not asked until then */
+	uint64_t backoff_until_us; /* not asked until then */
 };
 
 /* The rate limit of one account, as seen by this proxy. */
@@ -28,32 +30,33 @@
 	struct relay *relay;
 	/* This proxy's token bucket, if it is a grantor of the account. */
 	double tokens;
-	uint64_t filled_us; /* last refill, 0: never used yet */
+	uint64_t refilled_at_us; /* last refill, 0: never used yet */
 	/* Operations of this proxy's callers that need tokens. */
 	GQueue waiting; /* struct rsession by arrival */
 	struct rconn *ask; /* carries the request in flight, or NULL */
 	unsigned n_grantors;
-	struct grantor grantors[LIMIT_GRANTORS]; /* in asking order */
-	unsigned ranked; /* members_changed that `grantors` are of */
+	struct grantor grantors[MAX_GRANTORS]; /* in asking order */
+	unsigned ranked; /* n_member_changes that `grantors` are of */
 	unsigned chosen; /* index of the grantor that is being asked */
-	uint64_t chosen_us; /* it was chosen then, 0: none is being asked */
+	uint64_t chosen_at_us; /* it was chosen then, 0: none is being asked */
 	/* The limit is in force: it refused an operation a short time ago. */
-	uint64_t refused_us; /* last refusal, 0: not in force */
+	uint64_t last_refused_at_us; /* last refusal, 0: not in force */
 	uint64_t n_refused; /* operations, since it came into force */
 	double given_per_s; /* average rate of tokens that came here */
-	uint64_t given_us; /* given_per_s was updated then */
-	uint64_t turn_us; /* when the last refused caller was told to retry */
+	uint64_t given_at_us; /* given_per_s was updated then */
+	uint64_t last_retry_at_us; /* when the last refused caller was told to
+				      retry */
 };
 
 /* grantor.c */
-void rgr_init(struct relay *r);
-void rgr_clear(struct relay *r);
-void rgr_rank(struct rlimit *l);
-bool rgr_grant(struct rlimit *l, unsigned wanted, unsigned *given,
-	       uint64_t *wait_us, uint64_t now_us);
-void rgr_tick(struct relay *r, uint64_t now_us);
+void rgrantor_init(struct relay *r);
+void rgrantor_clear(struct relay *r);
+void rgrantor_update_ranking(struct rlimit *l);
+bool rgrantor_grant(struct rlimit *l, unsigned wanted, unsigned *given,
+		    uint64_t *wait_us, uint64_t now_us);
+void rgrantor_tick(struct relay *r, uint64_t now_us);
 
 /* limit.c */
-struct rlimit *rlm_find(struct relay *r, const char *account);
+struct rlimit *rlimit_find(struct relay *r, const char *account);
 
 #endif
--- a/packages/relay/src/outlier.c
+++ b/packages/relay/src/outlier.c
@@ -32,9 +32,9 @@
 #define MAX_HALF_LIVES 20
 
 /* The penalty that is added to the server's cost now. */
-uint64_t rol_cost_us(const struct routlier *o, uint64_t now_us)
+uint64_t routlier_cost_us(const struct routlier *o, uint64_t now_us)
 {
-	uint64_t since_us = now_us - MIN(o->noted_us, now_us);
+	uint64_t since_us = now_us - MIN(o->updated_at_us, now_us);
 	uint64_t half_lives = since_us / HALF_LIFE_US;
 
 	return half_lives > MAX_HALF_LIVES ? 0 : o->cost_us >> half_lives;
@@ -42,14 +42,15 @@
 
 static void add_sample(struct routlier *o, uint64_t us, uint64_t now_us)
 {
-	uint64_t before_us = rol_cost_us(o, now_us);
+	uint64_t before_us = routlier_cost_us(o, now_us);
 
 	o->cost_us = (before_us * (WEIGHT - 1) + us) / WEIGHT;
-	o->noted_us = now_us;
+	o->updated_at_us = now_us;
 }
 
 /* Notes the server's answer to a caller's statement. */
-void rol_on_answer(struct routlier *o, enum relay_code code, uint64_t now_us)
+void routlier_on_answer(struct routlier *o, enum relay_code code,
+			uint64_t now_us)
 {
 	if (code == RELAY_OK)
 		add_sample(o, 0, now_us);
@@ -60,7 +61,7 @@
 }
 
 /* Notes an answer that is lost or later than usual. */
-void rol_on_lost(struct routlier *o, uint64_t now_us)
+void routlier_on_lost(struct routlier *o, uint64_t now_us)
 {
 	add_sample(o, LOST_COST_US, now_us);
 }
--- a/packages/relay/src/partition.c
+++ b/packages/relay/src/partition.c
@@ -29,7 +29,8 @@
 
 static bool misses_its_primary(const struct rservice *v, uint64_t now_us)
 {
-	return v->in_vain_us && now_us > v->in_vain_us + UNSERVED_MIN_US;
+	return v->unserved_since_us &&
+	       now_us > v->unserved_since_us + UNSERVED_MIN_US;
 }
 
 /*
@@ -48,7 +49,7 @@
 		for (i = 0; i < via->servers->len; i++) {
 			const struct rserver *s = rservice_server(via, i);
 
-			if (s->listed && s->failing_us)
+			if (s->listed && s->failing_since_us)
 				return true;
 		}
 	}
@@ -56,21 +57,22 @@
 }
 
 /* Whether this proxy can't serve the service while others may. */
-bool rco_is_cut_off(const struct rservice *v, uint64_t now_us)
+bool rpartition_is_cut_off(const struct rservice *v, uint64_t now_us)
 {
 	return v->relay->guards.leave_when_cut_off && v->relay->store_lost &&
 	       misses_its_primary(v, now_us) && misses_a_proxy(v->relay);
 }
 
 /* The same, for any service. */
-bool rco_is_any_cut_off(const struct relay *r, uint64_t now_us)
+bool rpartition_is_any_cut_off(const struct relay *r, uint64_t now_us)
 {
 	unsigned i;
 
 	if (!r->store_lost)
 		return false;
 	for (i = 0; i < r->served->len; i++)
-		if (rco_is_cut_off(g_ptr_array_index(r->served, i), now_us))
+		if (rpartition_is_cut_off(g_ptr_array_index(r->served, i),
+					  now_us))
 			return true;
 	return false;
 }
@@ -79,7 +81,7 @@
  * A proxy that is not ready gets no statements, which would show that the
  * primary is usable again. So this keeps probing for it as if they came.
  */
-void rco_tick(struct relay *r, uint64_t now_us)
+void rpartition_tick(struct relay *r, uint64_t now_us)
 {
 	unsigned i;
 
@@ -88,9 +90,9 @@
 	for (i = 0; i < r->served->len; i++) {
 		struct rservice *v = g_ptr_array_index(r->served, i);
 
-		if (!rco_is_cut_off(v, now_us))
+		if (!rpartition_is_cut_off(v, now_us))
 			continue;
-		rpk_note_primary_use(v, now_us, now_us);
-		v->wanted_us = now_us;
+		rpick_track_primary_use(v, now_us, now_us);
+		v->wanted_at_us = now_us;
 	}
 }
--- a/packages/relay/src/peer.c
+++ b/packages/relay/src/peer.c
@@ -41,15 +41,15 @@
 }
 
 /* An empty table of proxies, by name. */
-GHashTable *rpr_table(void)
+GHashTable *peers_table_new(void)
 {
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				     peer_free);
 }
 
 /* The other proxy of that name; NULL: not listed. */
-const struct relay_server_info *rpr_find(const struct relay *r,
-					 const char *name)
+const struct relay_server_info *peers_find(const struct relay *r,
+					   const char *name)
 {
 	const struct rpeer *p = g_hash_table_lookup(r->peers, name);
 
@@ -80,7 +80,7 @@
 	if (relay_server_info_equal(&p->info, info))
 		return;
 	relay_server_info_replace(&p->info, info);
-	rvi_update_home(r, &p->info, now_us);
+	via_on_proxy_changed(r, &p->info, now_us);
 }
 
 /* Collects the names that the newest list lacks. */
@@ -106,9 +106,9 @@
 	g_hash_table_iter_init(&iter, r->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		for (i = 0; i < added->len; i++)
-			rrk_on_come(value, g_ptr_array_index(added, i));
+			rank_on_added(value, g_ptr_array_index(added, i));
 		for (i = 0; i < removed->len; i++)
-			rrk_on_gone(value, g_ptr_array_index(removed, i));
+			rank_on_removed(value, g_ptr_array_index(removed, i));
 	}
 }
 
@@ -163,7 +163,7 @@
 		      unsigned n, uint64_t now_us)
 {
 	bool is_first = !r->n_peer_lists && !r->peers_pending;
-	unsigned n_known = rrl_proxies(r);
+	unsigned n_known = role_proxy_count(r);
 
 	r->self_listed = r->self_listed || names_self(r, infos, n);
 	if (is_first ? !r->self_listed :
@@ -199,7 +199,7 @@
 	for (i = 0; i < removed->len; i++)
 		g_hash_table_remove(r->peers, g_ptr_array_index(removed, i));
 	if (added->len || removed->len)
-		r->peers_changed++;
+		r->n_peer_changes++;
 	g_ptr_array_unref(added);
 	g_ptr_array_unref(removed);
 }
@@ -209,9 +209,9 @@
 {
 	log_peers(r, "proxies", count_others(r, infos, n));
 	merge_list(r, infos, n, now_us);
-	if (rrl_update(r))
-		rrl_list_served(r);
-	rvi_list_all(r, now_us);
+	if (role_update_all(r))
+		role_update_served(r);
+	via_update_homes(r, now_us);
 	rrun_dispatch(r, now_us);
 }
 
@@ -239,7 +239,7 @@
 }
 
 /* Frees the lists of other proxies and of served services. */
-void rpr_clear(struct relay *r)
+void peers_clear(struct relay *r)
 {
 	free_pending_list(r);
 	g_hash_table_destroy(r->peers);
@@ -252,9 +252,9 @@
  * be reached any more is noticed without the list. With rate limits every list
  * is taken, as the grantors of tokens depend on its age.
  */
-bool relay_takes_peers(const struct relay *r, unsigned n, uint64_t now_us)
+bool relay_wants_peers(const struct relay *r, unsigned n, uint64_t now_us)
 {
-	unsigned n_known = rrl_proxies(r);
+	unsigned n_known = role_proxy_count(r);
 
 	return r->settings.limits || !is_small_change(n, n_known) ||
 	       now_us >= r->peers_listed_at_us +
@@ -276,7 +276,7 @@
 
 	note_list(r, infos, n_infos, now_us);
 	feed_source_on_proxies(r->feed_source, infos, n_infos);
-	rgr_on_peers(r, infos, n_infos, now_us);
+	rgrantor_on_peers(r, infos, n_infos, now_us);
 	free_pending_list(r);
 	r->peers_listed_at_us = now_us;
 	if (n_others * 2 >= g_hash_table_size(r->peers))
@@ -286,34 +286,34 @@
 }
 
 /* Leaves the homes as they are, since these depend on the whole list. */
-void relay_on_first_peers(struct relay *r,
-			  const struct relay_server_info *infos,
-			  unsigned n_infos, uint64_t now_us)
+void relay_on_partial_peers(struct relay *r,
+			    const struct relay_server_info *infos,
+			    unsigned n_infos, uint64_t now_us)
 {
 	(void)now_us;
 	feed_source_on_proxies(r->feed_source, infos, n_infos);
 }
 
 /* Updates homes after a change of the configuration. */
-void rpr_on_catalog(struct relay *r, uint64_t now_us)
+void peers_on_catalog(struct relay *r, uint64_t now_us)
 {
-	r->peers_changed++; /* homes depend on connection limits */
-	rrl_update(r);
-	rrl_list_served(r); /* services may have been added or removed */
-	rvi_list_all(r, now_us);
+	r->n_peer_changes++; /* homes depend on connection limits */
+	role_update_all(r);
+	role_update_served(r); /* services may have been added or removed */
+	via_update_homes(r, now_us);
 }
 
 /* Takes on the role of home once the list of proxies is complete. */
 static void begin_serving(struct relay *r, uint64_t now_us)
 {
 	r->knows_fleet = true;
-	rrl_update(r);
-	rrl_list_served(r);
-	rvi_list_all(r, now_us);
+	role_update_all(r);
+	role_update_served(r);
+	via_update_homes(r, now_us);
 }
 
 /* Applies a short list that no other list has followed. */
-void rpr_tick(struct relay *r, uint64_t now_us)
+void peers_tick(struct relay *r, uint64_t now_us)
 {
 	if (!r->knows_fleet && is_list_complete(r, now_us))
 		begin_serving(r, now_us);
@@ -322,5 +322,5 @@
 		apply_list(r, r->peers_pending, r->n_peers_pending, now_us);
 		free_pending_list(r);
 	}
-	rrl_end_spares(r, now_us);
+	role_end_spares(r, now_us);
 }
--- a/packages/relay/src/pick.c
+++ b/packages/relay/src/pick.c
@@ -37,10 +37,10 @@
 		       PRIMARY_COST_US;
 	if (g_strcmp0(s->info.zone, s->relay->zone))
 		cost += OTHER_ZONE_COST_US;
-	if (s->service->peers && !rvi_is_good_home(s, now_us))
+	if (s->service->peers && !via_is_good_home(s, now_us))
 		cost += BAD_HOME_COST_US;
 	if (s->relay->guards.avoid_outliers)
-		cost += rol_cost_us(&s->outlier, now_us);
+		cost += routlier_cost_us(&s->outlier, now_us);
 	return cost;
 }
 
@@ -56,7 +56,7 @@
 {
 	const struct rrun *run = &session->run;
 
-	if (rcn_has_idle(s, rcn_account(s, session)))
+	if (rconn_has_idle(s, rconn_account(s, session)))
 		return 0;
 	return OPEN_COST_US + (now_us - MIN(run->arrived_us, now_us));
 }
@@ -65,23 +65,23 @@
 static bool can_provide_conn(struct rserver *s, const struct rsession *session,
 			     uint64_t now_us)
 {
-	const char *account = rcn_account(s, session);
+	const char *account = rconn_account(s, session);
 
-	return !rcl_is_full(s) &&
-	       (rcn_has_idle(s, account) || rcn_is_opening(s, account) ||
-		rcn_may_open(s, now_us) || rcn_make_room(s, false, now_us));
+	return !inflight_is_full(s) &&
+	       (rconn_has_idle(s, account) || rconn_is_opening(s, account) ||
+		rconn_may_open(s, now_us) || rconn_make_room(s, false, now_us));
 }
 
 /* The reason why the primary may run nothing now; NULL: it may. */
 static const char *primary_blocker(const struct rserver *s, uint64_t now_us)
 {
-	if (!rsv_leads_on(s, now_us))
+	if (!rserver_takes_primary_work(s, now_us))
 		return "leaving";
-	if (!rsv_is_up(s))
+	if (!rserver_is_up(s))
 		return "down";
-	if (!rld_holds(s->service, now_us))
+	if (!rprimary_lease_holds(s->service, now_us))
 		return "lease-over";
-	if (rch_is_running(s->service))
+	if (rfailover_is_running(s->service))
 		return "being-replaced";
 	return NULL;
 }
@@ -107,16 +107,16 @@
 	    now_us > floor->us + s->lag_us + LAG_MARGIN_US)
 		return true;
 	return now_us > floor->us + USUAL_LAG_US &&
-	       now_us > s->lagging_us + LAGGING_PENALTY_US;
+	       now_us > s->lag_seen_at_us + LAGGING_PENALTY_US;
 }
 
 /* The reason why a replica may not run the read; NULL: it may. */
 static const char *replica_blocker(const struct rserver *s,
 				   const struct rsample *floor, uint64_t now_us)
 {
-	if (!rsv_takes_work(s, now_us))
+	if (!rserver_takes_work(s, now_us))
 		return s->info.leaving ? "leaving" : "not-listed";
-	if (!rsv_is_up(s))
+	if (!rserver_is_up(s))
 		return "down";
 	if (s->status.role != ROLE_REPLICA)
 		return "not-a-replica";
@@ -130,11 +130,11 @@
 		     const struct rservice *v, struct rsample *out,
 		     uint64_t now_us)
 {
-	if (!rld_floor(v, profile->max_age_us, now_us, out))
+	if (!rprimary_read_floor(v, profile->max_age_us, now_us, out))
 		return false;
 	if (profile->kind == RELAY_KIND_OWN_WRITES &&
 	    position_cmp(s->floor, out->position) > 0)
-		*out = (struct rsample){ .us = s->floor_us,
+		*out = (struct rsample){ .us = s->floor_at_us,
 					 .position = s->floor };
 	return true;
 }
@@ -150,8 +150,8 @@
 }
 
 /* Makes the server the best candidate if it is the cheapest so far. */
-void rpk_consider(struct rserver *s, struct rserver **best, uint64_t *least,
-		  const struct rsession *session, uint64_t now_us)
+void rpick_consider(struct rserver *s, struct rserver **best, uint64_t *least,
+		    const struct rsession *session, uint64_t now_us)
 {
 	uint64_t cost;
 
@@ -185,38 +185,40 @@
 								now_us);
 
 		if (ok)
-			rpk_consider(server, &best, &least, s, now_us);
+			rpick_consider(server, &best, &least, s, now_us);
 	}
 	return best;
 }
 
 /* Finds an idle connection to the chosen server, or starts to open one. */
-void rpk_take_conn(struct rsession *s, struct rpick *out, uint64_t now_us)
+void rpick_find_conn(struct rsession *s, struct rpick *out, uint64_t now_us)
 {
 	struct rserver *server = out->server;
-	const char *account = rcn_account(server, s);
+	const char *account = rconn_account(server, s);
 
-	if (rcl_is_full(server))
+	if (inflight_is_full(server))
 		return;
-	out->conn = rcn_take(server, s);
-	if (out->conn || rcn_is_opening(server, account))
+	out->conn = rconn_find_idle(server, s);
+	if (out->conn || rconn_is_opening(server, account))
 		return;
-	if (rcn_may_open(server, now_us) || rcn_make_room(server, true, now_us))
-		rcn_open(server, account, now_us);
+	if (rconn_may_open(server, now_us) ||
+	    rconn_make_room(server, true, now_us))
+		rconn_open(server, account, now_us);
 }
 
 /*
  * Tracks since when statements have needed the primary while it could not be
  * used. A gap of more than MAX_WANTED_GAP_US between them starts anew.
  */
-void rpk_note_primary_use(struct rservice *v, uint64_t wanted_us,
-			  uint64_t now_us)
+void rpick_track_primary_use(struct rservice *v, uint64_t wanted_at_us,
+			     uint64_t now_us)
 {
 	if (v->primary && primary_may_run(v->primary, now_us)) {
-		v->usable_us = now_us;
-		v->in_vain_us = 0;
-	} else if (!v->in_vain_us || now_us > wanted_us + MAX_WANTED_GAP_US) {
-		v->in_vain_us = now_us;
+		v->primary_usable_at_us = now_us;
+		v->unserved_since_us = 0;
+	} else if (!v->unserved_since_us ||
+		   now_us > wanted_at_us + MAX_WANTED_GAP_US) {
+		v->unserved_since_us = now_us;
 	}
 }
 
@@ -233,7 +235,7 @@
 			   server == v->primary ? "primary-cheaper" :
 						  "replica";
 	} else {
-		if (v->usable_us == now_us)
+		if (v->primary_usable_at_us == now_us)
 			server = v->primary;
 		out->why = server ? "primary" : "no-primary";
 	}
@@ -246,7 +248,7 @@
  * Chooses a server and a connection for the session's run. If there is no idle
  * connection the run stays in the queue, and one is opened where possible.
  */
-void rpk_choose(struct rsession *s, struct rpick *out, uint64_t now_us)
+void rpick_choose(struct rsession *s, struct rpick *out, uint64_t now_us)
 {
 	const struct relay_profile *profile =
 		relay_catalog_profile(s->relay->catalog, s->database);
@@ -259,21 +261,21 @@
 	if (!v)
 		return;
 	if (!v->is_home && !s->peer) {
-		rvi_choose(s, profile, v, out, now_us);
+		via_choose(s, profile, v, out, now_us);
 		return;
 	}
 	if (s->peer)
-		rrl_on_asked(v, now_us);
-	rpk_note_primary_use(v, v->wanted_us, now_us);
-	v->wanted_us = now_us;
-	rld_renew(v, now_us);
+		role_on_asked(v, now_us);
+	rpick_track_primary_use(v, v->wanted_at_us, now_us);
+	v->wanted_at_us = now_us;
+	rprimary_renew_lease(v, now_us);
 	out->server = choose_own(s, v, profile, out, now_us);
 	if (out->server)
-		rpk_take_conn(s, out, now_us);
-	else if (rvi_may_help(s, v, now_us))
-		rvi_choose(s, profile, v, out, now_us);
+		rpick_find_conn(s, out, now_us);
+	else if (via_may_bypass(s, v, now_us))
+		via_choose(s, profile, v, out, now_us);
 	else
-		out->cut_off = s->peer && rvi_is_cut_off(v, now_us);
+		out->cut_off = s->peer && via_is_cut_off(v, now_us);
 }
 
 static const char *role_name(const struct rserver *s)
@@ -286,7 +288,7 @@
 static void log_server(struct rserver *s, const struct rsession *session,
 		       const char *blocker, struct log_line *l, uint64_t now_us)
 {
-	if (!blocker && rcl_is_full(s))
+	if (!blocker && inflight_is_full(s))
 		blocker = "at-limit";
 	if (!blocker && !can_provide_conn(s, session, now_us))
 		blocker = "no-connection";
@@ -307,7 +309,7 @@
 		return;
 	}
 	log_cstr(l, "role", role_name(s));
-	rlg_position(l, "applied", s->applied);
+	rlog_position(l, "applied", s->applied);
 	if (s->lag_us != NEVER_US)
 		log_u64(l, "lag_ms", s->lag_us / USEC_PER_MSEC);
 	log_u64(l, "connections_of_all", s->status.connections);
@@ -324,9 +326,9 @@
 	log_list(l, "homes");
 	for (i = 0; i < via->servers->len; i++) {
 		struct rserver *s = rservice_server(via, i);
-		const char *blocker = !s->listed    ? "not-listed" :
-				      !rsv_is_up(s) ? "down" :
-						      NULL;
+		const char *blocker = !s->listed	? "not-listed" :
+				      !rserver_is_up(s) ? "down" :
+							  NULL;
 
 		log_server(s, session, blocker, l, now_us);
 	}
@@ -347,9 +349,9 @@
 }
 
 /* Logs each server of the service, with the reason why it can't run this. */
-void rpk_log_candidates(const struct rsession *s,
-			const struct relay_profile *profile, struct log_line *l,
-			uint64_t now_us)
+void rpick_log_candidates(const struct rsession *s,
+			  const struct relay_profile *profile,
+			  struct log_line *l, uint64_t now_us)
 {
 	struct relay *r = s->relay;
 	struct rservice *v = g_hash_table_lookup(r->services, profile->service);
--- a/packages/relay/src/primary.c
+++ b/packages/relay/src/primary.c
@@ -6,7 +6,7 @@
  * writes are lost. Guard: a proxy that replaces a primary first makes it step
  * down, or pauses every other server with a higher term; either way it then
  * waits until `authority_us` has passed. So the lease lasts that long from the
- * moment when a replica whose confirmation is trusted (see word.c) was asked
+ * moment when a replica whose confirmation is trusted (see trust.c) was asked
  * and knew of no higher term.
  */
 #define LOG_MODULE "lead"
@@ -49,17 +49,18 @@
 	const struct rserver *p = v->primary;
 	const struct relay *r = v->relay;
 
-	if (v->had_others && !rwd_is_list_fresh(r, at_us))
+	if (v->had_several_servers && !rtrust_is_list_fresh(r, at_us))
 		return true;
-	return r->guards.doubt_newcomers && rwd_is_doubted(p, at_us) &&
-	       at_us < r->duty_used_us + PROMOTED_WITHIN_US;
+	return r->guards.distrust_newly_listed &&
+	       rtrust_is_in_doubt(p, at_us) &&
+	       at_us < r->duty_others_seen_at_us + PROMOTION_MAX_US;
 }
 
 /*
  * Whether the lease holds at at_us: no other server can have become primary
  * before then. A server without others beside it can't be replaced.
  */
-bool rld_holds(const struct rservice *v, uint64_t at_us)
+bool rprimary_lease_holds(const struct rservice *v, uint64_t at_us)
 {
 	if (!v->primary)
 		return false;
@@ -69,12 +70,12 @@
 }
 
 /* Probes every server of the service with the next tick. */
-void rld_ask(struct rservice *v)
+void rprimary_probe_all(struct rservice *v)
 {
 	unsigned i;
 
 	for (i = 0; i < v->servers->len; i++)
-		rsv_probe_soon(rservice_server(v, i));
+		rserver_probe_soon(rservice_server(v, i));
 }
 
 static void log_primary(const struct rservice *v, const struct rserver *s,
@@ -121,7 +122,7 @@
 		v->n_samples = 0;
 	v->samples_term = s->status.term;
 	set_term(v, s->status.term, now_us);
-	rld_ask(v);
+	rprimary_probe_all(v);
 }
 
 /*
@@ -145,7 +146,7 @@
 		 evidence == EVIDENCE_STATUS ? "status" : "applied");
 	log_u64(l, "asked_ms", (now_us - MIN(at_us, now_us)) / USEC_PER_MSEC);
 	log_u64(l, "listed_ms",
-		(now_us - MIN(by->listed_us, now_us)) / USEC_PER_MSEC);
+		(now_us - MIN(by->listed_at_us, now_us)) / USEC_PER_MSEC);
 	log_event_end(l);
 }
 
@@ -157,7 +158,7 @@
 
 	if (!v->primary || at_us <= v->confirmed_us)
 		return;
-	rwd_end_doubts(v, at_us);
+	rtrust_end_doubts(v, at_us);
 	v->confirmed_us = at_us;
 	v->confirmed_by = by;
 	if (by->confirmation_logged[evidence] == v->primary_changes)
@@ -167,7 +168,7 @@
 }
 
 /* Stops relying on the server if it is the primary. */
-void rld_drop(struct rserver *s, uint64_t now_us)
+void rprimary_drop(struct rserver *s, uint64_t now_us)
 {
 	if (s->service->primary == s)
 		set_primary(s->service, NULL, now_us);
@@ -184,7 +185,7 @@
 	const struct rservice *v = s->service;
 	struct position newest;
 
-	if (!s->relay->guards.doubt_reborn || !v->n_samples ||
+	if (!s->relay->guards.distrust_restarted || !v->n_samples ||
 	    s->status.term != v->samples_term)
 		return false;
 	newest = v->samples[(v->n_samples - 1) % MAX_SAMPLES].position;
@@ -195,19 +196,19 @@
  * The server may have restarted. A primary must show itself as one again, and
  * what a replica said about it before is true of its former process only.
  */
-void rld_on_doubt(struct rserver *s, uint64_t now_us)
+void rprimary_on_maybe_restarted(struct rserver *s, uint64_t now_us)
 {
 	s->doubted_at_us = now_us;
 	s->doubted_as_new = s->doubted_as_new && !s->heard_us;
-	s->agreed_us = 0;
-	rld_drop(s, now_us);
-	rld_ask(s->service);
+	s->agreed_at_us = 0;
+	rprimary_drop(s, now_us);
+	rprimary_probe_all(s->service);
 }
 
 /* The server was just listed, for the first time or again. */
-void rld_on_listed(struct rserver *s, uint64_t now_us)
+void rprimary_on_listed(struct rserver *s, uint64_t now_us)
 {
-	if (s->service->peers || !s->relay->guards.doubt_newcomers)
+	if (s->service->peers || !s->relay->guards.distrust_newly_listed)
 		return;
 	s->doubted_at_us = now_us;
 	s->doubted_as_new = true;
@@ -222,7 +223,7 @@
 	if (v->primary == s && s->status.term == v->term)
 		return;
 	if (lacks_known_log(s)) {
-		rlg_server_event(s, "primary-without-its-log");
+		rlog_server_event(s, "primary-without-its-log");
 		return;
 	}
 	if (v->primary == s)
@@ -234,13 +235,13 @@
  * The server is no longer paused, in the same term: a change was aborted, or a
  * promotion has just taken effect.
  */
-void rld_on_unpaused(struct rserver *s, uint64_t now_us)
+void rprimary_on_unpaused(struct rserver *s, uint64_t now_us)
 {
-	if (!s->relay->guards.doubt_unpaused)
+	if (!s->relay->guards.distrust_unpaused)
 		return;
 	s->doubted_at_us = now_us;
-	s->agreed_us = 0;
-	rld_ask(s->service);
+	s->agreed_at_us = 0;
+	rprimary_probe_all(s->service);
 }
 
 static void note_replica(struct rserver *s, uint64_t started_us,
@@ -257,15 +258,15 @@
 	}
 	if (!v->primary || s->status.held > v->term)
 		return;
-	s->agreed_us = started_us;
+	s->agreed_at_us = started_us;
 	s->agreed_term = v->term;
-	counts_us = rwd_since_us(s, now_us);
-	rlg_left_aside(s, counts_us, rwd_is_doubted(s, now_us));
+	counts_us = rtrust_lease_start_us(s, now_us);
+	rlog_not_relied_on(s, counts_us, rtrust_is_in_doubt(s, now_us));
 	confirm(s, EVIDENCE_STATUS, counts_us, now_us);
 }
 
 /* Handles the status that the server gave to a probe sent at started_us. */
-void rld_on_status(struct rserver *s, uint64_t started_us, uint64_t now_us)
+void rprimary_on_status(struct rserver *s, uint64_t started_us, uint64_t now_us)
 {
 	if (s->status.role == ROLE_PRIMARY)
 		note_primary(s, now_us);
@@ -274,10 +275,10 @@
 }
 
 /* Whether statements need the primary and its lease is about to expire. */
-bool rld_wants(const struct rservice *v, uint64_t now_us)
+bool rprimary_needs_renewal(const struct rservice *v, uint64_t now_us)
 {
-	return v->primary && now_us < v->wanted_us + WANTED_RECENTLY_US &&
-	       !rld_holds(v, now_us + RENEW_BEFORE_US);
+	return v->primary && now_us < v->wanted_at_us + WANTED_RECENTLY_US &&
+	       !rprimary_lease_holds(v, now_us + RENEW_BEFORE_US);
 }
 
 /*
@@ -285,14 +286,15 @@
  * are asked now rather than with the next tick. The usual case is a service
  * that was not used for a while.
  */
-void rld_renew(struct rservice *v, uint64_t now_us)
+void rprimary_renew_lease(struct rservice *v, uint64_t now_us)
 {
 	unsigned i;
 
-	if (!v->relay->guards.renew_at_once || rld_holds(v, now_us))
+	if (!v->relay->guards.renew_lease_at_once ||
+	    rprimary_lease_holds(v, now_us))
 		return;
 	for (i = 0; i < v->servers->len; i++)
-		rsv_tick(rservice_server(v, i), now_us);
+		rserver_tick(rservice_server(v, i), now_us);
 }
 
 /* The newest sample at or before the position, NULL if there is none. */
@@ -341,7 +343,7 @@
  * Handles the position that a replica has applied: updates its lag and, if its
  * confirmation is trusted, the lease.
  */
-void rld_on_applied(struct rserver *s, struct position p, uint64_t now_us)
+void rprimary_on_applied(struct rserver *s, struct position p, uint64_t now_us)
 {
 	struct rservice *v = s->service;
 	const struct rsample *sample;
@@ -350,28 +352,29 @@
 		return;
 	sample = newest_covered(v, p);
 	s->lag_us = sample ? now_us - MIN(sample->us, now_us) : NEVER_US;
-	if (s->status.held <= v->term && rwd_counts_alone(s, now_us))
+	if (s->status.held <= v->term && rtrust_suffices_alone(s, now_us))
 		note_unpaused(s, p, now_us);
 }
 
 /* The server, believed to be the primary, refused a write. */
-void rld_on_read_only(struct rserver *s, uint64_t now_us)
+void rprimary_on_read_only(struct rserver *s, uint64_t now_us)
 {
-	rld_drop(s, now_us);
-	rld_ask(s->service);
+	rprimary_drop(s, now_us);
+	rprimary_probe_all(s->service);
 }
 
 /*
  * Samples the primary's log position from an answer to what was sent at
  * sent_us: whatever was acknowledged before that is at or before p.
  */
-void rld_on_position(struct rserver *s, struct position p, uint64_t sent_us)
+void rprimary_on_position(struct rserver *s, struct position p,
+			  uint64_t sent_us)
 {
 	struct rservice *v = s->service;
 	struct rsample *last;
 
 	if (v->primary != s || !p.term || p.term != v->term ||
-	    !rld_holds(v, sent_us))
+	    !rprimary_lease_holds(v, sent_us))
 		return;
 	last = &v->samples[(v->n_samples + MAX_SAMPLES - 1) % MAX_SAMPLES];
 	if (v->n_samples && sent_us < last->us + SAMPLE_INTERVAL_US)
@@ -385,8 +388,8 @@
  * Finds the position that a read must see so that its data is at most
  * max_age_us old. False: nothing is known of the primary in that time.
  */
-bool rld_floor(const struct rservice *v, uint64_t max_age_us, uint64_t now_us,
-	       struct rsample *out)
+bool rprimary_read_floor(const struct rservice *v, uint64_t max_age_us,
+			 uint64_t now_us, struct rsample *out)
 {
 	uint64_t since_us = now_us > max_age_us ? now_us - max_age_us : 0;
 	unsigned n = MIN(v->n_samples, MAX_SAMPLES);
--- a/packages/relay/src/rank.c
+++ b/packages/relay/src/rank.c
@@ -25,7 +25,7 @@
 }
 
 /* Ranks this proxy among those that are listed now. */
-void rrk_init(struct rservice *v)
+void rank_init(struct rservice *v)
 {
 	struct database_conf conf = { .service = v->name, .name = v->name };
 	GHashTableIter iter;
@@ -33,22 +33,22 @@
 
 	v->rank.seed = homes_seed(&conf);
 	v->rank.draw = homes_draw(v->rank.seed, v->relay->name);
-	v->rank.n_before = 0;
+	v->rank.n_ranked_before = 0;
 	g_hash_table_iter_init(&iter, v->relay->peers);
 	while (g_hash_table_iter_next(&iter, &name, NULL))
-		rrk_on_come(v, name);
+		rank_on_added(v, name);
 }
 
 /* Another proxy has been listed. */
-void rrk_on_come(struct rservice *v, const char *name)
+void rank_on_added(struct rservice *v, const char *name)
 {
-	v->rank.n_before += is_before_self(v, name);
+	v->rank.n_ranked_before += is_before_self(v, name);
 }
 
 /* Another proxy has left the list. */
-void rrk_on_gone(struct rservice *v, const char *name)
+void rank_on_removed(struct rservice *v, const char *name)
 {
-	v->rank.n_before -= is_before_self(v, name);
+	v->rank.n_ranked_before -= is_before_self(v, name);
 }
 
 /* A proxy and its draw for a service. */
@@ -82,7 +82,7 @@
  * Writes the names of the best `max` proxies, this one included, best first.
  * Returns how many there are.
  */
-unsigned rrk_first(const struct rservice *v, const char **names, unsigned max)
+unsigned rank_best(const struct rservice *v, const char **names, unsigned max)
 {
 	struct ranked_proxy *best = g_new(struct ranked_proxy, max);
 	struct ranked_proxy p = { v->relay->name, v->rank.draw };
--- a/packages/relay/src/registry.c
+++ b/packages/relay/src/registry.c
@@ -11,7 +11,7 @@
 #define SWEEP_INTERVAL_US (200 * USEC_PER_MSEC)
 
 /* The service of that name; created if it is new. */
-struct rservice *rls_service(struct relay *r, const char *name)
+struct rservice *registry_service(struct relay *r, const char *name)
 {
 	struct rservice *v = g_hash_table_lookup(r->services, name);
 
@@ -20,12 +20,13 @@
 	v = rservice_create(r, name);
 	v->configured = r->catalog && relay_catalog_service(r->catalog, name);
 	g_hash_table_insert(r->services, v->name, v);
-	rrl_on_service(v);
+	role_on_new_service(v);
 	return v;
 }
 
 /* The service of a database by the configuration in force, or NULL. */
-struct rservice *rls_service_of(const struct relay *r, const char *database)
+struct rservice *registry_service_of_database(const struct relay *r,
+					      const char *database)
 {
 	const struct relay_profile *profile =
 		relay_catalog_profile(r->catalog, database);
@@ -38,16 +39,16 @@
 				  const struct relay_server_info *info,
 				  uint64_t now_us)
 {
-	struct rservice *v = rls_service(r, info->service);
-	struct rserver *s = rsv_create(v, info, now_us);
+	struct rservice *v = registry_service(r, info->service);
+	struct rserver *s = rserver_create(v, info, now_us);
 
 	if (!v->servers->len)
 		v->no_primary_us = now_us;
 	g_hash_table_insert(r->servers, g_strdup(info->id), s);
 	g_ptr_array_add(v->servers, s);
-	v->had_others |= v->servers->len > 1;
-	rld_on_listed(s, now_us);
-	rlg_server_event(s, "server-listed");
+	v->had_several_servers |= v->servers->len > 1;
+	rprimary_on_listed(s, now_us);
+	rlog_server_event(s, "server-listed");
 	return s;
 }
 
@@ -67,7 +68,7 @@
 		struct rconn *c = g_ptr_array_index(list, i);
 		struct rsession *session = c->session;
 
-		rcn_close(c);
+		rconn_close(c);
 		if (session)
 			rrun_on_lost(session, s, false, r->ticked_us);
 	}
@@ -83,7 +84,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct rsession *session = value;
 
-		if (session->run.done_by == s &&
+		if (session->run.executed_by == s &&
 		    session->run.state == RRUN_CONFIRMING)
 			return true;
 	}
@@ -98,12 +99,13 @@
 {
 	struct rservice *v = s->service;
 
-	if (s->listed || now_us < s->unlisted_us + r->settings.gone_after_us ||
+	if (s->listed ||
+	    now_us < s->unlisted_at_us + r->settings.gone_after_us ||
 	    is_confirming(r, s))
 		return false;
-	rlg_server_event(s, "server-gone");
+	rlog_server_event(s, "server-gone");
 	close_conns(s);
-	rld_drop(s, now_us);
+	rprimary_drop(s, now_us);
 	if (v->old == s)
 		v->old = NULL;
 	if (v->target == s)
@@ -115,7 +117,7 @@
 }
 
 /* Removes the servers that left the list gone_after_us ago. */
-void rls_sweep(struct relay *r, uint64_t now_us)
+void registry_remove_unlisted(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -154,8 +156,8 @@
 		    s->service->peers)
 			continue;
 		s->listed = false;
-		s->unlisted_us = now_us;
-		rlg_server_event(s, "server-unlisted");
+		s->unlisted_at_us = now_us;
+		rlog_server_event(s, "server-unlisted");
 	}
 }
 
@@ -173,13 +175,13 @@
 
 		if (!s && infos[i].unusable)
 			continue;
-		if (s && rsv_is_as_listed(s, &infos[i]))
+		if (s && rserver_is_unchanged(s, &infos[i]))
 			continue;
 		if (s)
-			rsv_update(s, &infos[i], now_us);
+			rserver_update(s, &infos[i], now_us);
 		else
 			s = add_server(r, &infos[i], now_us);
-		rsv_tick(s, now_us);
+		rserver_tick(s, now_us);
 	}
 	rrun_dispatch(r, now_us);
 }
--- a/packages/relay/src/relay.c
+++ b/packages/relay/src/relay.c
@@ -85,27 +85,27 @@
 	r->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    rservice_destroy);
 	r->servers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					   rsv_destroy);
+					   rserver_destroy);
 	r->conns = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					 rcn_free);
+					 rconn_free);
 	r->sessions = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					    rss_destroy);
-	r->peers = rpr_table();
+					    rsession_destroy);
+	r->peers = peers_table_new();
 	r->knows_fleet = true; /* until the first list of proxies */
 	r->served = g_ptr_array_new();
 	r->active = g_ptr_array_new();
 	r->feed_source = feed_source_create(r->name, r->zone);
 	if (settings->accounts)
-		feed_source_keep_young(r->feed_source,
-				       settings->key_max_age_us);
+		feed_source_set_max_age(r->feed_source,
+					settings->key_max_age_us);
 	r->via = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				       rservice_destroy);
-	rlm_init(r);
+	rlimit_init(r);
 	g_queue_init(&r->waiting);
 	retry_budget_init(&r->retries, RETRY_EARN, RETRY_MAX);
 	create_counters(r, counters);
-	r->metrics = rmt_create(counters);
-	r->store_heard_us = now_us;
+	r->metrics = rmetrics_create(counters);
+	r->store_heard_at_us = now_us;
 	return r;
 }
 
@@ -130,13 +130,13 @@
 	g_hash_table_destroy(r->conns);
 	g_hash_table_destroy(r->services);
 	g_hash_table_destroy(r->via);
-	rlm_clear(r);
+	rlimit_clear(r);
 	g_hash_table_destroy(r->servers);
-	rpr_clear(r);
+	peers_clear(r);
 	g_ptr_array_unref(r->active);
 	feed_source_destroy(r->feed_source);
 	relay_catalog_unref(r->catalog);
-	rmt_destroy(r->metrics);
+	rmetrics_destroy(r->metrics);
 	g_free(r->duty_holder);
 	g_free(r->name);
 	g_free(r->zone);
@@ -170,7 +170,7 @@
 	for (i = 0; i < relay_catalog_services(r->catalog); i++) {
 		const struct relay_service_conf *conf =
 			relay_catalog_service_at(r->catalog, i);
-		struct rservice *v = rls_service(r, conf->name);
+		struct rservice *v = registry_service(r, conf->name);
 
 		v->configured = true;
 		v->max_connections = conf->max_connections;
@@ -196,8 +196,8 @@
 	relay_catalog_unref(r->catalog);
 	r->catalog = relay_catalog_ref(catalog);
 	configure_services(r);
-	rpr_on_catalog(r, now_us);
-	rlm_on_catalog(r, now_us);
+	peers_on_catalog(r, now_us);
+	rlimit_on_catalog(r, now_us);
 	rrun_dispatch(r, now_us);
 }
 
@@ -211,7 +211,7 @@
 }
 
 /* Calls may come out of order; the latest time counts. */
-void relay_on_known(struct relay *r, uint64_t known_us)
+void relay_on_known_as_of(struct relay *r, uint64_t known_us)
 {
 	r->known_us = MAX(r->known_us, known_us);
 }
@@ -239,10 +239,10 @@
 		return;
 	if (revision != r->duty_revision) {
 		r->duty_revision = revision;
-		r->duty_changed_us = now_us;
+		r->duty_changed_at_us = now_us;
 		if (!is_own_claim(r, revision, holder)) {
-			r->duty_used_us = now_us;
-			r->duty_others_us = is_first ? 0 : now_us;
+			r->duty_others_seen_at_us = now_us;
+			r->duty_others_claimed_at_us = is_first ? 0 : now_us;
 		}
 	}
 	g_free(r->duty_holder);
@@ -261,19 +261,19 @@
 		l = log_event(LOG_STATE, answers ? "store-back" : "store-lost");
 	if (l) {
 		log_u64(l, "heard_ms",
-			(now_us - MIN(r->store_heard_us, now_us)) /
+			(now_us - MIN(r->store_heard_at_us, now_us)) /
 				USEC_PER_MSEC);
 		log_event_end(l);
 	}
 	r->store_lost = !answers;
 	if (answers)
-		r->store_heard_us = now_us;
+		r->store_heard_at_us = now_us;
 }
 
 /* Sets the age of what is known, but not whether the store answers. */
-void relay_on_store_heard(struct relay *r, uint64_t heard_us)
+void relay_on_store_heard_at(struct relay *r, uint64_t heard_us)
 {
-	r->store_heard_us = heard_us;
+	r->store_heard_at_us = heard_us;
 }
 
 /* Calls may come out of order; the highest revision counts. */
@@ -285,7 +285,7 @@
 /* Records the duration of a call that does not wait for news. */
 void relay_on_store_call(struct relay *r, uint64_t took_us)
 {
-	rmt_store_call(r, took_us);
+	rmetrics_store_call(r, took_us);
 }
 
 static void log_claimed(const struct relay *r, enum relay_claim outcome,
@@ -303,7 +303,7 @@
 	log_cstr(l, "outcome", names[outcome]);
 	log_u64(l, "revision", revision);
 	log_u64(l, "took_ms",
-		(now_us - MIN(r->claim_sent_us, now_us)) / USEC_PER_MSEC);
+		(now_us - MIN(r->claim_sent_at_us, now_us)) / USEC_PER_MSEC);
 	log_event_end(l);
 }
 
@@ -316,13 +316,13 @@
 	if (outcome == RELAY_CLAIM_DONE) {
 		r->token = revision;
 		relay_on_duty(r, revision, r->name, now_us);
-		r->claimed_us = r->claim_sent_us;
+		r->claimed_at_us = r->claim_sent_at_us;
 	} else if (outcome == RELAY_CLAIM_LOST) {
 		if (revision > r->duty_revision)
 			relay_on_duty(r, revision, "another", now_us);
 		r->token = 0;
 	}
-	rch_on_claimed(r, outcome, now_us);
+	rfailover_on_claimed(r, outcome, now_us);
 }
 
 /* The platform's answer to a request to promote. */
@@ -333,8 +333,8 @@
 
 	if (!v)
 		return;
-	rch_on_promoted(v, accepted, now_us);
-	rch_tick(v, now_us);
+	rfailover_on_promoted(v, accepted, now_us);
+	rfailover_tick(v, now_us);
 }
 
 static void tick_sessions(struct relay *r, uint64_t now_us)
@@ -348,7 +348,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		g_ptr_array_add(list, value);
 	for (i = 0; i < list->len; i++)
-		rss_tick(g_ptr_array_index(list, i), now_us);
+		rsession_tick(g_ptr_array_index(list, i), now_us);
 	g_ptr_array_free(list, TRUE);
 }
 
@@ -368,7 +368,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rserver *s = value;
 
-		if (rcn_is_ours(s) || s->n_conns)
+		if (rconn_is_wanted(s) || s->n_conns)
 			g_ptr_array_add(r->active, value);
 	}
 	r->active_stale = false;
@@ -380,7 +380,7 @@
 
 	list_active(r);
 	for (i = 0; i < r->active->len; i++)
-		rsv_tick(g_ptr_array_index(r->active, i), now_us);
+		rserver_tick(g_ptr_array_index(r->active, i), now_us);
 }
 
 /* Runs all periodic work. */
@@ -391,16 +391,16 @@
 	r->ticked_us = now_us;
 	if (!r->catalog)
 		return;
-	rcn_expire(r, now_us);
-	rpr_tick(r, now_us);
-	rvi_tick(r, now_us);
-	rco_tick(r, now_us);
-	rls_sweep(r, now_us);
+	rconn_expire(r, now_us);
+	peers_tick(r, now_us);
+	via_tick(r, now_us);
+	rpartition_tick(r, now_us);
+	registry_remove_unlisted(r, now_us);
 	tick_servers(r, now_us);
 	for (i = 0; i < r->served->len; i++)
-		rch_tick(g_ptr_array_index(r->served, i), now_us);
+		rfailover_tick(g_ptr_array_index(r->served, i), now_us);
 	tick_sessions(r, now_us);
-	rlm_tick(r, now_us);
+	rlimit_tick(r, now_us);
 	rrun_dispatch(r, now_us);
 }
 
@@ -413,7 +413,7 @@
 	for (l = r->waiting.head; l; l = l->next) {
 		const struct rsession *s = l->data;
 
-		next_us = MIN(next_us, s->run.give_up_us);
+		next_us = MIN(next_us, s->run.queue_deadline_us);
 	}
 	return next_us;
 }
@@ -437,12 +437,13 @@
 	gpointer value;
 
 	if (!r->catalog || !r->listed || r->stopping || !r->knows_fleet ||
-	    rac_is_stale(r, r->ticked_us) || rvi_is_isolated(r, r->ticked_us) ||
-	    rco_is_any_cut_off(r, r->ticked_us))
+	    raccount_are_keys_stale(r, r->ticked_us) ||
+	    via_is_isolated(r, r->ticked_us) ||
+	    rpartition_is_any_cut_off(r, r->ticked_us))
 		return false;
 	g_hash_table_iter_init(&iter, r->servers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (rsv_is_up(value))
+		if (rserver_is_up(value))
 			return true;
 	return g_hash_table_size(r->peers) && is_home_of_none(r);
 }
@@ -467,14 +468,14 @@
 		const struct rsession *s = value;
 
 		if (rrun_is_active(s) || s->state != 'I')
-			rlg_session(s, "cut", "the proxy stopped", now_us);
+			rlog_session(s, "cut", "the proxy stopped", now_us);
 	}
 }
 
 /* Updates the gauges before metrics are read. */
 void relay_set_gauges(struct relay *r, uint64_t now_us)
 {
-	rmt_set_gauges(r, now_us);
+	rmetrics_set_gauges(r, now_us);
 }
 
 /* Whether no session is left. */
@@ -491,7 +492,8 @@
 		"{\"service\":\"%s\",\"term\":%" G_GUINT64_FORMAT
 		",\"primary\":\"%s\",\"holds\":%s,\"servers\":%u}",
 		v->name, v->term, v->primary ? v->primary->info.id : "",
-		rld_holds(v, now_us) ? "true" : "false", v->servers->len);
+		rprimary_lease_holds(v, now_us) ? "true" : "false",
+		v->servers->len);
 }
 
 /* Appends the state as one JSON object. */
@@ -517,8 +519,8 @@
 		g_string_append_printf(
 			out, ",\"accounts\":%u,\"keys_good\":%s,\"limits\":[",
 			r->catalog ? relay_catalog_accounts(r->catalog) : 0,
-			rac_is_stale(r, now_us) ? "false" : "true");
-		rlm_write_status(r, out);
+			raccount_are_keys_stale(r, now_us) ? "false" : "true");
+		rlimit_write_status(r, out);
 		g_string_append(out, "]");
 	}
 	g_string_append(out, "}");
--- a/packages/relay/src/relay_internal.h
+++ b/packages/relay/src/relay_internal.h
@@ -2,16 +2,18 @@
 #define CELERYQUAY_RELAY_INTERNAL_H
 
 /*
- * The relay's data structures and the modules that work on them. Prefixes: rsv_
- * servers, rcn_ their connections, rss_ callers' sessions, rrun_ the statement
- * that a session has in flight, rpk_ the choice of the server that runs it,
- * rld_ who is primary and for how long that is certain, rwd_ which replicas'
- * confirmations of that are trusted, rch_ failover, the replacement of a
- * primary, rfn_ its fence, rdt_ the duty record, rtd_ cleanup after failovers,
- * rco_ network partitions, rpr_ other proxies, rrl_ roles, rrk_ ranks, rvi_
- * homes that sessions go through, rac_ client accounts, rlm_ their limits, rgr_
- * the proxies that grant tokens of these, rol_ servers that fail in part, rcl_
- * limits of what is in flight at a server, rlg_ log lines, rmt_ metrics.
+ * The relay's data structures and the modules that work on them. Prefixes:
+ * rserver_ servers, rconn_ their connections, rsession_ callers' sessions,
+ * rrun_ the statement that a session has in flight, rpick_ the choice of the
+ * server that runs it, rprimary_ who is primary and for how long that is
+ * certain, rtrust_ which replicas' confirmations of that are trusted,
+ * rfailover_ failover, the replacement of a primary, rfence_ its fence, rduty_
+ * the duty record, rcleanup_ cleanup after failovers, rpartition_ network
+ * partitions, peers_ other proxies, role_ roles, rank_ ranks, via_ homes that
+ * sessions go through, raccount_ client accounts, rlimit_ their limits,
+ * rgrantor_ the proxies that grant tokens of these, routlier_ servers that fail
+ * in part, inflight_ limits of what is in flight at a server, rlog_ log lines,
+ * rmetrics_ metrics.
  */
 
 #include <celeryquay/base/log_event.h>
@@ -26,7 +28,7 @@
  * the claim may be used for 1.5 s, the platform may take 1.5 s to be told and
  * one second to carry it out; one more second is a margin.
  */
-#define PROMOTED_WITHIN_US (5 * USEC_PER_SEC)
+#define PROMOTION_MAX_US (5 * USEC_PER_SEC)
 
 struct rservice;
 struct rserver;
@@ -39,9 +41,9 @@
  * Number of proxies that grant an account's tokens. When one is lost, the
  * others still grant most of the account's rate.
  */
-#define LIMIT_GRANTORS 4
+#define MAX_GRANTORS 4
 
-#define RUN_TRIES 6
+#define MAX_RUN_TRIES 6
 
 /* The kind of request that a connection has in flight. */
 enum rstep {
@@ -57,7 +59,7 @@
 	STEP_TAKE, /* a request for tokens of an account's rate limit */
 };
 
-enum rconn_state { RCONN_OPENING, RCONN_IDLE, RCONN_LENT };
+enum rconn_state { RCONN_OPENING, RCONN_IDLE, RCONN_IN_USE };
 
 struct rconn {
 	uint64_t id;
@@ -84,23 +86,24 @@
 /* The cost of a server's recent failures; see outlier.c. */
 struct routlier {
 	uint64_t cost_us; /* moving average per statement, decays */
-	uint64_t noted_us; /* cost_us was updated then */
+	uint64_t updated_at_us; /* cost_us was updated then */
 };
 
-/* The limit of connections to a server that are busy at once; see climit.c. */
-struct rclimit {
+/* The limit of connections to a server that are busy at once; see
+ * inflight_limit.c. */
+struct inflight_limit {
 	double most; /* the limit, 0: none */
 	unsigned peak; /* most busy at once since the last evaluation */
 	unsigned n; /* answers since then */
 	unsigned n_slow; /* of these, slow or shed */
-	uint64_t judged_us; /* last evaluation */
+	uint64_t evaluated_at_us; /* last evaluation */
 };
 
 /* The kinds of evidence that a replica was not paused at some instant. */
 enum revidence {
 	EVIDENCE_STATUS, /* it said so in answer to a probe */
 	EVIDENCE_APPLIED, /* it has applied a write made after that instant */
-	EVIDENCES
+	N_EVIDENCE_KINDS
 };
 
 struct rserver {
@@ -115,8 +118,8 @@
 	bool order_pending; /* an order is sent in place of the next status */
 	uint64_t seen_pause_term; /* term of the pause seen last; cleanup.c */
 	uint64_t seen_pause_at_us; /* when that pause was first seen */
-	uint64_t listed_us; /* when it was first listed */
-	uint64_t unlisted_us; /* when it left the list, 0: it is listed */
+	uint64_t listed_at_us; /* when it was first listed */
+	uint64_t unlisted_at_us; /* when it left the list, 0: it is listed */
 	uint64_t leaving_at_us; /* when it was first listed as leaving */
 
 	struct rconn *probing; /* carries the probe in flight, or NULL */
@@ -132,7 +135,7 @@
 	uint64_t cut_off_us;
 
 	struct position applied; /* the newest position that it reported */
-	uint64_t lagging_us; /* when it last lacked what a read must see */
+	uint64_t lag_seen_at_us; /* when it last lacked what a read must see */
 	uint64_t lag_us; /* upper bound of its lag, NEVER_US: unknown */
 	struct relay_status status; /* the last one received */
 	uint64_t status_at_us; /* when that was asked for, 0: no status yet */
@@ -145,22 +148,22 @@
 	uint64_t conn_broke_at_us;
 	/*
 	 * Since when it may not know of a pause, as after a restart, 0: it
-	 * is not in doubt; see word.c.
+	 * is not in doubt; see trust.c.
 	 */
 	uint64_t doubted_at_us;
 	bool doubted_as_new; /* for being newly listed, not for a restart */
-	uint64_t agreed_us; /* when it knew of no term above agreed_term */
+	uint64_t agreed_at_us; /* when it knew of no term above agreed_term */
 	uint64_t agreed_term;
 	/* By kind: the primary_changes in which a confirmation was logged. */
-	uint64_t confirmation_logged[EVIDENCES];
+	uint64_t confirmation_logged[N_EVIDENCE_KINDS];
 	/* The primary_changes in which its being disregarded was logged. */
-	uint64_t left_aside_change;
-	const char *left_aside_why; /* the reason that was logged then */
-	uint64_t failing_us; /* since when probes fail, 0: they don't */
+	uint64_t disregard_logged;
+	const char *disregard_reason; /* the reason that was logged then */
+	uint64_t failing_since_us; /* since when probes fail, 0: they don't */
 	uint64_t probed_at_us; /* when the last probe was sent */
 	uint64_t latency_us; /* smoothed, of callers' statements */
 	struct routlier outlier;
-	struct rclimit limit;
+	struct inflight_limit limit;
 
 	enum relay_verb order; /* the order pending or sent last */
 	uint64_t order_term; /* the term that it carries */
@@ -172,9 +175,10 @@
 	PHASE_CLAIM, /* the duty record is being written */
 	PHASE_FENCE, /* the old primary is being kept from committing */
 	PHASE_CATCH_UP, /* the target receives the rest of the old log */
-	PHASE_HOLD, /* other proxies' leases on the old primary run out */
+	PHASE_LEASE_EXPIRY, /* other proxies' leases on the old primary run out
+			     */
 	PHASE_PROMOTE, /* the platform was told to promote the target */
-	PHASE_SETTLE, /* it accepted; the target doesn't lead yet */
+	PHASE_AWAIT_PRIMARY, /* it accepted; the target doesn't lead yet */
 };
 
 #define MAX_SAMPLES 64
@@ -192,7 +196,8 @@
 struct rrank {
 	uint64_t seed; /* the service's, from which each draw is computed */
 	uint64_t draw; /* this proxy's; higher ones rank first */
-	unsigned n_before; /* number of proxies that rank before this one */
+	unsigned n_ranked_before; /* number of proxies that rank before this one
+				   */
 };
 
 struct rservice {
@@ -207,18 +212,20 @@
 	bool stepped_down; /* the old primary confirmed its step-down */
 	unsigned n_samples; /* ever taken; index of the next modulo the size */
 	struct rrank rank;
-	GPtrArray *homes; /* names; only rrl_homes() updates them */
-	GPtrArray *spares; /* names; only rrl_spares() updates them */
-	unsigned homes_of; /* the relay's peers_changed that they reflect */
-	uint64_t spare_us; /* when last asked as a spare, 0: it is none */
+	GPtrArray *homes; /* names; only role_homes() updates them */
+	GPtrArray *spares; /* names; only role_spares() updates them */
+	unsigned homes_peers_version; /* the relay's n_peer_changes that they
+					 reflect */
+	uint64_t asked_as_spare_at_us; /* when last asked as a spare, 0: it is
+					  none */
 	/* Version of the homes; with `peers`: the one listed last, or 0. */
-	unsigned homes_changed;
+	unsigned homes_version;
 	unsigned max_connections;
-	uint64_t usable_us; /* when a primary was last usable here */
+	uint64_t primary_usable_at_us; /* when a primary was last usable here */
 	/* Since when statements have no usable primary or home, or 0. */
-	uint64_t in_vain_us;
+	uint64_t unserved_since_us;
 	GPtrArray *servers; /* struct rserver */
-	bool had_others; /* it once had several servers at once */
+	bool had_several_servers; /* it once had several servers at once */
 
 	struct rserver *primary; /* NULL: not known */
 	uint64_t term; /* the highest seen */
@@ -227,7 +234,7 @@
 	/* The lease's start: a replica knew of no higher term then. */
 	uint64_t confirmed_us;
 	struct rserver *confirmed_by; /* that replica; NULL: none, or gone */
-	uint64_t wanted_us; /* when a statement last needed the primary */
+	uint64_t wanted_at_us; /* when a statement last needed the primary */
 	uint64_t no_primary_us; /* since when there is none */
 	uint64_t watch_started_at_us; /* replicas are watched for progress */
 	struct position watch_position; /* the newest of theirs at its start */
@@ -253,10 +260,11 @@
 
 enum rrun_state {
 	RRUN_NONE,
-	RRUN_LIMITED, /* waits for a token of its account; limit.c */
-	RRUN_WAITING, /* queued for a server and a connection */
+	RRUN_AWAITING_TOKEN, /* waits for a token of its account; limit.c */
+	RRUN_QUEUED, /* queued for a server and a connection */
 	RRUN_RUNNING, /* has a connection */
-	RRUN_PAUSED, /* waits to retry on its connection; server was busy */
+	RRUN_BACKING_OFF, /* waits to retry on its connection; server was busy
+			   */
 	RRUN_CONFIRMING, /* executed; checks that the primary still is it */
 };
 
@@ -286,16 +294,16 @@
 	uint64_t arrived_us;
 	uint64_t deadline_us; /* of its profile's timeout */
 	uint64_t due_us; /* deadline of its profile's latency target */
-	uint64_t give_up_us; /* refused then if no server was found */
-	uint64_t token_by_us; /* refused then if it has no token */
+	uint64_t queue_deadline_us; /* refused then if no server was found */
+	uint64_t token_deadline_us; /* refused then if it has no token */
 	uint64_t again_us; /* the next try is not before then */
 	uint64_t answered_us; /* the server answered then; RRUN_CONFIRMING */
-	struct rserver *failed_by[RUN_TRIES]; /* servers of failed tries */
-	struct rtry failed[RUN_TRIES]; /* the same tries, for the log */
+	struct rserver *failed_by[MAX_RUN_TRIES]; /* servers of failed tries */
+	struct rtry failed[MAX_RUN_TRIES]; /* the same tries, for the log */
 	GString *server; /* name of the server of the last try */
 	enum relay_code code; /* answer to the last failed try */
 	unsigned tries; /* failed ones */
-	struct rserver *done_by; /* server that ran it; RRUN_CONFIRMING */
+	struct rserver *executed_by; /* server that ran it; RRUN_CONFIRMING */
 	struct position after; /* a replica's log must reach this */
 	GList link; /* in the relay's waiting runs, or a limit's */
 	/* The answer that the caller gets once it is confirmed. */
@@ -321,11 +329,11 @@
 	GHashTable *values; /* name -> value */
 	GHashTable *prepared; /* name -> struct rprepared */
 	struct position floor; /* its reads must see the log up to this */
-	uint64_t floor_us; /* the primary's log had reached it then */
+	uint64_t floor_at_us; /* the primary's log had reached it then */
 	struct rconn *conn; /* that it uses now, or NULL */
 	bool read_only; /* the open transaction is */
 	bool wrote; /* the open transaction has written */
-	bool limited; /* the open transaction has its token */
+	bool has_txn_token; /* the open transaction has its token */
 	uint64_t used_us; /* last statement or answer */
 	bool hung_up; /* its caller was told to disconnect */
 	bool peer; /* opened by another proxy */
@@ -338,33 +346,36 @@
  */
 struct relay_guards {
 	bool confirm_writes; /* no success while another may be primary */
-	bool hold_before_promote; /* other proxies' leases run out first */
+	bool await_lease_expiry; /* other proxies' leases run out first */
 	bool fence; /* the old primary can't commit any more */
 	bool check_floor; /* a replica has what the read must see */
 	bool clean_values; /* a session's values don't reach the next one */
-	bool no_second_write_try; /* what may have run isn't sent again */
+	bool no_write_retry; /* what may have run isn't sent again */
 	bool fresh_claim; /* no promotion with an outdated token */
 	bool resume_under_duty; /* no pause of a running change is ended */
 	bool avoid_outliers; /* servers that fail in part cost more */
 	bool limit_in_flight; /* excess load queues here, not at a server */
-	bool doubt_reborn; /* a restarted server has forgotten its state */
+	bool distrust_restarted; /* a restarted server has forgotten its state
+				  */
 	bool claim_after_fence; /* the fence covers every listed server */
-	bool doubt_unpaused; /* a promotion ends pauses, too */
-	bool doubt_newcomers; /* a newly listed server may miss a change */
+	bool distrust_unpaused; /* a promotion ends pauses, too */
+	bool distrust_newly_listed; /* a newly listed server may miss a change
+				     */
 	bool check_list_age; /* a stale list weakens a confirmation */
 	bool leave_when_cut_off; /* callers move to proxies that can serve */
 	bool own_connections; /* a connection serves one account */
 	bool check_keys; /* with each operation */
 	bool check_key_age; /* outdated keys, maybe revoked, are refused */
 	bool limit_accounts; /* each operation takes a token */
-	bool renew_at_once; /* a statement renews an expired lease at once */
+	bool renew_lease_at_once; /* a statement renews an expired lease at once
+				   */
 };
 
 struct relay {
 	struct relay_settings settings;
 	struct relay_guards guards;
-	unsigned members_changed; /* counts changes of `members` */
-	unsigned members_lists; /* lists of members received so far */
+	unsigned n_member_changes; /* counts changes of `members` */
+	unsigned n_member_lists; /* lists of members received so far */
 	char *name; /* of this proxy */
 	char *zone; /* its data centre */
 	const struct relay_ops *ops;
@@ -378,7 +389,7 @@
 	GHashTable *peers; /* name -> struct rpeer: other proxies */
 	unsigned n_peer_lists; /* lists of proxies merged so far */
 	/* Counts changes of anything that decides who the homes are. */
-	unsigned peers_changed;
+	unsigned n_peer_changes;
 	uint64_t peers_listed_at_us; /* time of the last list of proxies */
 	/*
 	 * Time of the last list that was larger by more than a few proxies, or
@@ -403,12 +414,13 @@
 	GHashTable *limits_active; /* of these, the ones that the tick runs */
 	GHashTable *members; /* proxies that may grant tokens; grantor.c */
 	struct rservice *grantors; /* proxies that are asked for tokens */
-	uint64_t limits_us; /* time at which the tick last ran the limits */
+	uint64_t limits_ticked_at_us; /* time at which the tick last ran the
+					 limits */
 	/* This proxy knows all that the store had at this time; 0: nothing. */
 	uint64_t known_us;
 	/* The newest configuration could not be read. */
 	bool unreadable;
-	uint64_t store_heard_us; /* time of the store's last answer */
+	uint64_t store_heard_at_us; /* time of the store's last answer */
 	/* All that the store had at this revision has been reported. */
 	uint64_t known_revision;
 	unsigned n_server_lists; /* lists of servers received so far */
@@ -424,7 +436,7 @@
 	 * Since when more than half of the databases in use have had no
 	 * reachable home; 0: they have.
 	 */
-	uint64_t isolated_us;
+	uint64_t isolated_since_us;
 	struct retry_budget retries;
 	uint64_t stop_us; /* start of a planned stop, if `stopping` */
 	bool stopping;
@@ -436,17 +448,17 @@
 	bool duty_known; /* the record, or its absence, has been read */
 	uint64_t duty_revision; /* the record's in the store, 0: no record */
 	char *duty_holder; /* name of the proxy that claimed last */
-	uint64_t duty_changed_us; /* time at which a new revision was seen */
+	uint64_t duty_changed_at_us; /* time at which a new revision was seen */
 	/*
 	 * Last time at which another proxy was seen to have claimed the duty;
 	 * it may have been replacing a primary then.
 	 */
-	uint64_t duty_used_us;
+	uint64_t duty_others_seen_at_us;
 	/* The same, not counting the record as first read; 0: never. */
-	uint64_t duty_others_us;
+	uint64_t duty_others_claimed_at_us;
 	bool claiming; /* a claim awaits its answer */
-	uint64_t claimed_us; /* start of the claim that gave `token` */
-	uint64_t claim_sent_us; /* start of the last claim */
+	uint64_t claimed_at_us; /* start of the claim that gave `token` */
+	uint64_t claim_sent_at_us; /* start of the last claim */
 	uint64_t token; /* revision of this process's claim, 0: none */
 
 	struct counter *n_reads_replica;
@@ -465,121 +477,127 @@
 /* relay.c */
 struct relay_guards *relay_guards_of(struct relay *r);
 
-/* listed.c */
-struct rservice *rls_service(struct relay *r, const char *name);
-struct rservice *rls_service_of(const struct relay *r, const char *database);
-void rls_sweep(struct relay *r, uint64_t now_us);
+/* registry.c */
+struct rservice *registry_service(struct relay *r, const char *name);
+struct rservice *registry_service_of_database(const struct relay *r,
+					      const char *database);
+void registry_remove_unlisted(struct relay *r, uint64_t now_us);
 
 /* position.c */
 int position_cmp(struct position a, struct position b);
 struct position position_max(struct position a, struct position b);
 
 /* server.c */
-struct rserver *rsv_create(struct rservice *service,
-			   const struct relay_server_info *info,
-			   uint64_t now_us);
-void rsv_destroy(gpointer server);
-void rsv_update(struct rserver *s, const struct relay_server_info *info,
-		uint64_t now_us);
-bool rsv_is_as_listed(const struct rserver *s,
-		      const struct relay_server_info *info);
-bool rsv_is_wanted(const struct rserver *s, uint64_t now_us);
-bool rsv_is_up(const struct rserver *s);
+struct rserver *rserver_create(struct rservice *service,
+			       const struct relay_server_info *info,
+			       uint64_t now_us);
+void rserver_destroy(gpointer server);
+void rserver_update(struct rserver *s, const struct relay_server_info *info,
+		    uint64_t now_us);
+bool rserver_is_unchanged(const struct rserver *s,
+			  const struct relay_server_info *info);
+bool rserver_keeps_conns(const struct rserver *s, uint64_t now_us);
+bool rserver_is_up(const struct rserver *s);
 /* Whether it may get new work: it is listed, or left the list a moment ago. */
-bool rsv_takes_work(const struct rserver *s, uint64_t now_us);
+bool rserver_takes_work(const struct rserver *s, uint64_t now_us);
 /* The same for a primary, which keeps its work until it is replaced. */
-bool rsv_leads_on(const struct rserver *s, uint64_t now_us);
-void rsv_heard(struct rserver *s, const struct relay_answer *answer,
-	       uint64_t sent_us, uint64_t now_us);
-void rsv_failed(struct rserver *s, bool refused, uint64_t since_us);
+bool rserver_takes_primary_work(const struct rserver *s, uint64_t now_us);
+void rserver_on_answer(struct rserver *s, const struct relay_answer *answer,
+		       uint64_t sent_us, uint64_t now_us);
+void rserver_on_failure(struct rserver *s, bool refused, uint64_t since_us);
 /* These three track whether its process is still the same; see server.c. */
-void rsv_conn_broke(struct rserver *s, uint64_t now_us);
-void rsv_conn_answered(struct rserver *s, const struct rconn *c,
-		       uint64_t sent_us);
-void rsv_conn_opened(struct rserver *s, uint64_t now_us);
-void rsv_probe_soon(struct rserver *s);
-void rsv_order(struct rserver *s, enum relay_verb verb, uint64_t term);
-void rsv_order_again(struct rserver *s, enum relay_verb verb, uint64_t term,
-		     uint64_t now_us);
-void rsv_probe_answered(struct rconn *c, const struct relay_answer *answer,
-			uint64_t now_us);
-void rsv_tick(struct rserver *s, uint64_t now_us);
+void rserver_on_conn_broke(struct rserver *s, uint64_t now_us);
+void rserver_on_conn_answered(struct rserver *s, const struct rconn *c,
+			      uint64_t sent_us);
+void rserver_on_conn_opened(struct rserver *s, uint64_t now_us);
+void rserver_probe_soon(struct rserver *s);
+void rserver_order(struct rserver *s, enum relay_verb verb, uint64_t term);
+void rserver_repeat_order(struct rserver *s, enum relay_verb verb,
+			  uint64_t term, uint64_t now_us);
+void rserver_on_probe_answered(struct rconn *c,
+			       const struct relay_answer *answer,
+			       uint64_t now_us);
+void rserver_tick(struct rserver *s, uint64_t now_us);
 struct rservice *rservice_create(struct relay *r, const char *name);
 void rservice_destroy(gpointer service);
 struct rserver *rservice_server(const struct rservice *v, unsigned index);
 
 /* conn.c */
-struct rconn *rcn_open(struct rserver *s, const char *account, uint64_t now_us);
-void rcn_free(gpointer conn);
-void rcn_close(struct rconn *c);
-void rcn_send(struct rconn *c, enum rstep step,
-	      const struct relay_statement *statement, uint64_t timeout_us,
-	      uint64_t now_us);
-struct rconn *rcn_take(struct rserver *s, const struct rsession *session);
-bool rcn_may_open(const struct rserver *s, uint64_t now_us);
-const char *rcn_account(const struct rserver *s,
-			const struct rsession *session);
-bool rcn_has_idle(const struct rserver *s, const char *account);
-bool rcn_is_opening(const struct rserver *s, const char *account);
+struct rconn *rconn_open(struct rserver *s, const char *account,
+			 uint64_t now_us);
+void rconn_free(gpointer conn);
+void rconn_close(struct rconn *c);
+void rconn_send(struct rconn *c, enum rstep step,
+		const struct relay_statement *statement, uint64_t timeout_us,
+		uint64_t now_us);
+struct rconn *rconn_find_idle(struct rserver *s,
+			      const struct rsession *session);
+bool rconn_may_open(const struct rserver *s, uint64_t now_us);
+const char *rconn_account(const struct rserver *s,
+			  const struct rsession *session);
+bool rconn_has_idle(const struct rserver *s, const char *account);
+bool rconn_is_opening(const struct rserver *s, const char *account);
 /* `close` false: only checks whether there is one to close. */
-bool rcn_make_room(struct rserver *s, bool close, uint64_t now_us);
-void rcn_lend(struct rconn *c, struct rsession *session);
-void rcn_give_back(struct rconn *c, uint64_t now_us);
-void rcn_roll_back(struct rconn *c, struct str id, uint64_t now_us);
-void rcn_close_idle(struct rserver *s);
+bool rconn_make_room(struct rserver *s, bool close, uint64_t now_us);
+void rconn_assign(struct rconn *c, struct rsession *session);
+void rconn_release(struct rconn *c, uint64_t now_us);
+void rconn_roll_back(struct rconn *c, struct str id, uint64_t now_us);
+void rconn_close_idle(struct rserver *s);
 /* Whether this proxy keeps connections to the server at all. */
-bool rcn_is_ours(const struct rserver *s);
-void rcn_tick(struct rserver *s, uint64_t now_us);
-void rcn_expire(struct relay *r, uint64_t now_us);
+bool rconn_is_wanted(const struct rserver *s);
+void rconn_tick(struct rserver *s, uint64_t now_us);
+void rconn_expire(struct relay *r, uint64_t now_us);
 
 /* session.c */
-struct rsession *rss_create(struct relay *r, uint64_t id, const char *database,
-			    const char *key);
-void rss_destroy(gpointer session);
-void rss_tick(struct rsession *s, uint64_t now_us);
-void rss_end_if_stopping(struct rsession *s, uint64_t now_us);
-void rss_end_if_isolated(struct rsession *s, uint64_t now_us);
-void rss_end_if_cut_off(struct rsession *s, uint64_t now_us);
-void rss_answer(struct rsession *s, enum relay_code code, const char *text);
+struct rsession *rsession_create(struct relay *r, uint64_t id,
+				 const char *database, const char *key);
+void rsession_destroy(gpointer session);
+void rsession_tick(struct rsession *s, uint64_t now_us);
+void rsession_end_if_stopping(struct rsession *s, uint64_t now_us);
+void rsession_end_if_isolated(struct rsession *s, uint64_t now_us);
+void rsession_end_if_cut_off(struct rsession *s, uint64_t now_us);
+void rsession_answer(struct rsession *s, enum relay_code code,
+		     const char *text);
 /* Rolls back an open transaction and releases its connection. */
-void rss_abort(struct rsession *s, uint64_t now_us);
+void rsession_abort_transaction(struct rsession *s, uint64_t now_us);
 
 /* account.c */
-enum relay_code rac_check(struct rsession *s, uint64_t now_us,
-			  const char **why);
-uint64_t rac_age_us(const struct relay *r, uint64_t now_us);
-bool rac_is_stale(const struct relay *r, uint64_t now_us);
-unsigned rac_priority(const struct rsession *s);
+enum relay_code raccount_check_key(struct rsession *s, uint64_t now_us,
+				   const char **why);
+uint64_t raccount_keys_age_us(const struct relay *r, uint64_t now_us);
+bool raccount_are_keys_stale(const struct relay *r, uint64_t now_us);
+unsigned raccount_priority(const struct rsession *s);
 
 /* limit.c */
-void rlm_init(struct relay *r);
-void rlm_clear(struct relay *r);
-void rlm_on_catalog(struct relay *r, uint64_t now_us);
-void rlm_on_answer(struct rconn *c, const struct relay_answer *answer,
-		   uint64_t now_us);
-void rlm_on_lost(struct rconn *c, uint64_t now_us);
-void rlm_forget(struct rconn *c);
-void rlm_serve_all(struct relay *r, uint64_t now_us);
-bool rlm_applies(const struct rsession *s);
-void rlm_take(struct rsession *s, uint64_t now_us);
-void rlm_drop(struct rsession *s);
-void rlm_give_up(struct rsession *s, uint64_t now_us);
-void rlm_tick(struct relay *r, uint64_t now_us);
-void rlm_write_status(const struct relay *r, GString *out);
+void rlimit_init(struct relay *r);
+void rlimit_clear(struct relay *r);
+void rlimit_on_catalog(struct relay *r, uint64_t now_us);
+void rlimit_on_answer(struct rconn *c, const struct relay_answer *answer,
+		      uint64_t now_us);
+void rlimit_on_lost(struct rconn *c, uint64_t now_us);
+void rlimit_on_closing(struct rconn *c);
+void rlimit_request_all(struct relay *r, uint64_t now_us);
+bool rlimit_applies(const struct rsession *s);
+void rlimit_queue(struct rsession *s, uint64_t now_us);
+void rlimit_dequeue(struct rsession *s);
+void rlimit_on_timeout(struct rsession *s, uint64_t now_us);
+void rlimit_tick(struct relay *r, uint64_t now_us);
+void rlimit_write_status(const struct relay *r, GString *out);
 
 /* grantor.c */
-void rgr_on_peers(struct relay *r, const struct relay_server_info *infos,
-		  unsigned n_infos, uint64_t now_us);
-void rgr_on_asked(struct rsession *s, const struct relay_statement *st,
-		  uint64_t now_us);
+void rgrantor_on_peers(struct relay *r, const struct relay_server_info *infos,
+		       unsigned n_infos, uint64_t now_us);
+void rgrantor_on_request(struct rsession *s, const struct relay_statement *st,
+			 uint64_t now_us);
 
 /* run.c */
 void rrun_begin(struct rsession *s, uint64_t now_us);
-void rrun_refuse_limited(struct rsession *s, const char *text, uint64_t now_us);
+void rrun_refuse_rate_limited(struct rsession *s, const char *text,
+			      uint64_t now_us);
 void rrun_start(struct rsession *s, const struct relay_statement *statement,
 		bool writes, uint64_t now_us);
-void rrun_note(struct rsession *s, const struct relay_statement *statement,
-	       uint64_t now_us);
+void rrun_record(struct rsession *s, const struct relay_statement *statement,
+		 uint64_t now_us);
 void rrun_dispatch(struct relay *r, uint64_t now_us);
 void rrun_on_answer(struct rconn *c, enum rstep step,
 		    const struct relay_answer *answer, uint64_t now_us);
@@ -591,8 +609,8 @@
 
 /* steps.c: prepares a connection for its session's statement */
 void rstep_next(struct rconn *c, uint64_t now_us);
-bool rstep_done(struct rconn *c, enum rstep step,
-		const struct relay_answer *answer);
+bool rstep_on_answer(struct rconn *c, enum rstep step,
+		     const struct relay_answer *answer);
 
 /* pick.c */
 struct rpick {
@@ -602,151 +620,156 @@
 	const char *why; /* reason for the choice, for logs */
 	bool cut_off; /* another proxy may reach the primary; refuse it */
 };
-void rpk_choose(struct rsession *s, struct rpick *out, uint64_t now_us);
-void rpk_consider(struct rserver *s, struct rserver **best, uint64_t *least,
-		  const struct rsession *session, uint64_t now_us);
-void rpk_take_conn(struct rsession *s, struct rpick *out, uint64_t now_us);
+void rpick_choose(struct rsession *s, struct rpick *out, uint64_t now_us);
+void rpick_consider(struct rserver *s, struct rserver **best, uint64_t *least,
+		    const struct rsession *session, uint64_t now_us);
+void rpick_find_conn(struct rsession *s, struct rpick *out, uint64_t now_us);
 /* Tracks since when the primary has been needed but could not be used. */
-void rpk_note_primary_use(struct rservice *v, uint64_t wanted_us,
-			  uint64_t now_us);
-void rpk_log_candidates(const struct rsession *s,
-			const struct relay_profile *profile, struct log_line *l,
-			uint64_t now_us);
+void rpick_track_primary_use(struct rservice *v, uint64_t wanted_at_us,
+			     uint64_t now_us);
+void rpick_log_candidates(const struct rsession *s,
+			  const struct relay_profile *profile,
+			  struct log_line *l, uint64_t now_us);
 
 /* peer.c */
-GHashTable *rpr_table(void);
-void rpr_clear(struct relay *r);
-const struct relay_server_info *rpr_find(const struct relay *r,
-					 const char *name);
-void rpr_on_catalog(struct relay *r, uint64_t now_us);
-void rpr_tick(struct relay *r, uint64_t now_us);
+GHashTable *peers_table_new(void);
+void peers_clear(struct relay *r);
+const struct relay_server_info *peers_find(const struct relay *r,
+					   const char *name);
+void peers_on_catalog(struct relay *r, uint64_t now_us);
+void peers_tick(struct relay *r, uint64_t now_us);
 
 /* role.c */
-unsigned rrl_proxies(const struct relay *r);
-bool rrl_update(struct relay *r);
-void rrl_list_served(struct relay *r);
-GPtrArray *rrl_homes(struct rservice *v);
-GPtrArray *rrl_spares(struct rservice *v);
-void rrl_on_service(struct rservice *v);
-void rrl_on_asked(struct rservice *v, uint64_t now_us);
-void rrl_end_spares(struct relay *r, uint64_t now_us);
+unsigned role_proxy_count(const struct relay *r);
+bool role_update_all(struct relay *r);
+void role_update_served(struct relay *r);
+GPtrArray *role_homes(struct rservice *v);
+GPtrArray *role_spares(struct rservice *v);
+void role_on_new_service(struct rservice *v);
+void role_on_asked(struct rservice *v, uint64_t now_us);
+void role_end_spares(struct relay *r, uint64_t now_us);
 
 /* rank.c */
-void rrk_init(struct rservice *v);
-void rrk_on_come(struct rservice *v, const char *name);
-void rrk_on_gone(struct rservice *v, const char *name);
-unsigned rrk_first(const struct rservice *v, const char **names, unsigned max);
+void rank_init(struct rservice *v);
+void rank_on_added(struct rservice *v, const char *name);
+void rank_on_removed(struct rservice *v, const char *name);
+unsigned rank_best(const struct rservice *v, const char **names, unsigned max);
 
 /* via.c */
-void rvi_update_home(struct relay *r, const struct relay_server_info *p,
-		     uint64_t now_us);
-struct rserver *rvi_list_home(struct rservice *via,
+void via_on_proxy_changed(struct relay *r, const struct relay_server_info *p,
+			  uint64_t now_us);
+struct rserver *via_list_home(struct rservice *via,
 			      const struct relay_server_info *p,
 			      uint64_t now_us);
-void rvi_list_all(struct relay *r, uint64_t now_us);
-void rvi_tick(struct relay *r, uint64_t now_us);
-bool rvi_may_help(const struct rsession *s, struct rservice *v,
-		  uint64_t now_us);
-bool rvi_is_isolated(const struct relay *r, uint64_t now_us);
-bool rvi_has_no_home(const struct rsession *s, uint64_t now_us);
-bool rvi_is_cut_off(struct rservice *v, uint64_t now_us);
-bool rvi_is_good_home(const struct rserver *s, uint64_t now_us);
-bool rvi_on_refused(const struct rsession *s, struct rserver *home);
-void rvi_choose(struct rsession *s, const struct relay_profile *profile,
+void via_update_homes(struct relay *r, uint64_t now_us);
+void via_tick(struct relay *r, uint64_t now_us);
+bool via_may_bypass(const struct rsession *s, struct rservice *v,
+		    uint64_t now_us);
+bool via_is_isolated(const struct relay *r, uint64_t now_us);
+bool via_has_no_home(const struct rsession *s, uint64_t now_us);
+bool via_is_cut_off(struct rservice *v, uint64_t now_us);
+bool via_is_good_home(const struct rserver *s, uint64_t now_us);
+bool via_may_try_another(const struct rsession *s, struct rserver *home);
+void via_choose(struct rsession *s, const struct relay_profile *profile,
 		struct rservice *v, struct rpick *out, uint64_t now_us);
 
 /* partition.c */
-bool rco_is_cut_off(const struct rservice *v, uint64_t now_us);
-bool rco_is_any_cut_off(const struct relay *r, uint64_t now_us);
-void rco_tick(struct relay *r, uint64_t now_us);
+bool rpartition_is_cut_off(const struct rservice *v, uint64_t now_us);
+bool rpartition_is_any_cut_off(const struct relay *r, uint64_t now_us);
+void rpartition_tick(struct relay *r, uint64_t now_us);
 
 /* outlier.c */
-uint64_t rol_cost_us(const struct routlier *o, uint64_t now_us);
-void rol_on_answer(struct routlier *o, enum relay_code code, uint64_t now_us);
-void rol_on_lost(struct routlier *o, uint64_t now_us);
-
-/* climit.c */
-bool rcl_is_full(const struct rserver *s);
-void rcl_on_sent(struct rserver *s);
-void rcl_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
-		   enum relay_code code, uint64_t now_us);
-
-/* word.c */
-bool rwd_is_doubted(const struct rserver *s, uint64_t now_us);
-bool rwd_is_list_fresh(const struct relay *r, uint64_t at_us);
-void rwd_end_doubts(const struct rservice *v, uint64_t unpaused_us);
-bool rwd_counts_alone(const struct rserver *s, uint64_t now_us);
-uint64_t rwd_since_us(const struct rserver *s, uint64_t now_us);
+uint64_t routlier_cost_us(const struct routlier *o, uint64_t now_us);
+void routlier_on_answer(struct routlier *o, enum relay_code code,
+			uint64_t now_us);
+void routlier_on_lost(struct routlier *o, uint64_t now_us);
+
+/* inflight_limit.c */
+bool inflight_is_full(const struct rserver *s);
+void inflight_on_sent(struct rserver *s);
+void inflight_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
+			enum relay_code code, uint64_t now_us);
+
+/* trust.c */
+bool rtrust_is_in_doubt(const struct rserver *s, uint64_t now_us);
+bool rtrust_is_list_fresh(const struct relay *r, uint64_t at_us);
+void rtrust_end_doubts(const struct rservice *v, uint64_t unpaused_us);
+bool rtrust_suffices_alone(const struct rserver *s, uint64_t now_us);
+uint64_t rtrust_lease_start_us(const struct rserver *s, uint64_t now_us);
 
 /* primary.c */
-bool rld_holds(const struct rservice *v, uint64_t at_us);
-void rld_on_status(struct rserver *s, uint64_t started_us, uint64_t now_us);
-void rld_on_position(struct rserver *s, struct position p, uint64_t sent_us);
-void rld_ask(struct rservice *v);
-void rld_on_listed(struct rserver *s, uint64_t now_us);
-void rld_on_unpaused(struct rserver *s, uint64_t now_us);
-void rld_on_doubt(struct rserver *s, uint64_t now_us);
-bool rld_wants(const struct rservice *v, uint64_t now_us);
-void rld_renew(struct rservice *v, uint64_t now_us);
-void rld_on_applied(struct rserver *s, struct position p, uint64_t now_us);
-void rld_on_read_only(struct rserver *s, uint64_t now_us);
-void rld_drop(struct rserver *s, uint64_t now_us);
-bool rld_floor(const struct rservice *v, uint64_t max_age_us, uint64_t now_us,
-	       struct rsample *out);
+bool rprimary_lease_holds(const struct rservice *v, uint64_t at_us);
+void rprimary_on_status(struct rserver *s, uint64_t started_us,
+			uint64_t now_us);
+void rprimary_on_position(struct rserver *s, struct position p,
+			  uint64_t sent_us);
+void rprimary_probe_all(struct rservice *v);
+void rprimary_on_listed(struct rserver *s, uint64_t now_us);
+void rprimary_on_unpaused(struct rserver *s, uint64_t now_us);
+void rprimary_on_maybe_restarted(struct rserver *s, uint64_t now_us);
+bool rprimary_needs_renewal(const struct rservice *v, uint64_t now_us);
+void rprimary_renew_lease(struct rservice *v, uint64_t now_us);
+void rprimary_on_applied(struct rserver *s, struct position p, uint64_t now_us);
+void rprimary_on_read_only(struct rserver *s, uint64_t now_us);
+void rprimary_drop(struct rserver *s, uint64_t now_us);
+bool rprimary_read_floor(const struct rservice *v, uint64_t max_age_us,
+			 uint64_t now_us, struct rsample *out);
 
 /* duty.c */
-bool rdt_is_others(const struct relay *r, uint64_t now_us);
-bool rdt_is_fresh(const struct relay *r, uint64_t now_us);
-void rdt_claim(struct relay *r, uint64_t now_us);
+bool rduty_is_held_elsewhere(const struct relay *r, uint64_t now_us);
+bool rduty_is_claim_valid(const struct relay *r, uint64_t now_us);
+void rduty_claim(struct relay *r, uint64_t now_us);
 
 /* cleanup.c */
-void rtd_tick(struct rservice *v, uint64_t now_us);
+void rcleanup_tick(struct rservice *v, uint64_t now_us);
 
 /* fence.c */
-uint64_t rfn_term(const struct rservice *v);
-bool rfn_any_unpaused(const struct rservice *v);
-bool rfn_pause_others(struct rservice *v, uint64_t now_us);
-bool rfn_no_two_are_left(const struct rservice *v);
-bool rfn_pauses_stand(const struct rservice *v);
-bool rfn_knows_all_servers(const struct rservice *v);
+uint64_t rfence_next_term(const struct rservice *v);
+bool rfence_any_unpaused(const struct rservice *v);
+bool rfence_pause_others(struct rservice *v, uint64_t now_us);
+bool rfence_at_most_one_unpaused(const struct rservice *v);
+bool rfence_pauses_reported_again(const struct rservice *v);
+bool rfence_knows_all_servers(const struct rservice *v);
 
 /* failover.c */
-void rch_tick(struct rservice *v, uint64_t now_us);
-void rch_on_claimed(struct relay *r, enum relay_claim outcome, uint64_t now_us);
-void rch_on_promoted(struct rservice *v, bool accepted, uint64_t now_us);
-void rch_on_status(struct rserver *s, uint64_t now_us);
-void rch_on_doubt(struct rserver *s, uint64_t now_us);
-bool rch_is_running(const struct rservice *v);
-bool rch_is_told(const struct rservice *v, uint64_t now_us);
-const char *rch_phase_name(enum rphase phase);
-uint64_t rch_expected_us(const struct rservice *v);
+void rfailover_tick(struct rservice *v, uint64_t now_us);
+void rfailover_on_claimed(struct relay *r, enum relay_claim outcome,
+			  uint64_t now_us);
+void rfailover_on_promoted(struct rservice *v, bool accepted, uint64_t now_us);
+void rfailover_on_status(struct rserver *s, uint64_t now_us);
+void rfailover_on_maybe_restarted(struct rserver *s, uint64_t now_us);
+bool rfailover_is_running(const struct rservice *v);
+bool rfailover_is_promotion_pending(const struct rservice *v, uint64_t now_us);
+const char *rfailover_phase_name(enum rphase phase);
+uint64_t rfailover_expected_primary_at_us(const struct rservice *v);
 
 /* rlog.c */
-bool rlg_is_sampled(const struct relay *r, const GString *id);
-const char *rlg_kind_name(enum relay_kind kind);
-void rlg_position(struct log_line *l, const char *key, struct position p);
-void rlg_statement(const struct rsession *s, enum relay_code code,
-		   struct str text, uint64_t now_us);
-void rlg_route(const struct rsession *s, const struct rpick *pick,
-	       uint64_t now_us);
-void rlg_retry(const struct rsession *s, const char *server,
-	       enum relay_code code, uint64_t now_us);
-void rlg_session(const struct rsession *s, const char *event, const char *why,
-		 uint64_t now_us);
-struct log_line *rlg_server(const struct rserver *s, const char *event);
-void rlg_server_event(const struct rserver *s, const char *event);
-void rlg_left_aside(struct rserver *by, uint64_t counts_us, bool is_doubted);
+bool rlog_is_sampled(const struct relay *r, const GString *id);
+const char *rlog_kind_name(enum relay_kind kind);
+void rlog_position(struct log_line *l, const char *key, struct position p);
+void rlog_statement(const struct rsession *s, enum relay_code code,
+		    struct str text, uint64_t now_us);
+void rlog_route(const struct rsession *s, const struct rpick *pick,
+		uint64_t now_us);
+void rlog_retry(const struct rsession *s, const char *server,
+		enum relay_code code, uint64_t now_us);
+void rlog_session(const struct rsession *s, const char *event, const char *why,
+		  uint64_t now_us);
+struct log_line *rlog_server(const struct rserver *s, const char *event);
+void rlog_server_event(const struct rserver *s, const char *event);
+void rlog_not_relied_on(struct rserver *by, uint64_t counts_us,
+			bool is_doubted);
 
 /* rmetrics.c */
-struct rmetrics *rmt_create(struct counter_set *set);
-void rmt_destroy(struct rmetrics *m);
-void rmt_statement(const struct rsession *s, enum relay_code code,
-		   uint64_t now_us);
-void rmt_waited(const struct relay *r, uint64_t us);
-void rmt_answered(const struct rserver *s, uint64_t us);
-void rmt_store_call(const struct relay *r, uint64_t us);
-void rmt_pause(const struct relay *r);
-void rmt_fence_again(const struct relay *r);
-void rmt_set_gauges(const struct relay *r, uint64_t now_us);
+struct rmetrics *rmetrics_create(struct counter_set *set);
+void rmetrics_destroy(struct rmetrics *m);
+void rmetrics_statement(const struct rsession *s, enum relay_code code,
+			uint64_t now_us);
+void rmetrics_waited(const struct relay *r, uint64_t us);
+void rmetrics_answered(const struct rserver *s, uint64_t us);
+void rmetrics_store_call(const struct relay *r, uint64_t us);
+void rmetrics_pause(const struct relay *r);
+void rmetrics_fence_repeated(const struct relay *r);
+void rmetrics_set_gauges(const struct relay *r, uint64_t now_us);
 
 #endif
--- a/packages/relay/src/rlog.c
+++ b/packages/relay/src/rlog.c
@@ -33,7 +33,7 @@
 }
 
 /* Whether a statement is logged if it succeeds. */
-bool rlg_is_sampled(const struct relay *r, const GString *id)
+bool rlog_is_sampled(const struct relay *r, const GString *id)
 {
 	unsigned every = r->settings.log_sample;
 
@@ -41,7 +41,7 @@
 }
 
 /* Writes a position in the log as "term.index"; "-": unknown. */
-void rlg_position(struct log_line *l, const char *key, struct position p)
+void rlog_position(struct log_line *l, const char *key, struct position p)
 {
 	char text[2 * STR_U64_SIZE];
 	size_t len = str_put_u64(text, p.term);
@@ -71,7 +71,7 @@
 }
 
 /* The kind's name in settings, logs and metrics. */
-const char *rlg_kind_name(enum relay_kind kind)
+const char *rlog_kind_name(enum relay_kind kind)
 {
 	static const char *const names[RELAY_KINDS] = {
 		[RELAY_KIND_PRIMARY] = "primary",
@@ -99,7 +99,7 @@
 	if (!profile)
 		return;
 	log_cstr(l, "service", profile->service);
-	log_cstr(l, "kind", rlg_kind_name(profile->kind));
+	log_cstr(l, "kind", rlog_kind_name(profile->kind));
 }
 
 static void put_tries(struct log_line *l, const struct rrun *run)
@@ -136,18 +136,18 @@
 		 v->confirmed_by ? v->confirmed_by->info.id : "");
 	if (!p)
 		log_u64(l, "missing_ms", ms_since(v->no_primary_us, now_us));
-	else if (p->failing_us)
-		log_u64(l, "failing_ms", ms_since(p->failing_us, now_us));
-	log_cstr(l, "change", rch_phase_name(v->phase));
+	else if (p->failing_since_us)
+		log_u64(l, "failing_ms", ms_since(p->failing_since_us, now_us));
+	log_cstr(l, "change", rfailover_phase_name(v->phase));
 	log_object_end(l);
 }
 
 /* The age of what this proxy's decision rests on. */
 static void put_ages(struct log_line *l, const struct relay *r, uint64_t now_us)
 {
-	log_u64(l, "store_ms", ms_since(r->store_heard_us, now_us));
+	log_u64(l, "store_ms", ms_since(r->store_heard_at_us, now_us));
 	if (r->settings.accounts)
-		log_u64(l, "keys_ms", ms(rac_age_us(r, now_us)));
+		log_u64(l, "keys_ms", ms(raccount_keys_age_us(r, now_us)));
 	log_bool(l, "store_up", !r->store_lost);
 	log_u64(l, "waiting", r->waiting.length);
 }
@@ -165,9 +165,9 @@
 		v = g_hash_table_lookup(s->relay->services, profile->service);
 	if (!v)
 		return;
-	rlg_position(l, "min_position", s->run.after);
+	rlog_position(l, "min_position", s->run.after);
 	put_primary(l, v, now_us);
-	rpk_log_candidates(s, profile, l, now_us);
+	rpick_log_candidates(s, profile, l, now_us);
 }
 
 /* Whether the proxy wrote the text; a server's may contain a caller's data. */
@@ -177,14 +177,14 @@
 }
 
 /* The outcome of a statement, logged when it is answered. */
-void rlg_statement(const struct rsession *s, enum relay_code code,
-		   struct str text, uint64_t now_us)
+void rlog_statement(const struct rsession *s, enum relay_code code,
+		    struct str text, uint64_t now_us)
 {
 	const struct rrun *run = &s->run;
 	const struct relay_code_info *info = relay_code_info(code);
 	struct log_line *l;
 
-	if (code == RELAY_OK && !rlg_is_sampled(s->relay, run->id))
+	if (code == RELAY_OK && !rlog_is_sampled(s->relay, run->id))
 		return;
 	l = begin(s->relay, code == RELAY_OK ? LOG_ROUTINE : LOG_FAILURE,
 		  "statement");
@@ -212,13 +212,13 @@
 }
 
 /* Which server a statement is sent to, and why; retries are always logged. */
-void rlg_route(const struct rsession *s, const struct rpick *pick,
-	       uint64_t now_us)
+void rlog_route(const struct rsession *s, const struct rpick *pick,
+		uint64_t now_us)
 {
 	const struct rrun *run = &s->run;
 	struct log_line *l;
 
-	if (!run->tries && !rlg_is_sampled(s->relay, run->id))
+	if (!run->tries && !rlog_is_sampled(s->relay, run->id))
 		return;
 	l = begin(s->relay, run->tries ? LOG_FAILURE : LOG_ROUTINE, "route");
 	if (!l)
@@ -233,8 +233,8 @@
 }
 
 /* A try failed without effect, and another one follows. */
-void rlg_retry(const struct rsession *s, const char *server,
-	       enum relay_code code, uint64_t now_us)
+void rlog_retry(const struct rsession *s, const char *server,
+		enum relay_code code, uint64_t now_us)
 {
 	struct log_line *l = begin(s->relay, LOG_FAILURE, "retry");
 
@@ -245,14 +245,15 @@
 	log_cstr(l, "code", relay_code_info(code)->name);
 	log_u64(l, "try", s->run.tries);
 	log_u64(l, "again_in_ms", ms_until(s->run.again_us, now_us));
-	log_u64(l, "queue_timeout_in_ms", ms_until(s->run.give_up_us, now_us));
+	log_u64(l, "queue_timeout_in_ms",
+		ms_until(s->run.queue_deadline_us, now_us));
 	log_u64(l, "time_left_ms", ms_until(s->run.deadline_us, now_us));
 	log_event_end(l);
 }
 
 /* An event of a session; the id is that of its last statement. */
-void rlg_session(const struct rsession *s, const char *event, const char *why,
-		 uint64_t now_us)
+void rlog_session(const struct rsession *s, const char *event, const char *why,
+		  uint64_t now_us)
 {
 	struct log_line *l = begin(s->relay, LOG_FAILURE, event);
 
@@ -268,7 +269,7 @@
 }
 
 /* Begins a line about a server or another proxy; NULL: no room for it. */
-struct log_line *rlg_server(const struct rserver *s, const char *event)
+struct log_line *rlog_server(const struct rserver *s, const char *event)
 {
 	struct log_line *l = log_event(LOG_STATE, event);
 
@@ -281,9 +282,9 @@
 }
 
 /* Logs an event of a server that needs no more fields. */
-void rlg_server_event(const struct rserver *s, const char *event)
+void rlog_server_event(const struct rserver *s, const char *event)
 {
-	struct log_line *l = rlg_server(s, event);
+	struct log_line *l = rlog_server(s, event);
 
 	if (l)
 		log_event_end(l);
@@ -305,19 +306,19 @@
  * for each replica, primary and reason, so that an operator whose writes wait
  * sees which server is not relied on.
  */
-void rlg_left_aside(struct rserver *by, uint64_t counts_us, bool is_doubted)
+void rlog_not_relied_on(struct rserver *by, uint64_t counts_us, bool is_doubted)
 {
 	const struct rservice *v = by->service;
 	const char *why = reason_not_alone(by, is_doubted);
 	struct log_line *l;
 
-	if (counts_us >= by->agreed_us || counts_us > v->confirmed_us)
+	if (counts_us >= by->agreed_at_us || counts_us > v->confirmed_us)
 		return;
-	if (by->left_aside_change == v->primary_changes &&
-	    by->left_aside_why == why)
+	if (by->disregard_logged == v->primary_changes &&
+	    by->disregard_reason == why)
 		return;
-	by->left_aside_change = v->primary_changes;
-	by->left_aside_why = why;
+	by->disregard_logged = v->primary_changes;
+	by->disregard_reason = why;
 	l = log_event(LOG_STATE, "word-left-aside");
 	if (!l)
 		return;
--- a/packages/relay/src/rmetrics.c
+++ b/packages/relay/src/rmetrics.c
@@ -50,7 +50,7 @@
 		for (outcome = 0; outcome < RELAY_OUTCOMES; outcome++) {
 			g_snprintf(labels, sizeof(labels),
 				   "kind=\"%s\",outcome=\"%s\"",
-				   rlg_kind_name(kind),
+				   rlog_kind_name(kind),
 				   relay_outcome_name(outcome));
 			m->statement[kind][outcome] = histogram(
 				set, "celeryquay_relay_statement_seconds",
@@ -93,7 +93,7 @@
 }
 
 /* All metrics start at 0. */
-struct rmetrics *rmt_create(struct counter_set *set)
+struct rmetrics *rmetrics_create(struct counter_set *set)
 {
 	struct rmetrics *m = g_new0(struct rmetrics, 1);
 
@@ -119,14 +119,14 @@
 }
 
 /* The counter set keeps the counters. */
-void rmt_destroy(struct rmetrics *m)
+void rmetrics_destroy(struct rmetrics *m)
 {
 	g_free(m);
 }
 
 /* A statement is answered to its caller. */
-void rmt_statement(const struct rsession *s, enum relay_code code,
-		   uint64_t now_us)
+void rmetrics_statement(const struct rsession *s, enum relay_code code,
+			uint64_t now_us)
 {
 	const struct relay_profile *profile =
 		relay_catalog_profile(s->relay->catalog, s->database);
@@ -139,13 +139,13 @@
 }
 
 /* A statement got a connection after this time. */
-void rmt_waited(const struct relay *r, uint64_t us)
+void rmetrics_waited(const struct relay *r, uint64_t us)
 {
 	counter_observe_us(r->metrics->wait, us);
 }
 
 /* A server, or another proxy, answered a caller's statement. */
-void rmt_answered(const struct rserver *s, uint64_t us)
+void rmetrics_answered(const struct rserver *s, uint64_t us)
 {
 	const struct rmetrics *m = s->relay->metrics;
 
@@ -153,19 +153,19 @@
 }
 
 /* The store answered a call after this time. */
-void rmt_store_call(const struct relay *r, uint64_t us)
+void rmetrics_store_call(const struct relay *r, uint64_t us)
 {
 	counter_observe_us(r->metrics->store_call, us);
 }
 
 /* A server is told to reject older terms (paused). */
-void rmt_pause(const struct relay *r)
+void rmetrics_pause(const struct relay *r)
 {
 	counter_add(r->metrics->pauses, 1);
 }
 
 /* A server appeared that the pauses of a change of primary had missed. */
-void rmt_fence_again(const struct relay *r)
+void rmetrics_fence_repeated(const struct relay *r)
 {
 	counter_add(r->metrics->fences_again, 1);
 }
@@ -217,7 +217,7 @@
 		if (s->service->peers)
 			continue;
 		n++;
-		down += !rsv_is_up(s);
+		down += !rserver_is_up(s);
 	}
 	counter_set(r->metrics->servers, n);
 	counter_set(r->metrics->servers_down, down);
@@ -234,16 +234,16 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rservice *v = value;
 
-		n += v->is_home && !rld_holds(v, now_us);
+		n += v->is_home && !rprimary_lease_holds(v, now_us);
 	}
 	counter_set(r->metrics->without_primary, n);
 }
 
 /* Updates the gauges. */
-void rmt_set_gauges(const struct relay *r, uint64_t now_us)
+void rmetrics_set_gauges(const struct relay *r, uint64_t now_us)
 {
 	const struct rmetrics *m = r->metrics;
-	uint64_t age_us = now_us - MIN(r->store_heard_us, now_us);
+	uint64_t age_us = now_us - MIN(r->store_heard_at_us, now_us);
 
 	set_sessions(r);
 	set_connections(r);
--- a/packages/relay/src/role.c
+++ b/packages/relay/src/role.c
@@ -37,7 +37,7 @@
 #define SPARE_ACTIVE_US (10 * USEC_PER_SEC)
 
 /* The number of proxies, this one included. */
-unsigned rrl_proxies(const struct relay *r)
+unsigned role_proxy_count(const struct relay *r)
 {
 	return g_hash_table_size(r->peers) + 1;
 }
@@ -77,7 +77,7 @@
 		return;
 	log_cstr(l, "service", v->name);
 	log_bool(l, "home", v->is_home);
-	log_u64(l, "proxies", rrl_proxies(v->relay));
+	log_u64(l, "proxies", role_proxy_count(v->relay));
 	log_u64(l, "limit", v->max_connections);
 	log_event_end(l);
 }
@@ -90,15 +90,15 @@
 {
 	v->is_home = true;
 	v->no_primary_us = v->relay->ticked_us;
-	v->usable_us = 0;
+	v->primary_usable_at_us = 0;
 	log_home(v);
 }
 
 /* Whether this proxy, as a spare, stands in for unreachable homes. */
 static bool is_spare_in_use(const struct rservice *v)
 {
-	return v->spare_us &&
-	       v->relay->ticked_us < v->spare_us + SPARE_ACTIVE_US;
+	return v->asked_as_spare_at_us &&
+	       v->relay->ticked_us < v->asked_as_spare_at_us + SPARE_ACTIVE_US;
 }
 
 static void stop_being_home(struct rservice *v)
@@ -111,9 +111,10 @@
 /* Becomes a home of the service, or stops being one. True: one of these. */
 static bool update_role(struct rservice *v)
 {
-	unsigned wanted = homes_wanted(v, rrl_proxies(v->relay));
-	bool is_home = (v->rank.n_before < wanted && v->relay->knows_fleet) ||
-		       is_spare_in_use(v);
+	unsigned wanted = homes_wanted(v, role_proxy_count(v->relay));
+	bool is_home =
+		(v->rank.n_ranked_before < wanted && v->relay->knows_fleet) ||
+		is_spare_in_use(v);
 
 	if (is_home == v->is_home)
 		return false;
@@ -128,7 +129,7 @@
  * Lists the services whose servers the tick has to run. In a large fleet they
  * are few; the others cost nothing until a list or configuration changes.
  */
-void rrl_list_served(struct relay *r)
+void role_update_served(struct relay *r)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -139,7 +140,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct rservice *v = value;
 
-		if ((v->is_home && v->configured) || rch_is_running(v))
+		if ((v->is_home && v->configured) || rfailover_is_running(v))
 			g_ptr_array_add(r->served, v);
 	}
 }
@@ -148,7 +149,7 @@
  * Adapts all roles to the current lists and connection limits. True: a role
  * has changed.
  */
-bool rrl_update(struct relay *r)
+bool role_update_all(struct relay *r)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -188,34 +189,34 @@
 static void list_homes(struct rservice *v)
 {
 	const char *names[HOMES_MAX];
-	unsigned n_homes = homes_wanted(v, rrl_proxies(v->relay));
-	unsigned n = rrk_first(v, names, MIN(n_homes + SPARES, HOMES_MAX));
+	unsigned n_homes = homes_wanted(v, role_proxy_count(v->relay));
+	unsigned n = rank_best(v, names, MIN(n_homes + SPARES, HOMES_MAX));
 
 	if (copy_names(v->homes, names, n_homes, v->relay->name))
-		v->homes_changed++;
+		v->homes_version++;
 	copy_names(v->spares, names + n_homes, n - n_homes, v->relay->name);
-	v->homes_of = v->relay->peers_changed;
+	v->homes_peers_version = v->relay->n_peer_changes;
 }
 
 /* The names of the other homes. */
-GPtrArray *rrl_homes(struct rservice *v)
+GPtrArray *role_homes(struct rservice *v)
 {
-	if (v->homes_of != v->relay->peers_changed)
+	if (v->homes_peers_version != v->relay->n_peer_changes)
 		list_homes(v);
 	return v->homes;
 }
 
 /* The names of the spares; see via.c. */
-GPtrArray *rrl_spares(struct rservice *v)
+GPtrArray *role_spares(struct rservice *v)
 {
-	rrl_homes(v);
+	role_homes(v);
 	return v->spares;
 }
 
 /* A service is new. */
-void rrl_on_service(struct rservice *v)
+void role_on_new_service(struct rservice *v)
 {
-	rrk_init(v);
+	rank_init(v);
 	update_role(v);
 }
 
@@ -223,19 +224,19 @@
  * Another proxy asks this one to serve the service. If it isn't a home, it is a
  * spare, asked by a proxy that reaches no home, and becomes a home for a while.
  */
-void rrl_on_asked(struct rservice *v, uint64_t now_us)
+void role_on_asked(struct rservice *v, uint64_t now_us)
 {
-	if (v->is_home && !v->spare_us)
+	if (v->is_home && !v->asked_as_spare_at_us)
 		return;
-	v->spare_us = now_us;
+	v->asked_as_spare_at_us = now_us;
 	if (v->is_home)
 		return;
 	become_home(v);
-	rrl_list_served(v->relay);
+	role_update_served(v->relay);
 }
 
 /* Spares that are not asked any more stop being homes. */
-void rrl_end_spares(struct relay *r, uint64_t now_us)
+void role_end_spares(struct relay *r, uint64_t now_us)
 {
 	bool ended = false;
 	unsigned i;
@@ -243,12 +244,13 @@
 	for (i = 0; i < r->served->len; i++) {
 		struct rservice *v = g_ptr_array_index(r->served, i);
 
-		if (!v->spare_us || now_us < v->spare_us + SPARE_ACTIVE_US ||
-		    rch_is_running(v))
+		if (!v->asked_as_spare_at_us ||
+		    now_us < v->asked_as_spare_at_us + SPARE_ACTIVE_US ||
+		    rfailover_is_running(v))
 			continue;
-		v->spare_us = 0;
+		v->asked_as_spare_at_us = 0;
 		ended |= update_role(v);
 	}
 	if (ended)
-		rrl_list_served(r);
+		role_update_served(r);
 }
--- a/packages/relay/src/run.c
+++ b/packages/relay/src/run.c
@@ -67,13 +67,12 @@
 
 	if (in_transaction(s))
 		return run->begins && !s->wrote;
-	return !run->sent || !run->writes ||
-	       !s->relay->guards.no_second_write_try;
+	return !run->sent || !run->writes || !s->relay->guards.no_write_retry;
 }
 
 static void finish(struct rsession *s)
 {
-	if (s->run.state == RRUN_WAITING)
+	if (s->run.state == RRUN_QUEUED)
 		g_queue_unlink(&s->relay->waiting, &s->run.link);
 	s->run.state = RRUN_NONE;
 }
@@ -83,7 +82,7 @@
 {
 	struct relay *r = s->relay;
 
-	rmt_statement(s, code, now_us);
+	rmetrics_statement(s, code, now_us);
 
 	if (code == RELAY_IN_DOUBT)
 		counter_add(r->n_in_doubt, 1);
@@ -99,18 +98,18 @@
 {
 	struct relay_answer out = *from;
 
-	rlg_statement(s, from->code, from->text, now_us);
+	rlog_statement(s, from->code, from->text, now_us);
 	finish(s);
 	s->state = state;
 	out.state = state;
 	count_answer(s, from->code, now_us);
 	s->relay->ops->answer(s->relay->ctx, s->id, &out);
 	s->used_us = now_us;
-	rss_end_if_stopping(s, now_us);
+	rsession_end_if_stopping(s, now_us);
 	if (from->code != RELAY_BUSY)
 		return;
-	rss_end_if_isolated(s, now_us);
-	rss_end_if_cut_off(s, now_us);
+	rsession_end_if_isolated(s, now_us);
+	rsession_end_if_cut_off(s, now_us);
 }
 
 /* Ends the run with an error; an open transaction fails with it. */
@@ -122,7 +121,7 @@
 
 	if (in_transaction(s) && s->run.verb != RELAY_COMMIT)
 		state = 'E';
-	rss_abort(s, now_us);
+	rsession_abort_transaction(s, now_us);
 	send_answer(s, state, &a, now_us);
 }
 
@@ -134,7 +133,7 @@
 
 	if (!s->peer && position_cmp(from->position, s->floor) > 0) {
 		s->floor = from->position;
-		s->floor_us = now_us;
+		s->floor_at_us = now_us;
 	}
 	send_answer(s, state, from, now_us);
 }
@@ -149,7 +148,7 @@
 static bool confirm(struct rsession *s, uint64_t now_us)
 {
 	struct rrun *run = &s->run;
-	struct rservice *v = run->done_by->service;
+	struct rservice *v = run->executed_by->service;
 	struct relay_answer a = {
 		.code = RELAY_OK,
 		.rows = str_from_gstring(run->rows),
@@ -157,12 +156,12 @@
 		.position = run->position,
 	};
 
-	if (v->primary == run->done_by && v->term == run->term &&
-	    rld_holds(v, run->answered_us)) {
+	if (v->primary == run->executed_by && v->term == run->term &&
+	    rprimary_lease_holds(v, run->answered_us)) {
 		succeed(s, &a, now_us);
 		return true;
 	}
-	if (v->primary == run->done_by && v->term == run->term &&
+	if (v->primary == run->executed_by && v->term == run->term &&
 	    now_us < run->answered_us + CONFIRM_TIMEOUT_US)
 		return false;
 	fail(s, RELAY_IN_DOUBT, "the primary may have been replaced", now_us);
@@ -180,11 +179,11 @@
 	g_string_append_len(run->signature, from->text.data,
 			    (gssize)from->text.len);
 	run->position = from->position;
-	run->done_by = server;
+	run->executed_by = server;
 	run->answered_us = now_us;
 	run->state = RRUN_CONFIRMING;
 	if (!confirm(s, now_us))
-		rld_ask(server->service);
+		rprimary_probe_all(server->service);
 }
 
 static void set_text(GString *to, struct str from)
@@ -194,8 +193,8 @@
 }
 
 /* Records what log lines say about a statement that arrived. */
-void rrun_note(struct rsession *s, const struct relay_statement *statement,
-	       uint64_t now_us)
+void rrun_record(struct rsession *s, const struct relay_statement *statement,
+		 uint64_t now_us)
 {
 	struct rrun *run = &s->run;
 
@@ -228,16 +227,16 @@
 
 	if (now_us < run->again_us)
 		return;
-	rpk_choose(s, &pick, now_us);
+	rpick_choose(s, &pick, now_us);
 	if (pick.cut_off) {
 		fail(s, RELAY_MOVED, "this proxy is cut off from it", now_us);
 		return;
 	}
 	if (!pick.conn)
 		return;
-	rlg_route(s, &pick, now_us);
+	rlog_route(s, &pick, now_us);
 	set_text(run->server, str_from_c(pick.server->info.id));
-	rmt_waited(s->relay, now_us - run->arrived_us);
+	rmetrics_waited(s->relay, now_us - run->arrived_us);
 	g_queue_unlink(&s->relay->waiting, &run->link);
 	run->state = RRUN_RUNNING;
 	run->after = pick.after;
@@ -246,7 +245,7 @@
 			    s->relay->n_reads_primary :
 			    s->relay->n_reads_replica,
 		    run->writes ? 0 : 1);
-	rcn_lend(pick.conn, s);
+	rconn_assign(pick.conn, s);
 	rstep_next(pick.conn, now_us);
 }
 
@@ -268,7 +267,7 @@
 	while (before &&
 	       has_precedence(&s->run, &((struct rsession *)before->data)->run))
 		before = before->prev;
-	s->run.state = RRUN_WAITING;
+	s->run.state = RRUN_QUEUED;
 	if (before)
 		g_queue_insert_after_link(waiting, before, &s->run.link);
 	else
@@ -282,10 +281,10 @@
 	struct rrun *run = &s->run;
 
 	if (s->conn)
-		rcn_give_back(s->conn, now_us);
+		rconn_release(s->conn, now_us);
 	run->code = code;
 	run->sent = false;
-	if (run->tries == RUN_TRIES) {
+	if (run->tries == MAX_RUN_TRIES) {
 		fail(s, code == RELAY_MOVED ? RELAY_BUSY : code,
 		     "no server could execute it", now_us);
 		return;
@@ -294,7 +293,7 @@
 	run->again_us = now_us;
 	if (code != RELAY_MOVED) /* not due to load, so no backoff */
 		run->again_us += (run->tries - 1) * RETRY_BACKOFF_US;
-	rlg_retry(s, server->info.id, code, now_us);
+	rlog_retry(s, server->info.id, code, now_us);
 	enqueue(s);
 }
 
@@ -330,7 +329,8 @@
  */
 bool rrun_has_time_for_peer(const struct rsession *s, uint64_t now_us)
 {
-	return !s->run.tries || now_us + MIN_PEER_WAIT_US <= s->run.give_up_us;
+	return !s->run.tries ||
+	       now_us + MIN_PEER_WAIT_US <= s->run.queue_deadline_us;
 }
 
 /* Accepts a statement that needs a server. */
@@ -353,14 +353,14 @@
 	run->to_primary = profile->kind == RELAY_KIND_PRIMARY || writes ||
 			  (in_transaction(s) && !s->read_only);
 	run->priority = profile->priority;
-	run->account_priority = rac_priority(s);
+	run->account_priority = raccount_priority(s);
 	run->deadline_us = now_us + profile->timeout_us;
 	run->due_us = now_us + profile->aim_us;
-	run->give_up_us = now_us + queue_timeout_us(profile, s->peer);
+	run->queue_deadline_us = now_us + queue_timeout_us(profile, s->peer);
 	if (statement->wait_us)
-		run->give_up_us =
+		run->queue_deadline_us =
 			now_us + MIN(statement->wait_us, profile->timeout_us);
-	run->token_by_us = now_us + profile->aim_us / TOKEN_WAIT_DIVISOR;
+	run->token_deadline_us = now_us + profile->aim_us / TOKEN_WAIT_DIVISOR;
 	run->again_us = 0;
 	run->code = RELAY_BUSY;
 	run->after = (struct position){ 0 };
@@ -371,8 +371,8 @@
 		return;
 	}
 	retry_budget_first_try(&s->relay->retries);
-	if (rlm_applies(s))
-		rlm_take(s, now_us);
+	if (rlimit_applies(s))
+		rlimit_queue(s, now_us);
 	else
 		rrun_begin(s, now_us);
 }
@@ -383,15 +383,16 @@
  */
 void rrun_begin(struct rsession *s, uint64_t now_us)
 {
-	s->limited = in_transaction(s);
+	s->has_txn_token = in_transaction(s);
 	/* The queue timeout starts now, after the wait for the token. */
-	s->run.give_up_us += now_us - s->run.arrived_us;
+	s->run.queue_deadline_us += now_us - s->run.arrived_us;
 	enqueue(s);
 	try_start(s, now_us);
 }
 
 /* Refuses a run for which its account has no token; no server has seen it. */
-void rrun_refuse_limited(struct rsession *s, const char *text, uint64_t now_us)
+void rrun_refuse_rate_limited(struct rsession *s, const char *text,
+			      uint64_t now_us)
 {
 	fail(s, RELAY_BUSY, text, now_us);
 }
@@ -422,11 +423,11 @@
 	if (server->service->peers)
 		return;
 	if (code == RELAY_LAGGING)
-		server->lagging_us = now_us;
+		server->lag_seen_at_us = now_us;
 	if (code == RELAY_MOVED)
 		server->moved = true;
 	if (code == RELAY_READ_ONLY)
-		rld_on_read_only(server, now_us);
+		rprimary_on_read_only(server, now_us);
 }
 
 static void on_success(struct rconn *c, const struct relay_answer *from,
@@ -444,7 +445,7 @@
 		succeed(s, from, now_us);
 		return;
 	}
-	rcn_give_back(c, now_us);
+	rconn_release(c, now_us);
 	s->wrote = false;
 	/* The proxy that is the service's home has confirmed it already. */
 	if (wrote && s->relay->guards.confirm_writes && !server->service->peers)
@@ -463,25 +464,26 @@
 	struct rrun *run = &c->session->run;
 
 	if (from->code != RELAY_BUSY || from->state != 'T' ||
-	    run->tries >= RUN_TRIES)
+	    run->tries >= MAX_RUN_TRIES)
 		return false;
 	record_try(run, c->server, from->code, now_us);
 	run->sent = false;
-	run->state = RRUN_PAUSED;
+	run->state = RRUN_BACKING_OFF;
 	run->again_us = now_us + run->tries * RETRY_BACKOFF_US;
-	rlg_retry(c->session, c->server->info.id, from->code, now_us);
+	rlog_retry(c->session, c->server->info.id, from->code, now_us);
 	return true;
 }
 
 /* Refuses a run that got no server; the text says when to retry. */
 static void refuse(struct rsession *s, uint64_t now_us)
 {
-	const struct rservice *v = rls_service_of(s->relay, s->database);
+	const struct rservice *v =
+		registry_service_of_database(s->relay, s->database);
 	uint64_t until_us = 0, wait_us = MIN_RETRY_AFTER_US;
 	char text[64];
 
 	if (v && s->run.to_primary)
-		until_us = rch_expected_us(v);
+		until_us = rfailover_expected_primary_at_us(v);
 	if (until_us > now_us + wait_us)
 		wait_us = until_us - now_us;
 	g_snprintf(text, sizeof(text), "no server in time; come back in %u ms",
@@ -500,7 +502,7 @@
 {
 	struct rrun *run = &s->run;
 
-	if (now_us < run->give_up_us || run->tries == RUN_TRIES) {
+	if (now_us < run->queue_deadline_us || run->tries == MAX_RUN_TRIES) {
 		enqueue_retry(s, server, RELAY_BUSY, now_us);
 		return;
 	}
@@ -525,7 +527,7 @@
 	if (is_not_executed(from->code))
 		s->run.sent = false;
 	if (server->service->peers && from->code == RELAY_BUSY &&
-	    !rvi_on_refused(s, server)) {
+	    !via_may_try_another(s, server)) {
 		fail(s, from->code, "the home refused it", now_us);
 		return;
 	}
@@ -574,9 +576,9 @@
 			step == STEP_ROLLBACK;
 
 	if (!is_known || (step == STEP_ROLLBACK && from->code != RELAY_OK))
-		rcn_close(c);
+		rconn_close(c);
 	else
-		rcn_give_back(c, now_us);
+		rconn_release(c, now_us);
 }
 
 /* Handles the answer to a connection's step. */
@@ -592,7 +594,7 @@
 		on_success(c, from, now_us);
 	else if (step == STEP_CALLER)
 		on_refusal(c, from, now_us);
-	else if (rstep_done(c, step, from))
+	else if (rstep_on_answer(c, step, from))
 		rstep_next(c, now_us);
 	else
 		on_setup_refusal(c, from, now_us);
@@ -608,10 +610,10 @@
 	struct rrun *run = &s->run;
 
 	if (run->state == RRUN_NONE) {
-		rlg_session(s, "transaction-ended",
-			    timed_out ? "the server did not answer" :
-					"the server was lost",
-			    now_us);
+		rlog_session(s, "transaction-ended",
+			     timed_out ? "the server did not answer" :
+					 "the server was lost",
+			     now_us);
 		s->state = 'E';
 		s->wrote = false;
 		return;
@@ -649,9 +651,9 @@
 	    !retry_budget_take(&s->relay->retries))
 		return;
 	s->run.sent = false;
-	rol_on_lost(&c->server->outlier, now_us);
+	routlier_on_lost(&c->server->outlier, now_us);
 	/* The retry gets a queue timeout of its own. */
-	s->run.give_up_us += now_us - s->run.arrived_us;
+	s->run.queue_deadline_us += now_us - s->run.arrived_us;
 	enqueue_retry(s, c->server, RELAY_BUSY, now_us);
 }
 
@@ -661,18 +663,18 @@
 	struct rrun *run = &s->run;
 
 	switch (run->state) {
-	case RRUN_LIMITED:
-		if (now_us >= run->token_by_us)
-			rlm_give_up(s, now_us);
+	case RRUN_AWAITING_TOKEN:
+		if (now_us >= run->token_deadline_us)
+			rlimit_on_timeout(s, now_us);
 		break;
-	case RRUN_WAITING:
-		if (now_us >= run->give_up_us)
+	case RRUN_QUEUED:
+		if (now_us >= run->queue_deadline_us)
 			refuse(s, now_us);
 		break;
 	case RRUN_RUNNING:
 		retry_late_read(s, now_us);
 		break;
-	case RRUN_PAUSED:
+	case RRUN_BACKING_OFF:
 		if (now_us < run->again_us)
 			break;
 		run->state = RRUN_RUNNING;
--- a/packages/relay/src/server.c
+++ b/packages/relay/src/server.c
@@ -29,9 +29,9 @@
  * Creates a server that the platform lists. Its connections are opened with the
  * next tick.
  */
-struct rserver *rsv_create(struct rservice *service,
-			   const struct relay_server_info *info,
-			   uint64_t now_us)
+struct rserver *rserver_create(struct rservice *service,
+			       const struct relay_server_info *info,
+			       uint64_t now_us)
 {
 	struct rserver *s = g_new0(struct rserver, 1);
 
@@ -40,7 +40,7 @@
 	s->service = service;
 	relay_server_info_copy(&s->info, info);
 	s->listed = true;
-	s->listed_us = now_us;
+	s->listed_at_us = now_us;
 	s->leaving_at_us = now_us;
 	s->latency_us = INITIAL_LATENCY_US;
 	s->lag_us = NEVER_US;
@@ -50,7 +50,7 @@
 }
 
 /* Frees a server; its connections must be closed. */
-void rsv_destroy(gpointer server)
+void rserver_destroy(gpointer server)
 {
 	struct rserver *s = server;
 
@@ -64,22 +64,22 @@
  *
  * Failure: a server restarts under its old id. It knows of no pause, step-down
  * or higher term, and what this proxy knows of it is true of another process;
- * word.c and failover.c say what callers would see. Guard: a connection ends
+ * trust.c and failover.c say what callers would see. Guard: a connection ends
  * with its process. So after one broke, the next one opened may lead to another
  * process, unless an older connection has answered since.
  */
 static void suspect_restart(struct rserver *s, uint64_t now_us)
 {
 	s->conn_broke_at_us = 0;
-	if (s->service->peers || !s->relay->guards.doubt_reborn)
+	if (s->service->peers || !s->relay->guards.distrust_restarted)
 		return;
 	s->status.held = 0;
-	rld_on_doubt(s, now_us);
-	rch_on_doubt(s, now_us);
+	rprimary_on_maybe_restarted(s, now_us);
+	rfailover_on_maybe_restarted(s, now_us);
 }
 
 /* A connection was lost, or closed because it was silent. */
-void rsv_conn_broke(struct rserver *s, uint64_t now_us)
+void rserver_on_conn_broke(struct rserver *s, uint64_t now_us)
 {
 	s->conn_broke_at_us = now_us;
 }
@@ -88,8 +88,8 @@
  * An answer came to a statement sent at sent_us. From a connection opened
  * before the break it shows that the process is still the same.
  */
-void rsv_conn_answered(struct rserver *s, const struct rconn *c,
-		       uint64_t sent_us)
+void rserver_on_conn_answered(struct rserver *s, const struct rconn *c,
+			      uint64_t sent_us)
 {
 	if (c->opened_us < s->conn_broke_at_us && sent_us > s->conn_broke_at_us)
 		s->conn_broke_at_us = 0;
@@ -100,10 +100,10 @@
  * to the same process as before, if this proxy ever had a connection: a home of
  * a database may have known the server by the list alone.
  */
-void rsv_conn_opened(struct rserver *s, uint64_t now_us)
+void rserver_on_conn_opened(struct rserver *s, uint64_t now_us)
 {
 	bool is_only_one = s->n_conns == s->opening.length &&
-			   s->relay->guards.doubt_newcomers;
+			   s->relay->guards.distrust_newly_listed;
 
 	if (s->conn_broke_at_us || is_only_one)
 		suspect_restart(s, now_us);
@@ -116,26 +116,26 @@
  */
 static void on_restarted(struct rserver *s, uint64_t now_us)
 {
-	rlg_server_event(s, "server-reborn");
-	rcn_close_idle(s);
+	rlog_server_event(s, "server-reborn");
+	rconn_close_idle(s);
 	s->refused = s->moved = s->order_pending = false;
 	s->refused_until_us = s->open_after_us = 0;
 	s->applied = (struct position){ 0 };
-	s->lagging_us = 0;
+	s->lag_seen_at_us = 0;
 	s->lag_us = NEVER_US;
 	s->status = (struct relay_status){ 0 };
-	s->status_at_us = s->heard_us = s->failing_us = 0;
+	s->status_at_us = s->heard_us = s->failing_since_us = 0;
 	s->seen_pause_term = 0;
 	s->latency_us = INITIAL_LATENCY_US;
 	s->outlier = (struct routlier){ 0 };
-	s->limit = (struct rclimit){ 0 };
+	s->limit = (struct inflight_limit){ 0 };
 	suspect_restart(s, now_us);
-	rsv_probe_soon(s);
+	rserver_probe_soon(s);
 }
 
-/* Whether rsv_update() would change nothing. */
-bool rsv_is_as_listed(const struct rserver *s,
-		      const struct relay_server_info *info)
+/* Whether rserver_update() would change nothing. */
+bool rserver_is_unchanged(const struct rserver *s,
+			  const struct relay_server_info *info)
 {
 	return s->listed == !info->unusable &&
 	       relay_server_info_equal(&s->info, info);
@@ -145,8 +145,8 @@
  * Takes over the server's new entry in the list, which may also be one that
  * can't be read.
  */
-void rsv_update(struct rserver *s, const struct relay_server_info *info,
-		uint64_t now_us)
+void rserver_update(struct rserver *s, const struct relay_server_info *info,
+		    uint64_t now_us)
 {
 	const struct relay_server_info *old = &s->info;
 	bool was_listed = s->listed;
@@ -158,40 +158,40 @@
 	if (info->born_ms && info->born_ms < old->born_ms)
 		return;
 	if (old->born_ms && info->born_ms > old->born_ms &&
-	    s->relay->guards.doubt_reborn)
+	    s->relay->guards.distrust_restarted)
 		on_restarted(s, now_us);
 	if (info->leaving && !old->leaving)
 		s->leaving_at_us = now_us;
 	if (info->role != old->role || info->leaving != old->leaving)
-		rsv_probe_soon(s);
+		rserver_probe_soon(s);
 	relay_server_info_replace(&s->info, info);
 	s->listed = !info->unusable;
 	/*
 	 * Other proxies may have dropped it meanwhile and not have paused it.
 	 */
 	if (s->listed && !was_listed)
-		rld_on_listed(s, now_us);
+		rprimary_on_listed(s, now_us);
 	if (s->listed)
-		s->unlisted_us = 0;
+		s->unlisted_at_us = 0;
 	else if (was_listed)
-		s->unlisted_us = now_us;
+		s->unlisted_at_us = now_us;
 }
 
 /* Whether it answered when it was last asked. */
-bool rsv_is_up(const struct rserver *s)
+bool rserver_is_up(const struct rserver *s)
 {
-	return s->heard_us && !s->failing_us && !s->moved;
+	return s->heard_us && !s->failing_since_us && !s->moved;
 }
 
 /* Whether it may get new transactions. */
-bool rsv_takes_work(const struct rserver *s, uint64_t now_us)
+bool rserver_takes_work(const struct rserver *s, uint64_t now_us)
 {
 	if (s->info.leaving || s->moved || s->info.unusable)
 		return false;
 	if (s->service->peers)
 		return s->listed;
 	return s->listed ||
-	       now_us < s->unlisted_us + s->relay->settings.gone_after_us;
+	       now_us < s->unlisted_at_us + s->relay->settings.gone_after_us;
 }
 
 /*
@@ -199,9 +199,9 @@
  * grants a leaving server time to drain; LEAVING_PRIMARY_WORK_US is shorter and
  * leaves a margin.
  */
-bool rsv_leads_on(const struct rserver *s, uint64_t now_us)
+bool rserver_takes_primary_work(const struct rserver *s, uint64_t now_us)
 {
-	if (rsv_takes_work(s, now_us))
+	if (rserver_takes_work(s, now_us))
 		return true;
 	return s->info.leaving && s->listed && !s->moved &&
 	       now_us < s->leaving_at_us + LEAVING_PRIMARY_WORK_US;
@@ -209,20 +209,20 @@
 
 static void log_back(const struct rserver *s, uint64_t now_us)
 {
-	struct log_line *l =
-		rlg_server(s, s->service->peers ? "proxy-back" : "server-back");
+	struct log_line *l = rlog_server(s, s->service->peers ? "proxy-back" :
+								"server-back");
 
 	if (!l)
 		return;
 	log_u64(l, "failed_ms",
-		(now_us - MIN(s->failing_us, now_us)) / USEC_PER_MSEC);
+		(now_us - MIN(s->failing_since_us, now_us)) / USEC_PER_MSEC);
 	log_event_end(l);
 }
 
 static void log_lost(const struct rserver *s, bool refused)
 {
-	struct log_line *l =
-		rlg_server(s, s->service->peers ? "proxy-lost" : "server-lost");
+	struct log_line *l = rlog_server(s, s->service->peers ? "proxy-lost" :
+								"server-lost");
 
 	if (!l)
 		return;
@@ -235,21 +235,21 @@
  * Handles any answer: it shows that the server is alive and, with a position,
  * what its log has applied.
  */
-void rsv_heard(struct rserver *s, const struct relay_answer *answer,
-	       uint64_t sent_us, uint64_t now_us)
+void rserver_on_answer(struct rserver *s, const struct relay_answer *answer,
+		       uint64_t sent_us, uint64_t now_us)
 {
 	bool was_paused, same_term;
 
-	if (s->failing_us)
+	if (s->failing_since_us)
 		log_back(s, now_us);
 	s->heard_us = now_us;
-	s->failing_us = 0;
+	s->failing_since_us = 0;
 	s->refused = false;
 	if (answer->position.term) {
 		/* Not the maximum: a log that was rolled back is shorter. */
 		s->applied = answer->position;
-		rld_on_position(s, answer->position, sent_us);
-		rld_on_applied(s, answer->position, now_us);
+		rprimary_on_position(s, answer->position, sent_us);
+		rprimary_on_applied(s, answer->position, now_us);
 	}
 	if (!answer->has_status)
 		return;
@@ -258,30 +258,30 @@
 	s->status = answer->status;
 	s->status_at_us = sent_us;
 	if (was_paused && same_term && s->status.held <= s->status.term)
-		rld_on_unpaused(s, now_us);
-	rld_on_status(s, sent_us, now_us);
-	rch_on_status(s, now_us);
+		rprimary_on_unpaused(s, now_us);
+	rprimary_on_status(s, sent_us, now_us);
+	rfailover_on_status(s, now_us);
 }
 
 /* It didn't answer a statement sent, or a connection tried, at since_us. */
-void rsv_failed(struct rserver *s, bool refused, uint64_t since_us)
+void rserver_on_failure(struct rserver *s, bool refused, uint64_t since_us)
 {
-	if (!s->failing_us) {
+	if (!s->failing_since_us) {
 		log_lost(s, refused);
-		s->failing_us = since_us;
+		s->failing_since_us = since_us;
 	}
 	if (refused)
 		s->refused = true;
 }
 
 /* Sends a probe with the next tick. */
-void rsv_probe_soon(struct rserver *s)
+void rserver_probe_soon(struct rserver *s)
 {
 	s->probe_requested = true;
 }
 
 /* Sends an order in place of the next status probe. */
-void rsv_order(struct rserver *s, enum relay_verb verb, uint64_t term)
+void rserver_order(struct rserver *s, enum relay_verb verb, uint64_t term)
 {
 	s->order_pending = true;
 	s->order = verb;
@@ -289,12 +289,12 @@
 }
 
 /* The same, unless the last order is pending or was sent just now. */
-void rsv_order_again(struct rserver *s, enum relay_verb verb, uint64_t term,
-		     uint64_t now_us)
+void rserver_repeat_order(struct rserver *s, enum relay_verb verb,
+			  uint64_t term, uint64_t now_us)
 {
 	if (!s->order_pending &&
 	    now_us > s->order_sent_at_us + ORDER_RETRY_INTERVAL_US)
-		rsv_order(s, verb, term);
+		rserver_order(s, verb, term);
 }
 
 static void send_probe(struct rserver *s, struct rconn *c, uint64_t now_us)
@@ -309,35 +309,36 @@
 		s->order_pending = false;
 		s->order_sent_at_us = now_us;
 		if (s->order == RELAY_PAUSE)
-			rmt_pause(s->relay);
+			rmetrics_pause(s->relay);
 	}
 	s->probe_requested = false;
 	s->probed_at_us = now_us;
 	s->probing = c;
 	g_queue_unlink(&s->idle, &c->link);
-	c->state = RCONN_LENT;
-	rcn_send(c, step, &st, PROBE_TIMEOUT_US, now_us);
+	c->state = RCONN_IN_USE;
+	rconn_send(c, step, &st, PROBE_TIMEOUT_US, now_us);
 }
 
 /* Handles the answer to a status probe or an order. */
-void rsv_probe_answered(struct rconn *c, const struct relay_answer *answer,
-			uint64_t now_us)
+void rserver_on_probe_answered(struct rconn *c,
+			       const struct relay_answer *answer,
+			       uint64_t now_us)
 {
 	struct rserver *s = c->server;
 
 	(void)answer;
 	s->probing = NULL;
-	rcn_give_back(c, now_us);
+	rconn_release(c, now_us);
 	if (!s->service->peers)
-		rch_tick(s->service, now_us);
-	rsv_tick(s, now_us);
+		rfailover_tick(s->service, now_us);
+	rserver_tick(s, now_us);
 }
 
 static bool primary_fails(const struct rserver *s)
 {
 	const struct rserver *p = s->service->primary;
 
-	return p ? p->failing_us != 0 : true;
+	return p ? p->failing_since_us != 0 : true;
 }
 
 /*
@@ -350,7 +351,7 @@
 
 	if (now_us < s->probed_at_us + s->relay->settings.probe_interval_us)
 		return false;
-	return s->probe_requested || s->failing_us ||
+	return s->probe_requested || s->failing_since_us ||
 	       quiet_us > IDLE_PROBE_INTERVAL_US ||
 	       (s->in_flight && quiet_us > IN_FLIGHT_SILENCE_US);
 }
@@ -365,27 +366,27 @@
 		return peer_probe_is_due(s, now_us);
 	if (s->probe_requested || !s->status_at_us)
 		return true;
-	if (!v->primary && now_us < v->wanted_us + every_us &&
+	if (!v->primary && now_us < v->wanted_at_us + every_us &&
 	    now_us > s->probed_at_us + NO_PRIMARY_PROBE_INTERVAL_US)
 		return true;
 	if (now_us < s->probed_at_us + every_us)
 		return false;
-	if (s->failing_us || primary_fails(s) || rch_is_running(v))
+	if (s->failing_since_us || primary_fails(s) || rfailover_is_running(v))
 		return true;
 	if (s->in_flight && quiet_us > IN_FLIGHT_SILENCE_US)
 		return true;
-	if (v->primary != s && rld_wants(v, now_us))
+	if (v->primary != s && rprimary_needs_renewal(v, now_us))
 		return true;
 	return quiet_us > IDLE_PROBE_INTERVAL_US ||
 	       now_us > s->status_at_us + STATUS_MAX_AGE_US;
 }
 
 /* Whether connections to it are kept, even if only for probes. */
-bool rsv_is_wanted(const struct rserver *s, uint64_t now_us)
+bool rserver_keeps_conns(const struct rserver *s, uint64_t now_us)
 {
 	return !s->moved &&
 	       (s->listed ||
-		now_us < s->unlisted_us + s->relay->settings.gone_after_us);
+		now_us < s->unlisted_at_us + s->relay->settings.gone_after_us);
 }
 
 static bool may_open_for_probe(const struct rserver *s, uint64_t now_us)
@@ -396,19 +397,20 @@
 		return false; /* a proxy isn't failed over, so its state doesn't
 				 matter */
 	return !s->n_conns || s->order_pending ||
-	       now_us > s->heard_us + IDLE_PROBE_INTERVAL_US || s->failing_us ||
+	       now_us > s->heard_us + IDLE_PROBE_INTERVAL_US ||
+	       s->failing_since_us ||
 	       (s->in_flight && now_us > s->heard_us + IN_FLIGHT_SILENCE_US);
 }
 
 /* Sends a probe if one is due, and maintains the connections. */
-void rsv_tick(struct rserver *s, uint64_t now_us)
+void rserver_tick(struct rserver *s, uint64_t now_us)
 {
 	struct rconn *c;
 
-	rcn_tick(s, now_us);
-	if (!rcn_is_ours(s))
+	rconn_tick(s, now_us);
+	if (!rconn_is_wanted(s))
 		return;
-	if (!rsv_is_wanted(s, now_us) || s->probing ||
+	if (!rserver_keeps_conns(s, now_us) || s->probing ||
 	    (!s->order_pending && !probe_is_due(s, now_us)))
 		return;
 	if (now_us < s->probed_at_us + PROBE_MIN_INTERVAL_US)
@@ -418,7 +420,7 @@
 		send_probe(s, c, now_us);
 	} else if (may_open_for_probe(s, now_us)) {
 		s->open_after_us = now_us + REOPEN_INTERVAL_US;
-		rcn_open(s, "", now_us);
+		rconn_open(s, "", now_us);
 	}
 }
 
--- a/packages/relay/src/server_list.c
+++ b/packages/relay/src/server_list.c
@@ -100,7 +100,8 @@
  * server gets no new work until it has written its entry again. What runs there
  * ends normally.
  */
-void relay_server_list_withdraw(struct relay_server_list *l, const char *key)
+void relay_server_list_mark_unusable(struct relay_server_list *l,
+				     const char *key)
 {
 	struct relay_server_info *info = g_hash_table_lookup(l->infos, key);
 
@@ -117,8 +118,9 @@
 }
 
 /* relay_server_list_pass() must still be called for the whole list. */
-void relay_server_list_show(const struct relay_server_list *l, struct relay *r,
-			    relay_list_fn pass, uint64_t now_us)
+void relay_server_list_pass_partial(const struct relay_server_list *l,
+				    struct relay *r, relay_list_fn pass,
+				    uint64_t now_us)
 {
 	struct relay_server_info *infos;
 	GHashTableIter iter;
@@ -139,6 +141,6 @@
 {
 	if (!l->changed)
 		return;
-	relay_server_list_show(l, r, pass, now_us);
+	relay_server_list_pass_partial(l, r, pass, now_us);
 	l->changed = false;
 }
--- a/packages/relay/src/session.c
+++ b/packages/relay/src/session.c
@@ -29,8 +29,8 @@
 }
 
 /* Creates a session without values, outside a transaction. */
-struct rsession *rss_create(struct relay *r, uint64_t id, const char *database,
-			    const char *key)
+struct rsession *rsession_create(struct relay *r, uint64_t id,
+				 const char *database, const char *key)
 {
 	struct rsession *s = g_new0(struct rsession, 1);
 
@@ -56,7 +56,7 @@
 }
 
 /* Frees a session that has no connection and is in no queue. */
-void rss_destroy(gpointer session)
+void rsession_destroy(gpointer session)
 {
 	struct rsession *s = session;
 
@@ -76,7 +76,7 @@
 }
 
 /* Answers a statement without a server. */
-void rss_answer(struct rsession *s, enum relay_code code, const char *text)
+void rsession_answer(struct rsession *s, enum relay_code code, const char *text)
 {
 	struct relay_answer answer = {
 		.code = code,
@@ -86,26 +86,26 @@
 
 	/* Only errors are logged here; they are the caller's own. */
 	if (code != RELAY_OK)
-		rlg_statement(s, code, answer.text, s->used_us);
+		rlog_statement(s, code, answer.text, s->used_us);
 	s->relay->ops->answer(s->relay->ctx, s->id, &answer);
 }
 
 /* Rolls back an open transaction and releases its connection. */
-void rss_abort(struct rsession *s, uint64_t now_us)
+void rsession_abort_transaction(struct rsession *s, uint64_t now_us)
 {
 	if (s->conn)
-		rcn_give_back(s->conn, now_us);
+		rconn_release(s->conn, now_us);
 	s->wrote = false;
 }
 
 static void run_set(struct rsession *s, const struct relay_statement *st)
 {
 	if (g_hash_table_size(s->values) >= MAX_VALUES) {
-		rss_answer(s, RELAY_MALFORMED, "too many values are set");
+		rsession_answer(s, RELAY_MALFORMED, "too many values are set");
 		return;
 	}
 	g_hash_table_replace(s->values, str_dup(st->name), str_dup(st->text));
-	rss_answer(s, RELAY_OK, "-");
+	rsession_answer(s, RELAY_OK, "-");
 }
 
 static void run_prepare(struct rsession *s, const struct relay_statement *st)
@@ -113,14 +113,15 @@
 	struct rprepared *p;
 
 	if (g_hash_table_size(s->prepared) >= MAX_VALUES) {
-		rss_answer(s, RELAY_MALFORMED, "too many prepared statements");
+		rsession_answer(s, RELAY_MALFORMED,
+				"too many prepared statements");
 		return;
 	}
 	p = g_new0(struct rprepared, 1);
 	p->writes = st->verb == RELAY_PREPARE_WRITE;
 	p->shape = str_dup(st->text);
 	g_hash_table_replace(s->prepared, str_dup(st->name), p);
-	rss_answer(s, RELAY_OK, "-");
+	rsession_answer(s, RELAY_OK, "-");
 }
 
 static void run_deallocate(struct rsession *s, const struct relay_statement *st)
@@ -130,19 +131,20 @@
 
 	g_free(name);
 	if (had)
-		rss_answer(s, RELAY_OK, "-");
+		rsession_answer(s, RELAY_OK, "-");
 	else
-		rss_answer(s, RELAY_NO_STATEMENT, "no statement of that name");
+		rsession_answer(s, RELAY_NO_STATEMENT,
+				"no statement of that name");
 }
 
 static void run_begin(struct rsession *s, const struct relay_statement *st)
 {
 	if (s->state != 'I') {
-		rss_answer(s, RELAY_MALFORMED, "a transaction is open");
+		rsession_answer(s, RELAY_MALFORMED, "a transaction is open");
 		return;
 	}
 	if (!relay_catalog_profile(s->relay->catalog, s->database)) {
-		rss_answer(s, RELAY_NO_DATABASE, "no such database");
+		rsession_answer(s, RELAY_NO_DATABASE, "no such database");
 		return;
 	}
 	g_string_truncate(s->run.begin_id, 0);
@@ -150,33 +152,33 @@
 	s->state = 'T';
 	s->read_only = st->verb == RELAY_BEGIN_READ;
 	s->wrote = false;
-	s->limited = false;
-	rss_answer(s, RELAY_OK, "-");
+	s->has_txn_token = false;
+	rsession_answer(s, RELAY_OK, "-");
 }
 
 static void run_rollback(struct rsession *s, const struct relay_statement *st,
 			 uint64_t now_us)
 {
 	if (s->state == 'I') {
-		rss_answer(s, RELAY_MALFORMED, "no transaction is open");
+		rsession_answer(s, RELAY_MALFORMED, "no transaction is open");
 		return;
 	}
 	if (s->conn)
-		rcn_roll_back(s->conn, st->id, now_us);
+		rconn_roll_back(s->conn, st->id, now_us);
 	s->wrote = false;
 	s->state = 'I';
-	rss_answer(s, RELAY_OK, "-");
+	rsession_answer(s, RELAY_OK, "-");
 }
 
 static void run_commit(struct rsession *s, const struct relay_statement *st,
 		       uint64_t now_us)
 {
 	if (s->state == 'I') {
-		rss_answer(s, RELAY_MALFORMED, "no transaction is open");
+		rsession_answer(s, RELAY_MALFORMED, "no transaction is open");
 	} else if (s->state == 'E') {
-		rss_abort(s, now_us);
+		rsession_abort_transaction(s, now_us);
 		s->state = 'I';
-		rss_answer(s, RELAY_ABORTED, "the transaction had failed");
+		rsession_answer(s, RELAY_ABORTED, "the transaction had failed");
 	} else {
 		rrun_start(s, st, false, now_us);
 	}
@@ -192,7 +194,8 @@
 	if (p)
 		rrun_start(s, st, p->writes, now_us);
 	else
-		rss_answer(s, RELAY_NO_STATEMENT, "no statement of that name");
+		rsession_answer(s, RELAY_NO_STATEMENT,
+				"no statement of that name");
 }
 
 static void run_statement(struct rsession *s, const struct relay_statement *st,
@@ -221,8 +224,8 @@
 		rrun_start(s, st, st->verb == RELAY_WRITE, now_us);
 		break;
 	default:
-		rss_answer(s, RELAY_MALFORMED,
-			   "not a statement that a caller may send");
+		rsession_answer(s, RELAY_MALFORMED,
+				"not a statement that a caller may send");
 		break;
 	}
 }
@@ -255,7 +258,7 @@
 		*why = "no configuration yet";
 		return RELAY_BUSY;
 	}
-	code = s->peer ? RELAY_OK : rac_check(s, now_us, why);
+	code = s->peer ? RELAY_OK : raccount_check_key(s, now_us, why);
 	if (code != RELAY_OK)
 		return code;
 	if (relay_catalog_profile(r->catalog, s->database) ||
@@ -269,7 +272,7 @@
 			 const char *database, const char *key,
 			 struct relay_answer *answer, uint64_t now_us)
 {
-	struct rsession *s = rss_create(r, session, database, key);
+	struct rsession *s = rsession_create(r, session, database, key);
 	const char *why = "";
 
 	s->used_us = now_us;
@@ -279,7 +282,7 @@
 	if (answer->code != RELAY_OK) {
 		answer->text = str_from_c(why);
 		log_refused_session(r, session, database, answer);
-		rss_destroy(s);
+		rsession_destroy(s);
 		return false;
 	}
 	g_hash_table_insert(r->sessions, &s->id, s);
@@ -314,7 +317,7 @@
 		return st->id.len && !st->after.term;
 	if (s->state == 'I') {
 		s->floor = st->after;
-		s->floor_us = s->used_us;
+		s->floor_at_us = s->used_us;
 		g_free(s->account);
 		s->account = str_dup(st->account);
 	}
@@ -325,7 +328,7 @@
 {
 	g_hash_table_remove_all(s->values);
 	g_hash_table_remove_all(s->prepared);
-	rss_answer(s, RELAY_OK, "-");
+	rsession_answer(s, RELAY_OK, "-");
 }
 
 static bool needs_server(enum relay_verb verb)
@@ -347,15 +350,15 @@
 	enum relay_code code = RELAY_OK;
 
 	if (s->state != 'E' && needs_server(st->verb))
-		code = rac_check(s, now_us, &why);
+		code = raccount_check_key(s, now_us, &why);
 	if (code == RELAY_OK)
 		return true;
 	if (s->state == 'T') {
-		rss_abort(s, now_us);
+		rsession_abort_transaction(s, now_us);
 		s->state = st->verb == RELAY_COMMIT ? 'I' : 'E';
 		code = RELAY_ABORTED;
 	}
-	rss_answer(s, code, why);
+	rsession_answer(s, code, why);
 	return false;
 }
 
@@ -370,24 +373,25 @@
 		return;
 	s->used_us = now_us;
 	s->hung_up = false; /* sent before the caller saw the hang-up */
-	rrun_note(s, statement, now_us);
+	rrun_record(s, statement, now_us);
 	if (!accept_peer_fields(s, statement))
-		rss_answer(s, RELAY_MALFORMED,
-			   "not a statement that a caller may send");
+		rsession_answer(s, RELAY_MALFORMED,
+				"not a statement that a caller may send");
 	else if (!check_key(s, statement, now_us))
 		return;
 	else if (s->peer && statement->verb == RELAY_RESET)
 		run_reset(s);
 	else if (s->peer && statement->verb == RELAY_TAKE)
-		rgr_on_asked(s, statement, now_us);
+		rgrantor_on_request(s, statement, now_us);
 	else if (s->peer && statement->verb == RELAY_STATUS)
-		rss_answer(s, RELAY_OK, "-");
+		rsession_answer(s, RELAY_OK, "-");
 	else if (statement->verb == RELAY_COMMIT)
 		run_commit(s, statement, now_us);
 	else if (statement->verb == RELAY_ROLLBACK)
 		run_rollback(s, statement, now_us);
 	else if (s->state == 'E')
-		rss_answer(s, RELAY_MALFORMED, "the transaction has failed");
+		rsession_answer(s, RELAY_MALFORMED,
+				"the transaction has failed");
 	else
 		run_statement(s, statement, now_us);
 }
@@ -403,12 +407,12 @@
 	if (!s)
 		return;
 	if (rrun_is_active(s))
-		rlg_session(s, "caller-left", "its connection ended", now_us);
-	if (s->run.state == RRUN_WAITING)
+		rlog_session(s, "caller-left", "its connection ended", now_us);
+	if (s->run.state == RRUN_QUEUED)
 		g_queue_unlink(&r->waiting, &s->run.link);
-	if (s->run.state == RRUN_LIMITED)
-		rlm_drop(s);
-	rss_abort(s, now_us);
+	if (s->run.state == RRUN_AWAITING_TOKEN)
+		rlimit_dequeue(s);
+	rsession_abort_transaction(s, now_us);
 	g_hash_table_remove(r->sessions, &session);
 	rrun_dispatch(r, now_us);
 }
@@ -432,7 +436,7 @@
  * that request would get no answer. So a session ends right after an answer,
  * or when it has been idle for MIN_IDLE_US.
  */
-void rss_end_if_stopping(struct rsession *s, uint64_t now_us)
+void rsession_end_if_stopping(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
 
@@ -449,28 +453,28 @@
  * Otherwise sessions that callers keep open would be refused statement by
  * statement, while other proxies would serve them.
  */
-void rss_end_if_isolated(struct rsession *s, uint64_t now_us)
+void rsession_end_if_isolated(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
 
-	if (s->peer || s->hung_up || !r->isolated_us || s->state != 'I' ||
-	    now_us < r->isolated_us + NOT_READY_US)
+	if (s->peer || s->hung_up || !r->isolated_since_us || s->state != 'I' ||
+	    now_us < r->isolated_since_us + NOT_READY_US)
 		return;
 	s->hung_up = true;
 	r->ops->hang_up(r->ctx, s->id);
 }
 
 /* The same when a partition separates it from one service's primary. */
-void rss_end_if_cut_off(struct rsession *s, uint64_t now_us)
+void rsession_end_if_cut_off(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
-	const struct rservice *v = rls_service_of(r, s->database);
+	const struct rservice *v = registry_service_of_database(r, s->database);
 	bool cut_off;
 
 	if (s->peer || s->hung_up || s->state != 'I' || !v)
 		return;
-	cut_off = v->is_home ? rco_is_cut_off(v, now_us) :
-			       rvi_has_no_home(s, now_us);
+	cut_off = v->is_home ? rpartition_is_cut_off(v, now_us) :
+			       via_has_no_home(s, now_us);
 	if (!cut_off)
 		return;
 	s->hung_up = true;
@@ -478,18 +482,18 @@
 }
 
 /* Ends idle transactions, and sessions when the proxy stops. */
-void rss_tick(struct rsession *s, uint64_t now_us)
+void rsession_tick(struct rsession *s, uint64_t now_us)
 {
 	struct relay *r = s->relay;
 
 	rrun_tick(s, now_us);
 	if (is_idle_too_long(s, now_us)) {
-		rlg_session(s, "transaction-ended", "idle for too long",
-			    now_us);
-		rss_abort(s, now_us);
+		rlog_session(s, "transaction-ended", "idle for too long",
+			     now_us);
+		rsession_abort_transaction(s, now_us);
 		s->state = 'E';
 	}
 	if (now_us > s->used_us + MIN_IDLE_US ||
 	    now_us > r->stop_us + r->settings.drain_us)
-		rss_end_if_stopping(s, now_us);
+		rsession_end_if_stopping(s, now_us);
 }
