--- a/packages/relay/src/steps.c
+++ b/packages/relay/src/steps.c
@@ -16,7 +16,7 @@
 /* Statements prepared on one connection before it is reset. */
 #define MAX_PREPARED_NAMES 200
 
-/* Remembers what the step in flight sets; see rstep_done(). */
+/* Remembers what the step in flight sets; see rstep_on_answer(). */
 static void remember_step(struct rconn *c, const char *key, const char *value)
 {
 	g_free(c->step_key);
@@ -51,7 +51,7 @@
 
 	if (!needs_reset(c, c->session))
 		return false;
-	rcn_send(c, STEP_RESET, &st, SETUP_TIMEOUT_US, now_us);
+	rconn_send(c, STEP_RESET, &st, SETUP_TIMEOUT_US, now_us);
 	return true;
 }
 
@@ -70,7 +70,7 @@
 		remember_step(c, key, value);
 		st.name = str_from_c(key);
 		st.text = str_from_c(value);
-		rcn_send(c, STEP_SET, &st, SETUP_TIMEOUT_US, now_us);
+		rconn_send(c, STEP_SET, &st, SETUP_TIMEOUT_US, now_us);
 		return true;
 	}
 	return false;
@@ -109,7 +109,7 @@
 		st.verb = p->writes ? RELAY_PREPARE_WRITE : RELAY_PREPARE_READ;
 		st.name = str_from_c(name);
 		st.text = str_from_c(p->shape);
-		rcn_send(c, STEP_PREPARE, &st, SETUP_TIMEOUT_US, now_us);
+		rconn_send(c, STEP_PREPARE, &st, SETUP_TIMEOUT_US, now_us);
 	}
 	g_free(key);
 	return !has;
@@ -129,8 +129,8 @@
 {
 	if (!c->server->service->peers)
 		return 0;
-	return run->give_up_us > now_us + PEER_ROUND_TRIP_US ?
-		       run->give_up_us - now_us - PEER_ROUND_TRIP_US :
+	return run->queue_deadline_us > now_us + PEER_ROUND_TRIP_US ?
+		       run->queue_deadline_us - now_us - PEER_ROUND_TRIP_US :
 		       1;
 }
 
@@ -156,7 +156,7 @@
 	/* A retry of the BEGIN has no id: it is the relay's own. */
 	st.id = str_from_gstring(s->run.begin_id);
 	c->in_block = true;
-	rcn_send(c, STEP_BEGIN, &st, time_left_us(&s->run, now_us), now_us);
+	rconn_send(c, STEP_BEGIN, &st, time_left_us(&s->run, now_us), now_us);
 	g_string_truncate(s->run.begin_id, 0);
 	return true;
 }
@@ -183,7 +183,7 @@
 	st.wait_us = peer_wait_us(c, run, now_us);
 	st.account = account_to_send(c);
 	run->sent = true;
-	rcn_send(c, STEP_CALLER, &st, time_left_us(run, now_us), now_us);
+	rconn_send(c, STEP_CALLER, &st, time_left_us(run, now_us), now_us);
 }
 
 /* Sends the next statement that the session's run needs. */
@@ -196,8 +196,8 @@
 }
 
 /* Handles the answer to a preparing step; false when it was refused. */
-bool rstep_done(struct rconn *c, enum rstep step,
-		const struct relay_answer *answer)
+bool rstep_on_answer(struct rconn *c, enum rstep step,
+		     const struct relay_answer *answer)
 {
 	if (answer->code != RELAY_OK)
 		return false;
--- a/packages/relay/src/word.c
+++ b/packages/relay/src/trust.c
@@ -15,7 +15,7 @@
  * How long a server is in doubt: by then the change that it may not know of has
  * taken effect or never will.
  */
-#define DOUBT_US PROMOTED_WITHIN_US
+#define DOUBT_US PROMOTION_MAX_US
 /*
  * A proxy that replaces a primary ignores a server from gone_after_us after it
  * left the list. By then any lease that rests on a list which still named it
@@ -33,7 +33,7 @@
 /*
  * Whether the server may be unaware of a change of primary that is under way.
  */
-bool rwd_is_doubted(const struct rserver *s, uint64_t now_us)
+bool rtrust_is_in_doubt(const struct rserver *s, uint64_t now_us)
 {
 	return s->doubted_at_us && now_us < s->doubted_at_us + DOUBT_US;
 }
@@ -42,10 +42,10 @@
  * Whether the list of servers is recent enough to rely on; see
  * list_max_age_us().
  */
-bool rwd_is_list_fresh(const struct relay *r, uint64_t at_us)
+bool rtrust_is_list_fresh(const struct relay *r, uint64_t at_us)
 {
 	return !r->guards.check_list_age ||
-	       at_us < r->store_heard_us + list_max_age_us(r);
+	       at_us < r->store_heard_at_us + list_max_age_us(r);
 }
 
 /*
@@ -59,7 +59,7 @@
  * be paused: no fence was complete then, and each fence covers every server
  * that was listed before it became complete.
  */
-void rwd_end_doubts(const struct rservice *v, uint64_t unpaused_us)
+void rtrust_end_doubts(const struct rservice *v, uint64_t unpaused_us)
 {
 	unsigned i;
 
@@ -86,8 +86,8 @@
 
 	if (!r->guards.check_list_age)
 		return true;
-	return (s->listed || now_us < s->unlisted_us + list_max_age_us(r)) &&
-	       rwd_is_list_fresh(r, now_us);
+	return (s->listed || now_us < s->unlisted_at_us + list_max_age_us(r)) &&
+	       rtrust_is_list_fresh(r, now_us);
 }
 
 /*
@@ -100,7 +100,7 @@
 {
 	if (s == s->service->primary || s->moved)
 		return false;
-	return !rwd_is_list_fresh(s->relay, now_us) ||
+	return !rtrust_is_list_fresh(s->relay, now_us) ||
 	       (!s->info.leaving && !s->refused);
 }
 
@@ -120,7 +120,7 @@
 			continue;
 		if (s->agreed_term != v->term)
 			return 0;
-		earliest_us = MIN(earliest_us, s->agreed_us);
+		earliest_us = MIN(earliest_us, s->agreed_at_us);
 	}
 	return earliest_us == NEVER_US ? 0 : earliest_us;
 }
@@ -138,13 +138,14 @@
 	const struct relay *r = v->relay;
 	unsigned i;
 
-	if (now_us >= r->duty_others_us + PROMOTED_WITHIN_US ||
-	    r->duty_others_us <= v->term_seen_at_us)
+	if (now_us >= r->duty_others_claimed_at_us + PROMOTION_MAX_US ||
+	    r->duty_others_claimed_at_us <= v->term_seen_at_us)
 		return false;
 	for (i = 0; i < v->servers->len; i++) {
 		const struct rserver *s = rservice_server(v, i);
 
-		if (can_be_promoted(s, now_us) && !rwd_is_doubted(s, now_us))
+		if (can_be_promoted(s, now_us) &&
+		    !rtrust_is_in_doubt(s, now_us))
 			return false;
 	}
 	return true;
@@ -163,15 +164,16 @@
 {
 	const struct relay *r = v->relay;
 
-	return r->guards.doubt_unpaused &&
-	       r->duty_changed_us > v->term_seen_at_us &&
-	       now_us < r->duty_changed_us + PROMOTED_WITHIN_US;
+	return r->guards.distrust_unpaused &&
+	       r->duty_changed_at_us > v->term_seen_at_us &&
+	       now_us < r->duty_changed_at_us + PROMOTION_MAX_US;
 }
 
 /* Whether the server's confirmation is sufficient without any other. */
-bool rwd_counts_alone(const struct rserver *s, uint64_t now_us)
+bool rtrust_suffices_alone(const struct rserver *s, uint64_t now_us)
 {
-	return !rwd_is_doubted(s, now_us) && is_known_to_others(s, now_us) &&
+	return !rtrust_is_in_doubt(s, now_us) &&
+	       is_known_to_others(s, now_us) &&
 	       !may_promotion_take_effect(s->service, now_us);
 }
 
@@ -179,14 +181,14 @@
  * The start of the lease that the replica's confirmation gives, 0: it gives
  * none.
  */
-uint64_t rwd_since_us(const struct rserver *s, uint64_t now_us)
+uint64_t rtrust_lease_start_us(const struct rserver *s, uint64_t now_us)
 {
-	uint64_t agreed_us;
+	uint64_t agreed_at_us;
 
-	if (rwd_counts_alone(s, now_us))
-		return s->agreed_us;
+	if (rtrust_suffices_alone(s, now_us))
+		return s->agreed_at_us;
 	if (may_all_have_restarted(s->service, now_us))
 		return 0;
-	agreed_us = all_agreed_at_us(s->service, now_us);
-	return agreed_us > s->doubted_at_us ? agreed_us : 0;
+	agreed_at_us = all_agreed_at_us(s->service, now_us);
+	return agreed_at_us > s->doubted_at_us ? agreed_at_us : 0;
 }
--- a/packages/relay/src/via.c
+++ b/packages/relay/src/via.c
@@ -77,7 +77,7 @@
 
 	for (i = 0; i < names->len; i++) {
 		const struct relay_server_info *p =
-			rpr_find(v->relay, g_ptr_array_index(names, i));
+			peers_find(v->relay, g_ptr_array_index(names, i));
 
 		for (j = 0; p && j < via->servers->len; j++) {
 			const struct rserver *s = rservice_server(via, j);
@@ -93,7 +93,7 @@
 }
 
 /* Lists a proxy as a server of the database; creates or updates its entry. */
-struct rserver *rvi_list_home(struct rservice *via,
+struct rserver *via_list_home(struct rservice *via,
 			      const struct relay_server_info *p,
 			      uint64_t now_us)
 {
@@ -104,11 +104,11 @@
 
 	info.service = via->name;
 	if (s) {
-		rsv_update(s, &info, now_us);
+		rserver_update(s, &info, now_us);
 		g_free(key);
 		return s;
 	}
-	s = rsv_create(via, &info, now_us);
+	s = rserver_create(via, &info, now_us);
 	g_hash_table_insert(r->servers, key, s);
 	g_ptr_array_add(via->servers, s);
 	return s;
@@ -122,14 +122,14 @@
 		struct rserver *s = rservice_server(via, i);
 
 		s->listed = false;
-		s->unlisted_us = now_us;
+		s->unlisted_at_us = now_us;
 	}
 }
 
 static void list_homes(struct rservice *via, struct rservice *v,
 		       uint64_t now_us)
 {
-	const GPtrArray *homes = rrl_homes(v);
+	const GPtrArray *homes = role_homes(v);
 	unsigned i;
 
 	unlist_homes(via, now_us);
@@ -139,27 +139,27 @@
 
 		if (!p)
 			break;
-		rvi_list_home(via, p, now_us);
+		via_list_home(via, p, now_us);
 	}
-	via->homes_changed = v->homes_changed;
+	via->homes_version = v->homes_version;
 }
 
 /* Whether no statement has needed the database for HOMES_KEPT_US. */
 static bool is_at_rest(const struct rservice *via, uint64_t now_us)
 {
-	return now_us > via->wanted_us + HOMES_KEPT_US;
+	return now_us > via->wanted_at_us + HOMES_KEPT_US;
 }
 
 /* Whether the service's homes have changed since `via` listed them. */
 static bool have_homes_changed(const struct rservice *via, struct rservice *v)
 {
-	rrl_homes(v);
-	return via->homes_changed != v->homes_changed;
+	role_homes(v);
+	return via->homes_version != v->homes_version;
 }
 
 /* The entry of a proxy, such as its address, has changed. */
-void rvi_update_home(struct relay *r, const struct relay_server_info *p,
-		     uint64_t now_us)
+void via_on_proxy_changed(struct relay *r, const struct relay_server_info *p,
+			  uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -173,7 +173,7 @@
 			struct rserver *s = rservice_server(via, i);
 
 			if (s->listed && !strcmp(s->info.id, p->id))
-				rvi_list_home(via, p, now_us);
+				via_list_home(via, p, now_us);
 		}
 	}
 }
@@ -184,7 +184,7 @@
  * otherwise the proxy would for ever try several times a second to connect to a
  * home that has stopped, or that refuses the database.
  */
-void rvi_list_all(struct relay *r, uint64_t now_us)
+void via_update_homes(struct relay *r, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -192,7 +192,7 @@
 	g_hash_table_iter_init(&iter, r->via);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct rservice *via = value;
-		struct rservice *v = rls_service_of(r, via->name);
+		struct rservice *v = registry_service_of_database(r, via->name);
 
 		if (!v || is_at_rest(via, now_us))
 			unlist_homes(via, now_us);
@@ -204,8 +204,8 @@
 /* Whether it fails, or has just refused a connection or a statement. */
 static bool is_bad_home(const struct rserver *s, uint64_t now_us)
 {
-	return s->failing_us || now_us < s->refused_until_us ||
-	       (s->heard_us && !rvi_is_good_home(s, now_us));
+	return s->failing_since_us || now_us < s->refused_until_us ||
+	       (s->heard_us && !via_is_good_home(s, now_us));
 }
 
 /* Whether any listed home answers. */
@@ -216,7 +216,7 @@
 	for (i = 0; i < via->servers->len; i++) {
 		const struct rserver *s = rservice_server(via, i);
 
-		if (s->listed && rsv_is_up(s))
+		if (s->listed && rserver_is_up(s))
 			return true;
 	}
 	return false;
@@ -250,11 +250,11 @@
 	}
 	if (n_good >= HOMES_LISTED || n_listed >= HOMES_LISTED_MAX)
 		return;
-	p = best_unlisted(rrl_homes(v), v, via);
+	p = best_unlisted(role_homes(v), v, via);
 	if (!p && !is_any_home_up(via))
-		p = best_unlisted(rrl_spares(v), v, via);
+		p = best_unlisted(role_spares(v), v, via);
 	if (p)
-		rvi_list_home(via, p, now_us);
+		via_list_home(via, p, now_us);
 }
 
 /* Notes since when no home of a database is known to be able to serve. */
@@ -265,13 +265,13 @@
 	for (i = 0; i < via->servers->len; i++) {
 		const struct rserver *s = rservice_server(via, i);
 
-		if (s->listed && rvi_is_good_home(s, now_us)) {
-			via->in_vain_us = 0;
+		if (s->listed && via_is_good_home(s, now_us)) {
+			via->unserved_since_us = 0;
 			return;
 		}
 	}
-	if (!via->in_vain_us)
-		via->in_vain_us = now_us;
+	if (!via->unserved_since_us)
+		via->unserved_since_us = now_us;
 }
 
 /*
@@ -285,9 +285,9 @@
 {
 	if (!is_at_rest(via, now_us))
 		return false;
-	if (via->homes_changed)
+	if (via->homes_version)
 		unlist_homes(via, now_us);
-	via->homes_changed = 0; /* the next statement lists them again */
+	via->homes_version = 0; /* the next statement lists them again */
 	return !via->servers->len;
 }
 
@@ -301,13 +301,13 @@
 	g_hash_table_iter_init(&iter, r->via);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct rservice *via = value;
-		struct rservice *v = rls_service_of(r, via->name);
+		struct rservice *v = registry_service_of_database(r, via->name);
 
 		if (release_homes(via, now_us)) {
 			g_hash_table_iter_remove(&iter);
 			continue;
 		}
-		if (!v || v->is_home || now_us > via->wanted_us + IN_USE_US)
+		if (!v || v->is_home || now_us > via->wanted_at_us + IN_USE_US)
 			continue;
 		adjust_homes(via, v, now_us);
 		note_good_homes(via, now_us);
@@ -315,32 +315,34 @@
 		n_unreachable += !is_any_home_up(via);
 	}
 	if (n_unreachable * 2 <= n_in_use)
-		r->isolated_us = 0;
-	else if (!r->isolated_us)
-		r->isolated_us = now_us;
+		r->isolated_since_us = 0;
+	else if (!r->isolated_since_us)
+		r->isolated_since_us = now_us;
 }
 
 /* Whether most databases in use have had no reachable home for a while. */
-bool rvi_is_isolated(const struct relay *r, uint64_t now_us)
+bool via_is_isolated(const struct relay *r, uint64_t now_us)
 {
-	return r->isolated_us && now_us > r->isolated_us + ISOLATED_AFTER_US;
+	return r->isolated_since_us &&
+	       now_us > r->isolated_since_us + ISOLATED_AFTER_US;
 }
 
 /*
  * Whether no listed home has been able to serve the session's database for a
  * while. A primary that is being replaced is back sooner.
  */
-bool rvi_has_no_home(const struct rsession *s, uint64_t now_us)
+bool via_has_no_home(const struct rsession *s, uint64_t now_us)
 {
 	const struct rservice *via =
 		g_hash_table_lookup(s->relay->via, s->database);
 
-	return s->relay->guards.leave_when_cut_off && via && via->in_vain_us &&
-	       now_us > via->in_vain_us + NO_HOME_AFTER_US;
+	return s->relay->guards.leave_when_cut_off && via &&
+	       via->unserved_since_us &&
+	       now_us > via->unserved_since_us + NO_HOME_AFTER_US;
 }
 
 /* Checks the homes every HOMES_INTERVAL_US. */
-void rvi_tick(struct relay *r, uint64_t now_us)
+void via_tick(struct relay *r, uint64_t now_us)
 {
 	if (now_us < r->homes_checked_at_us + HOMES_INTERVAL_US)
 		return;
@@ -371,26 +373,30 @@
  */
 static bool others_may_reach(const struct rservice *v, uint64_t now_us)
 {
-	if (rch_is_running(v) || now_us < v->usable_us + HELP_AFTER_US)
+	if (rfailover_is_running(v) ||
+	    now_us < v->primary_usable_at_us + HELP_AFTER_US)
 		return false;
-	if (!v->usable_us)
+	if (!v->primary_usable_at_us)
 		return true; /* this proxy has only just become a home */
-	return v->primary && (v->primary->failing_us || !rld_holds(v, now_us));
+	return v->primary && (v->primary->failing_since_us ||
+			      !rprimary_lease_holds(v, now_us));
 }
 
 /*
  * Whether a home that can't reach the primary may send a caller's statement
  * through another home.
  */
-bool rvi_may_help(const struct rsession *s, struct rservice *v, uint64_t now_us)
+bool via_may_bypass(const struct rsession *s, struct rservice *v,
+		    uint64_t now_us)
 {
-	return !s->peer && rrl_homes(v)->len && s->run.tries < HELP_TRIES &&
+	return !s->peer && role_homes(v)->len && s->run.tries < HELP_TRIES &&
 	       others_may_reach(v, now_us);
 }
 
 static bool has_failed_long(const struct rserver *s, uint64_t now_us)
 {
-	return s->failing_us && now_us > s->failing_us + HELP_AFTER_US;
+	return s->failing_since_us &&
+	       now_us > s->failing_since_us + HELP_AFTER_US;
 }
 
 /* Whether the primary, or each server that could confirm it, has long failed.
@@ -420,18 +426,19 @@
  * is cut off, which it never does under mere load, and the statement goes to
  * another home.
  */
-bool rvi_is_cut_off(struct rservice *v, uint64_t now_us)
+bool via_is_cut_off(struct rservice *v, uint64_t now_us)
 {
-	if (!rrl_homes(v)->len || !v->primary || !others_may_reach(v, now_us))
+	if (!role_homes(v)->len || !v->primary || !others_may_reach(v, now_us))
 		return false;
-	return (v->in_vain_us && now_us > v->in_vain_us + HELP_AFTER_US) ||
+	return (v->unserved_since_us &&
+		now_us > v->unserved_since_us + HELP_AFTER_US) ||
 	       is_primary_unusable(v, now_us);
 }
 
 /* Whether it is up and has not lately reported that it is cut off. */
-bool rvi_is_good_home(const struct rserver *s, uint64_t now_us)
+bool via_is_good_home(const struct rserver *s, uint64_t now_us)
 {
-	return rsv_is_up(s) &&
+	return rserver_is_up(s) &&
 	       (!s->cut_off_us || now_us > s->cut_off_us + CUT_OFF_RETRY_US);
 }
 
@@ -441,9 +448,10 @@
  * partition, as the home that it asked may be cut off, too. A proxy that is no
  * home must not try another one: that would add to an overload.
  */
-bool rvi_on_refused(const struct rsession *s, struct rserver *home)
+bool via_may_try_another(const struct rsession *s, struct rserver *home)
 {
-	const struct rservice *v = rls_service_of(s->relay, s->database);
+	const struct rservice *v =
+		registry_service_of_database(s->relay, s->database);
 
 	home->latency_us += REFUSAL_PENALTY_US;
 	return v && v->is_home && s->run.tries + 1 < HELP_TRIES;
@@ -461,12 +469,12 @@
 		struct rserver *s = rservice_server(via, i);
 
 		if (s->listed && !s->heard_us && !s->n_conns)
-			rsv_tick(s, now_us);
+			rserver_tick(s, now_us);
 	}
 }
 
 /* Chooses a home for the session's statement. */
-void rvi_choose(struct rsession *s, const struct relay_profile *profile,
+void via_choose(struct rsession *s, const struct relay_profile *profile,
 		struct rservice *v, struct rpick *out, uint64_t now_us)
 {
 	struct rservice *via = via_of(v, profile->database, now_us);
@@ -475,14 +483,14 @@
 	unsigned i;
 
 	out->why = "no-home";
-	via->wanted_us = now_us;
+	via->wanted_at_us = now_us;
 	if (v->is_home && !rrun_has_time_for_peer(s, now_us))
 		return;
 	for (i = 0; i < via->servers->len; i++) {
 		struct rserver *server = rservice_server(via, i);
 
-		if (server->listed && rsv_is_up(server))
-			rpk_consider(server, &best, &least, s, now_us);
+		if (server->listed && rserver_is_up(server))
+			rpick_consider(server, &best, &least, s, now_us);
 	}
 	if (!best) {
 		open_homes(via, now_us);
@@ -492,5 +500,5 @@
 	out->why = "home";
 	if (profile->kind == RELAY_KIND_OWN_WRITES && !s->run.to_primary)
 		out->after = s->floor;
-	rpk_take_conn(s, out, now_us);
+	rpick_find_conn(s, out, now_us);
 }
--- a/packages/relay/tests/support_accounts.c
+++ b/packages/relay/tests/support_accounts.c
@@ -39,7 +39,7 @@
 void accounts_settings(struct relay_settings *settings)
 {
 	settings->accounts = settings->limits = true;
-	settings->key_max_age_us = FAKE_KEY_AGE_US;
+	settings->key_max_age_us = FAKE_KEY_MAX_AGE_US;
 	settings->limit_window_us = FAKE_WINDOW_US;
 	settings->limit_overage = FAKE_OVERAGE;
 	settings->limit_slack = FAKE_SLACK;
@@ -57,7 +57,7 @@
 		char *key = accounts_key(i);
 
 		relay_catalog_add_account(c, &a);
-		if (!f->key_gone_us[i])
+		if (!f->key_revoked_at_us[i])
 			relay_catalog_add_key(c, key, a.name);
 		g_free(key);
 		g_free(a.name);
@@ -72,7 +72,7 @@
 	if (a->life != r->life)
 		return;
 	relay_on_catalog(r->relay, a->catalog, f->now_us);
-	relay_on_known(r->relay, a->asked_at_us);
+	relay_on_known_as_of(r->relay, a->asked_at_us);
 }
 
 /* A relay that is cut off from the store keeps polling. */
@@ -102,8 +102,8 @@
 		fake_at(f, -1, i * MS, poll_event, &f->relays[i], NULL);
 }
 
-void fake_take_key(struct fake *f, unsigned account, bool take)
+void fake_set_key_revoked(struct fake *f, unsigned account, bool take)
 {
-	f->key_gone_us[account] = take ? f->now_us : 0;
+	f->key_revoked_at_us[account] = take ? f->now_us : 0;
 	f->config_version++;
 }
--- a/packages/relay/tests/support_group.h
+++ b/packages/relay/tests/support_group.h
@@ -15,9 +15,9 @@
 #define MAX_RELAYS (MAX_SERVERS + 1)
 #define MAX_GROUPS 2
 #define GROUP_SIZE 3 /* servers of a group at the start */
-#define MAX_NEWCOMERS 40 /* servers added during one history */
+#define MAX_ADDED_SERVERS 40 /* servers added during one history */
 #define FAKE_ACCOUNTS 3
-#define MAX_SERVERS (MAX_GROUPS * GROUP_SIZE + MAX_NEWCOMERS)
+#define MAX_SERVERS (MAX_GROUPS * GROUP_SIZE + MAX_ADDED_SERVERS)
 
 struct hist;
 
@@ -31,8 +31,8 @@
 	bool dead; /* refuses connections of other relays */
 	bool unlisted; /* absent from the list of relays */
 	bool deaf; /* cut off from the store: no duty record, no claims */
-	bool list_held; /* lists of servers are dropped on their way to it */
-	uint64_t list_lag_us; /* additional delay of lists of servers */
+	bool drop_lists; /* lists of servers are dropped on their way to it */
+	uint64_t list_delay_us; /* additional delay of lists of servers */
 	unsigned n_lists_in_flight; /* lists in flight to it */
 	bool list_dropped; /* the newest list to arrive was dropped */
 	uint64_t list_revision; /* store revision of the newest list received */
@@ -129,8 +129,10 @@
 			     * reply is lost */
 	bool lose_promote_replies; /* replies to promotion calls are lost */
 	unsigned n_promotions_to_drop; /* next promotion calls to drop */
-	uint64_t promote_late_us; /* additional delay of promotion calls */
-	uint64_t promote_us; /* from the call until a promotion takes effect */
+	uint64_t
+		promote_call_delay_us; /* additional delay of promotion calls */
+	uint64_t promote_duration_us; /* from the call until a promotion takes
+					 effect */
 	GArray *commits; /* struct fake_commit; the first is unused */
 	uint64_t top_term[MAX_GROUPS]; /* highest term of each group */
 	unsigned n_promotions; /* that took effect */
@@ -142,8 +144,8 @@
 	char duty_holder[8]; /* name of the relay that claimed last */
 	bool accounts; /* callers have keys; see support_accounts.c */
 	uint64_t config_version;
-	uint64_t key_gone_us[FAKE_ACCOUNTS]; /* when the account's key was
-					      * revoked, 0: it is valid */
+	uint64_t key_revoked_at_us[FAKE_ACCOUNTS]; /* when the account's key was
+						    * revoked, 0: it is valid */
 	struct hist *hist;
 };
 
@@ -151,10 +153,10 @@
 
 /* Marks sessions between relays; the other bits are the connection's key. */
 #define PEER_SESSION ((uint64_t)1 << 60)
-#define FAKE_AIM_US (200 * MS) /* latency target of an operation */
-#define FAKE_AGE_US (300 * MS) /* staleness bound of bounded reads */
+#define FAKE_LATENCY_TARGET_US (200 * MS) /* latency target of an operation */
+#define FAKE_MAX_AGE_US (300 * MS) /* staleness bound of bounded reads */
 /* How long a relay may accept a key without confirmation by the store. */
-#define FAKE_KEY_AGE_US (5 * USEC_PER_SEC)
+#define FAKE_KEY_MAX_AGE_US (5 * USEC_PER_SEC)
 #define FAKE_RATE 40 /* operations per second of each account */
 #define FAKE_BURST 8
 #define FAKE_WINDOW_US (2 * USEC_PER_SEC) /* window of a rate limit */
@@ -164,7 +166,7 @@
 #define FAKE_WINDOW_MAX                                                 \
 	((unsigned)((FAKE_RATE * 2 + FAKE_BURST) * (1 + FAKE_OVERAGE) + \
 		    FAKE_SLACK))
-#define FAKE_LIMIT_US (2 * USEC_PER_SEC) /* statement time-out */
+#define FAKE_STATEMENT_TIMEOUT_US (2 * USEC_PER_SEC) /* statement time-out */
 
 struct fake *fake_create(uint32_t seed, unsigned n_relays, unsigned n_groups);
 /* The same with client accounts, and relays that know each other. */
@@ -191,25 +193,25 @@
 void fake_crash(struct fake *f, unsigned server);
 void fake_restart(struct fake *f, unsigned server);
 /* Its process ends and restarts at once under the same id. */
-void fake_reborn(struct fake *f, unsigned server, bool keeps_log);
+void fake_restart_at_once(struct fake *f, unsigned server, bool keeps_log);
 /* Adds a replica with a copy of the newest log; returns its index. */
-unsigned fake_join(struct fake *f, unsigned group);
+unsigned fake_add_replica(struct fake *f, unsigned group);
 /* Starts a server with a crashed one's log under a new id; its index. */
-unsigned fake_return(struct fake *f, unsigned server);
+unsigned fake_rejoin_with_new_id(struct fake *f, unsigned server);
 /* The server is listed as leaving; its process ends after drain_us. */
 void fake_leave(struct fake *f, unsigned server, uint64_t drain_us);
 void fake_cut(struct fake *f, unsigned relay, unsigned server, bool cut);
-void fake_freeze(struct fake *f, unsigned relay, uint64_t us);
-void fake_store(struct fake *f, unsigned relay, bool answers);
+void fake_suspend_relay(struct fake *f, unsigned relay, uint64_t us);
+void fake_set_store_reachable(struct fake *f, unsigned relay, bool answers);
 /* Its process ends, and another of the same name starts at once. */
 void fake_restart_relay(struct fake *f, unsigned relay);
-void fake_list(struct fake *f);
+void fake_publish_lists(struct fake *f);
 void fake_heal(struct fake *f);
 bool fake_log_has(const struct fake *f, const struct fake_server *s,
 		  unsigned commit);
 
 /* Revokes an account's only key, or makes it valid again. */
-void fake_take_key(struct fake *f, unsigned account, bool take);
+void fake_set_key_revoked(struct fake *f, unsigned account, bool take);
 
 /* Used between the files of the fake. */
 void accounts_settings(struct relay_settings *settings);
--- a/packages/relay/tests/support_history.c
+++ b/packages/relay/tests/support_history.c
@@ -396,7 +396,7 @@
 	const struct fake_commit *c =
 		&g_array_index(f->commits, struct fake_commit, commit);
 	const struct attempt *a = attempt_of(f, c->attempt);
-	uint64_t age_us = s->kind == RELAY_KIND_PRIMARY ? 0 : FAKE_AGE_US;
+	uint64_t age_us = s->kind == RELAY_KIND_PRIMARY ? 0 : FAKE_MAX_AGE_US;
 
 	if (c->group != s->group)
 		return false;
@@ -465,13 +465,13 @@
 {
 	const struct hist_session *s =
 		g_ptr_array_index(f->hist->sessions, h->session - 1);
-	uint64_t gone_us = f->key_gone_us[s->account];
+	uint64_t gone_us = f->key_revoked_at_us[s->account];
 	char *name = accounts_name(s->account);
 
 	if (strcmp(c->account, name))
 		hist_violation(f, "%u of %s runs on a connection of '%s'",
 			       h->number, name, c->account);
-	if (gone_us && h->sent_us > gone_us + FAKE_KEY_AGE_US)
+	if (gone_us && h->sent_us > gone_us + FAKE_KEY_MAX_AGE_US)
 		hist_violation(f, "%u runs, %u ms after its key was revoked",
 			       h->number,
 			       (unsigned)((h->sent_us - gone_us) / MS));
@@ -523,7 +523,7 @@
 	return f->hist->acked->len;
 }
 
-unsigned hist_ran_in_all(const struct fake *f)
+unsigned hist_operation_count(const struct fake *f)
 {
 	return f->hist->operations->len;
 }
--- a/packages/relay/tests/support_history.h
+++ b/packages/relay/tests/support_history.h
@@ -61,7 +61,7 @@
 /* Returns the id of the newest statement; the caller frees it. */
 char *hist_last_id(const struct fake *f);
 /* Number of operations that servers ran. */
-unsigned hist_ran_in_all(const struct fake *f);
+unsigned hist_operation_count(const struct fake *f);
 /* Number of commits that were acknowledged to callers. */
 unsigned hist_acknowledged(const struct fake *f);
 /* Returns the violations found, "" if none; owned by the history. */
--- a/packages/relay/tests/support_platform.c
+++ b/packages/relay/tests/support_platform.c
@@ -234,7 +234,7 @@
 		return;
 	}
 	if (call->accepted)
-		fake_at(f, -1, f->promote_us, promoted_event,
+		fake_at(f, -1, f->promote_duration_us, promoted_event,
 			g_memdup2(call, sizeof(*call)), g_free);
 	if (!fake_chance(f, f->lose_claims) && !f->lose_promote_replies)
 		fake_at(f, (int)call->relay, 5 * MS, promote_reply_event,
@@ -266,8 +266,8 @@
 	while (strcmp(r->fake->servers[call.server].id, server))
 		call.server++;
 	note_token(r->fake, &call);
-	fake_at(r->fake, -1, 2 * MS + r->fake->promote_late_us, promote_event,
-		g_memdup2(&call, sizeof(call)), g_free);
+	fake_at(r->fake, -1, 2 * MS + r->fake->promote_call_delay_us,
+		promote_event, g_memdup2(&call, sizeof(call)), g_free);
 }
 
 /* Tells the relay a revision, unless a list is in flight or was dropped. */
@@ -393,8 +393,8 @@
 		send_revision(r, message->revision);
 		return;
 	}
-	r->list_dropped = r->list_held;
-	if (!r->list_held) {
+	r->list_dropped = r->drop_lists;
+	if (!r->drop_lists) {
 		r->list_revision = message->revision;
 		relay_on_servers(r->relay, message->infos, message->n,
 				 f->now_us);
@@ -429,12 +429,12 @@
 		};
 	}
 	r->n_lists_in_flight++;
-	fake_at(f, (int)r->index, 5 * MS + r->list_lag_us, list_event, message,
-		g_free);
+	fake_at(f, (int)r->index, 5 * MS + r->list_delay_us, list_event,
+		message, g_free);
 }
 
 /* Sends the lists of servers and of relays to all relays. */
-void fake_list(struct fake *f)
+void fake_publish_lists(struct fake *f)
 {
 	unsigned i;
 
@@ -450,7 +450,7 @@
 	if (!s->down || f->now_us < s->down_at_us + UNLIST_DELAY_US)
 		return;
 	s->listed = false;
-	fake_list(f);
+	fake_publish_lists(f);
 }
 
 static void lost_event(struct fake *f, void *data)
@@ -496,7 +496,7 @@
 	s->listed = true;
 	if (s->term < f->top_term[s->group])
 		s->role = ROLE_REPLICA;
-	fake_list(f);
+	fake_publish_lists(f);
 }
 
 static void quick_restart_event(struct fake *f, void *data)
@@ -514,7 +514,7 @@
  * again if it was the primary of its term, unless another server was promoted
  * meanwhile.
  */
-void fake_reborn(struct fake *f, unsigned server, bool keeps_log)
+void fake_restart_at_once(struct fake *f, unsigned server, bool keeps_log)
 {
 	struct fake_server *s = &f->servers[server];
 
@@ -533,7 +533,7 @@
 }
 
 /* Suspends the relay's VM; events for it are held. */
-void fake_freeze(struct fake *f, unsigned relay, uint64_t us)
+void fake_suspend_relay(struct fake *f, unsigned relay, uint64_t us)
 {
 	f->relays[relay].frozen_until_us = f->now_us + us;
 }
@@ -547,7 +547,7 @@
 	memset(f->side, 0, sizeof(f->side));
 	f->lose_answers = f->lose_claims = f->busy = 0;
 	f->lose_promote_replies = false;
-	f->promote_late_us = 0;
+	f->promote_call_delay_us = 0;
 	for (i = 0; i < f->n_servers; i++) {
 		f->servers[i].dark = false;
 		f->servers[i].lag_us = 5 * MS;
@@ -585,12 +585,14 @@
 		relay_catalog_add_service(c, &conf);
 		for (kind = 0; kind < G_N_ELEMENTS(kinds); kind++) {
 			char *db = g_strdup_printf("%s%u", kinds[kind], i);
-			struct relay_profile p = { .database = db,
-						   .service = name,
-						   .kind = kind,
-						   .timeout_us = FAKE_LIMIT_US,
-						   .aim_us = FAKE_AIM_US,
-						   .max_age_us = FAKE_AGE_US };
+			struct relay_profile p = {
+				.database = db,
+				.service = name,
+				.kind = kind,
+				.timeout_us = FAKE_STATEMENT_TIMEOUT_US,
+				.aim_us = FAKE_LATENCY_TARGET_US,
+				.max_age_us = FAKE_MAX_AGE_US
+			};
 
 			relay_catalog_add_profile(c, &p);
 			g_free(db);
@@ -651,7 +653,7 @@
 }
 
 /* Restores the relay's connection to the store, or cuts it off. */
-void fake_store(struct fake *f, unsigned relay, bool answers)
+void fake_set_store_reachable(struct fake *f, unsigned relay, bool answers)
 {
 	bool is_back = answers && f->relays[relay].deaf;
 
@@ -754,19 +756,19 @@
 }
 
 /* The new replica has the newest log of the group, and no pause. */
-unsigned fake_join(struct fake *f, unsigned group)
+unsigned fake_add_replica(struct fake *f, unsigned group)
 {
 	const struct fake_server *from = newest_log(f, group);
 	struct fake_server *s = add_server(f, group, ROLE_REPLICA);
 
 	if (from)
 		copy_log(s, from);
-	fake_list(f);
+	fake_publish_lists(f);
 	return s->index;
 }
 
 /* A primary of its term is primary again unless another was promoted. */
-unsigned fake_return(struct fake *f, unsigned server)
+unsigned fake_rejoin_with_new_id(struct fake *f, unsigned server)
 {
 	struct fake_server *old = &f->servers[server];
 	struct fake_server *s = add_server(f, old->group, ROLE_REPLICA);
@@ -776,7 +778,7 @@
 	s->was_primary = old->was_primary;
 	if (s->was_primary && s->term == f->top_term[s->group])
 		s->role = ROLE_PRIMARY;
-	fake_list(f);
+	fake_publish_lists(f);
 	return s->index;
 }
 
@@ -787,14 +789,14 @@
 	fake_crash(f, s->index);
 	s->replaced = true;
 	s->listed = false;
-	fake_list(f);
+	fake_publish_lists(f);
 }
 
 /* A planned shutdown: the server works until then, and doesn't return. */
 void fake_leave(struct fake *f, unsigned server, uint64_t drain_us)
 {
 	f->servers[server].leaving = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_at(f, -1, drain_us, stop_event, &f->servers[server], NULL);
 }
 
@@ -812,7 +814,7 @@
 	f->n_groups = n_groups;
 	f->accounts = f->homes = accounts;
 	f->max_connections = n_relays > 4 ? 10 : 20;
-	f->promote_us = 1000 * MS;
+	f->promote_duration_us = 1000 * MS;
 	f->events = fake_events_create();
 	f->conns = fake_conns_create();
 	f->commits = g_array_new(FALSE, TRUE, sizeof(struct fake_commit));
@@ -827,7 +829,7 @@
 	for (i = 0; i < n_relays; i++)
 		create_relay(f, i, catalog);
 	relay_catalog_unref(catalog);
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_at(f, -1, 0, replicate_event, NULL, NULL);
 	if (accounts)
 		accounts_start(f);
--- a/packages/relay/tests/support_story.c
+++ b/packages/relay/tests/support_story.c
@@ -20,13 +20,13 @@
 			   "", "1");
 }
 
-static struct hist_session *callers[STORY_RELAYS];
+static struct hist_session *callers[SCENARIO_RELAYS];
 
-void story_callers_come(struct fake *f)
+void scenario_open_callers(struct fake *f)
 {
 	unsigned i;
 
-	for (i = 0; i < STORY_RELAYS; i++) {
+	for (i = 0; i < SCENARIO_RELAYS; i++) {
 		if (callers[i] && callers[i]->open)
 			continue;
 		callers[i] = hist_open(f, i, 0, RELAY_KIND_PRIMARY);
@@ -36,7 +36,7 @@
 }
 
 /*
- * doubt_unpaused is off, too: it asks all replicas while a change may be in
+ * distrust_unpaused is off, too: it asks all replicas while a change may be in
  * progress, which would hide the effect of the other guard.
  */
 static void switch_guard_off(struct fake *f)
@@ -45,40 +45,40 @@
 
 	if (guard_off == SCENARIO_ALL_GUARDS)
 		return;
-	for (i = 0; i < STORY_RELAYS; i++) {
+	for (i = 0; i < SCENARIO_RELAYS; i++) {
 		struct relay_guards *g = relay_guards_of(f->relays[i].relay);
 
-		g->doubt_unpaused = false;
+		g->distrust_unpaused = false;
 		((bool *)g)[guard_off] = false;
 	}
 }
 
 /* The seed selects how long promotions take: 300 to 1,000 ms. */
-struct fake *story_start(uint32_t seed, uint64_t settle_us)
+struct fake *scenario_start(uint32_t seed, uint64_t settle_us)
 {
-	struct fake *f = fake_create(seed, STORY_RELAYS, 1);
+	struct fake *f = fake_create(seed, SCENARIO_RELAYS, 1);
 
 	memset(callers, 0, sizeof(callers));
 	switch_guard_off(f);
-	f->promote_us = 300 * MS + seed % 8 * 100 * MS;
+	f->promote_duration_us = 300 * MS + seed % 8 * 100 * MS;
 	fake_run(f, settle_us);
 	return f;
 }
 
-char *story_end(struct fake *f)
+char *scenario_finish(struct fake *f)
 {
 	unsigned acked, i;
 	char *wrong;
 
 	for (i = 0; i < f->n_relays; i++) {
-		f->relays[i].list_lag_us = 0;
-		f->relays[i].list_held = false;
+		f->relays[i].list_delay_us = 0;
+		f->relays[i].drop_lists = false;
 		f->relays[i].deaf = false;
 	}
 	fake_heal(f);
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, RECOVERY_US);
-	story_callers_come(f);
+	scenario_open_callers(f);
 	acked = hist_acknowledged(f);
 	fake_run(f, USEC_PER_SEC);
 	wrong = g_strdup(hist_check(f));
@@ -90,7 +90,7 @@
 	return wrong;
 }
 
-const struct rservice *story_service(const struct fake *f, unsigned relay)
+const struct rservice *scenario_service(const struct fake *f, unsigned relay)
 {
 	return g_hash_table_lookup(f->relays[relay].relay->services, "group0");
 }
@@ -101,13 +101,13 @@
 	unsigned i;
 
 	for (i = 0; i < f->n_relays; i++)
-		if (story_service(f, i)->phase == phase)
+		if (scenario_service(f, i)->phase == phase)
 			return (int)i;
 	return -1;
 }
 
 /* Polls each millisecond. */
-int story_run_until(struct fake *f, enum rphase phase)
+int scenario_run_until(struct fake *f, enum rphase phase)
 {
 	uint64_t limit_us = f->now_us + PHASE_TIMEOUT_US;
 
@@ -116,19 +116,20 @@
 	return relay_in_phase(f, phase);
 }
 
-static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD, PHASE_PROMOTE,
-				      PHASE_SETTLE };
+static const enum rphase phases[] = { PHASE_FENCE, PHASE_LEASE_EXPIRY,
+				      PHASE_PROMOTE, PHASE_AWAIT_PRIMARY };
 
 /* Returns the proxy that was first in the phase, or -1. */
 int scenario_run_into_phase(struct fake *f, uint32_t seed)
 {
-	int changer = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
+	int changer =
+		scenario_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
 
 	fake_run(f, fake_random(f, 0, 200) * MS);
 	return changer;
 }
 
-void story_check_promises(scenario_fn scenario)
+void scenario_check_guarantees(scenario_fn scenario)
 {
 	uint32_t seed;
 
--- a/packages/relay/tests/test_accounts.c
+++ b/packages/relay/tests/test_accounts.c
@@ -96,13 +96,15 @@
 	switch (fake_random(f, 0, 7)) {
 	case 0:
 	case 1:
-		fake_take_key(f, account, !f->key_gone_us[account]);
+		fake_set_key_revoked(f, account,
+				     !f->key_revoked_at_us[account]);
 		break;
 	case 2:
-		fake_store(f, relay, false);
+		fake_set_store_reachable(f, relay, false);
 		break;
 	case 3:
-		fake_freeze(f, relay, fake_random(f, 1, 9) * USEC_PER_SEC);
+		fake_suspend_relay(f, relay,
+				   fake_random(f, 1, 9) * USEC_PER_SEC);
 		break;
 	case 4:
 		fake_restart_relay(f, relay);
@@ -136,7 +138,7 @@
 		fake_heal(f);
 		for (i = 0; i < RELAYS; i++)
 			if (fake_chance(f, 0.7))
-				fake_store(f, i, true);
+				fake_set_store_reachable(f, i, true);
 	}
 }
 
@@ -162,7 +164,7 @@
 		run_workload(f);
 		ck_assert_msg(!*hist_check(f), "seed %u:\n%s", seed,
 			      hist_check(f));
-		ran += hist_ran_in_all(f);
+		ran += hist_operation_count(f);
 		fake_destroy(f);
 	}
 	ck_assert_uint_gt(ran, 500 * n_seeds());
@@ -261,7 +263,7 @@
 	s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
 	ck_assert_int_eq(hist_run(f, s, RELAY_BEGIN, "", ""), RELAY_OK);
 	ck_assert_int_eq(hist_run(f, s, RELAY_WRITE, "", "1"), RELAY_OK);
-	fake_take_key(f, s->account, true);
+	fake_set_key_revoked(f, s->account, true);
 	fake_run(f, USEC_PER_SEC);
 	ck_assert_int_eq(hist_run(f, s, RELAY_COMMIT, "", ""), RELAY_ABORTED);
 	ck_assert_int_eq(hist_run(f, s, RELAY_WRITE, "", "1"),
@@ -274,19 +276,19 @@
 
 /*
  * Guards against keys that are judged by outdated information for as long as
- * the store doesn't answer: after FAKE_KEY_AGE_US all are refused, and once the
- * store answers they are valid again.
+ * the store doesn't answer: after FAKE_KEY_MAX_AGE_US all are refused, and once
+ * the store answers they are valid again.
  */
 START_TEST(keys_are_valid_again_once_the_store_answers)
 {
 	struct fake *f = fake_create_accounts(1, 2, 1);
 
 	fake_run(f, 6 * USEC_PER_SEC);
-	fake_store(f, 0, false);
-	fake_run(f, FAKE_KEY_AGE_US + USEC_PER_SEC);
+	fake_set_store_reachable(f, 0, false);
+	fake_run(f, FAKE_KEY_MAX_AGE_US + USEC_PER_SEC);
 	ck_assert_int_eq(open_with(f, "own0", "secret1"), RELAY_BUSY);
 	ck_assert(!relay_is_ready(f->relays[0].relay));
-	fake_store(f, 0, true);
+	fake_set_store_reachable(f, 0, true);
 	fake_run(f, USEC_PER_SEC);
 	ck_assert_int_eq(open_with(f, "own0", "secret1"), RELAY_OK);
 	fake_destroy(f);
@@ -321,7 +323,7 @@
 		read_again_event(f, s);
 	}
 	fake_run(f, us);
-	ck_assert_uint_ge(hist_ran_in_all(f),
+	ck_assert_uint_ge(hist_operation_count(f),
 			  FAKE_RATE * us / USEC_PER_SEC * 95 / 100);
 	ck_assert_str_eq(hist_check(f), "");
 	fake_destroy(f);
@@ -403,10 +405,10 @@
 
 	fake_run(f, 2 * USEC_PER_SEC);
 	s = g_hash_table_lookup(r->servers, "s1");
-	ck_assert(rsv_is_up(s));
+	ck_assert(rserver_is_up(s));
 	s->status.connections = f->max_connections / 2 + 1;
 	s->n_conns = 2;
-	return rcn_may_open(s, f->now_us);
+	return rconn_may_open(s, f->now_us);
 }
 
 /*
@@ -438,16 +440,16 @@
 	for (i = 0; i < f->n_relays; i++)
 		if ((int)i != missing)
 			infos[n++].id = f->relays[i].name;
-	rgr_on_peers(f->relays[0].relay, infos, n, f->now_us);
+	rgrantor_on_peers(f->relays[0].relay, infos, n, f->now_us);
 }
 
 static bool grants_token(struct fake *f)
 {
-	struct rlimit *l = rlm_find(f->relays[0].relay, "account0");
+	struct rlimit *l = rlimit_find(f->relays[0].relay, "account0");
 	uint64_t wait_us;
 	unsigned given;
 
-	return rgr_grant(l, 1, &given, &wait_us, f->now_us) && given;
+	return rgrantor_grant(l, 1, &given, &wait_us, f->now_us) && given;
 }
 
 /*
@@ -464,7 +466,7 @@
 	ck_assert(!grants_token(f));
 	give_list_without(f, -1);
 	ck_assert(!grants_token(f));
-	fake_run(f, FAKE_KEY_AGE_US - 100 * MS);
+	fake_run(f, FAKE_KEY_MAX_AGE_US - 100 * MS);
 	ck_assert(!grants_token(f));
 	fake_run(f, 200 * MS);
 	ck_assert(grants_token(f));
@@ -474,7 +476,7 @@
 
 static bool is_known_as_grantor(struct fake *f, const char *name)
 {
-	const struct rlimit *l = rlm_find(f->relays[0].relay, "account0");
+	const struct rlimit *l = rlimit_find(f->relays[0].relay, "account0");
 	unsigned i;
 
 	for (i = 0; i < l->n_grantors; i++)
@@ -496,7 +498,7 @@
 	while (!is_known_as_grantor(f, f->relays[left].name))
 		left++;
 	give_list_without(f, (int)left);
-	fake_run(f, FAKE_KEY_AGE_US - 100 * MS);
+	fake_run(f, FAKE_KEY_MAX_AGE_US - 100 * MS);
 	ck_assert(is_known_as_grantor(f, f->relays[left].name));
 	fake_run(f, 200 * MS);
 	ck_assert(!is_known_as_grantor(f, f->relays[left].name));
@@ -518,9 +520,9 @@
 	fake_run(f, 6 * USEC_PER_SEC);
 	while (!is_known_as_grantor(f, f->relays[left].name))
 		left++;
-	l = rlm_find(f->relays[0].relay, "account0");
+	l = rlimit_find(f->relays[0].relay, "account0");
 	give_list_without(f, (int)left);
-	fake_run(f, FAKE_KEY_AGE_US + 100 * MS);
+	fake_run(f, FAKE_KEY_MAX_AGE_US + 100 * MS);
 	l->ask = &in_flight;
 	ck_assert(!is_known_as_grantor(f, f->relays[left].name));
 	l->ask = NULL;
@@ -537,8 +539,8 @@
 	struct fake *f = fake_create_accounts(1, 2, 1);
 
 	fake_run(f, 6 * USEC_PER_SEC);
-	fake_store(f, 0, false);
-	fake_run(f, FAKE_KEY_AGE_US - USEC_PER_SEC);
+	fake_set_store_reachable(f, 0, false);
+	fake_run(f, FAKE_KEY_MAX_AGE_US - USEC_PER_SEC);
 	ck_assert(grants_token(f));
 	fake_run(f, USEC_PER_SEC + 200 * MS);
 	ck_assert(!grants_token(f));
--- a/packages/relay/tests/test_change.c
+++ b/packages/relay/tests/test_change.c
@@ -136,7 +136,7 @@
 	fake_crash(f, 0);
 	while (!f->last_token)
 		fake_run(f, MS);
-	fake_run(f, f->promote_us - (seed % 8) * 40 * MS);
+	fake_run(f, f->promote_duration_us - (seed % 8) * 40 * MS);
 	fake_restart(f, 0);
 	fake_run(f, USEC_PER_SEC);
 	f->relays[0].deaf = false;
@@ -208,7 +208,7 @@
 
 	f->servers[1].lag_us = f->servers[2].lag_us = 100 * MS;
 	f->servers[0].leaving = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, 6 * USEC_PER_SEC);
 	ck_assert_uint_eq(f->n_promotions, 1);
 	for (i = 1; i < f->commits->len; i++)
@@ -234,18 +234,18 @@
 	struct fake *f = start((uint32_t)_i + 100);
 	struct hist_session *reader;
 
-	f->promote_us = 300 * MS;
-	f->relays[0].list_held = true;
+	f->promote_duration_us = 300 * MS;
+	f->relays[0].drop_lists = true;
 	hist_close(f, writers[0]);
 	reader = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
 	reader->next = read_next;
 	read_next(f, reader);
 	fake_run(f, fake_random(f, 0, 500) * MS);
 	f->servers[0].leaving = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, 4 * USEC_PER_SEC);
 	ck_assert_uint_eq(f->n_promotions, 1);
-	f->relays[0].list_held = false;
+	f->relays[0].drop_lists = false;
 	end(f);
 }
 END_TEST
@@ -259,7 +259,7 @@
 	struct fake *f = start(4);
 
 	f->servers[0].listed = false;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, 8 * USEC_PER_SEC);
 	ck_assert_uint_eq(f->n_promotions, 1);
 	ck_assert_int_eq(f->servers[0].role, ROLE_REPLICA);
@@ -282,7 +282,7 @@
 	fake_run(f, 100 * MS);
 	for (i = 0; i < 3; i++)
 		if (!g_strcmp0(f->relays[i].name, f->duty_holder))
-			fake_freeze(f, i, 8 * USEC_PER_SEC);
+			fake_suspend_relay(f, i, 8 * USEC_PER_SEC);
 	fake_run(f, 12 * USEC_PER_SEC);
 	ck_assert_uint_ge(f->n_promotions, 1);
 }
@@ -321,7 +321,7 @@
 {
 	unsigned i;
 
-	f->promote_us = 300 * MS;
+	f->promote_duration_us = 300 * MS;
 	f->servers[0].slow_us = 1985 * MS; /* statements time out after 2 s */
 	for (i = 1; i < 3; i++) {
 		fake_cut(f, i, 0, true);
--- a/packages/relay/tests/test_feed_source.c
+++ b/packages/relay/tests/test_feed_source.c
@@ -249,7 +249,7 @@
 	list_proxies(73);
 	f = start(5, 73);
 	p = next_proxy(f, 0);
-	feed_source_on_missing(f);
+	feed_source_on_value_missing(f);
 	ck_assert_ptr_null(next_proxy(f, 0));
 	ck_assert_ptr_eq(next_proxy(f, 0), p);
 	feed_source_destroy(f);
--- a/packages/relay/tests/test_histories.c
+++ b/packages/relay/tests/test_histories.c
@@ -119,7 +119,7 @@
 		f->lose_answers = 0.05;
 		break;
 	case 5:
-		fake_freeze(f, relay, 2 * USEC_PER_SEC);
+		fake_suspend_relay(f, relay, 2 * USEC_PER_SEC);
 		break;
 	case 6:
 		f->lose_claims = 0.5;
@@ -142,7 +142,7 @@
 	for (i = 0; i < SESSIONS; i++)
 		open_session(f, i % RELAYS);
 	f->busy = 0.01;
-	f->promote_us = fake_random(f, 400, 1001) * MS;
+	f->promote_duration_us = fake_random(f, 400, 1001) * MS;
 	while (f->now_us < end_us) {
 		fake_run(f, fake_random(f, 100, 1500) * MS);
 		inject_fault(f);
@@ -191,20 +191,21 @@
 /*
  * Names of the guards, by their index in struct relay_guards. The first and the
  * last fifteen have tests of their own: confirm_writes, fresh_claim and
- * resume_under_duty in test_change; doubt_reborn in test_reborn;
- * claim_after_fence, doubt_unpaused, doubt_newcomers and check_list_age in
- * test_newcomers; avoid_outliers, limit_in_flight, leave_when_cut_off and
- * renew_at_once, on which no checked rule depends, in test_routing,
- * test_overload and test_homes; the four of accounts in test_accounts.
+ * resume_under_duty in test_change; distrust_restarted in test_reborn;
+ * claim_after_fence, distrust_unpaused, distrust_newly_listed and
+ * check_list_age in test_newcomers; avoid_outliers, limit_in_flight,
+ * leave_when_cut_off and renew_lease_at_once, on which no checked rule depends,
+ * in test_routing, test_overload and test_homes; the four of accounts in
+ * test_accounts.
  */
 static const char *const guards[] = {
-	"confirm_writes",     "hold_before_promote", "fence",
-	"check_floor",	      "clean_values",	     "no_second_write_try",
-	"fresh_claim",	      "resume_under_duty",   "avoid_outliers",
-	"limit_in_flight",    "doubt_reborn",	     "claim_after_fence",
-	"doubt_unpaused",     "doubt_newcomers",     "check_list_age",
-	"leave_when_cut_off", "own_connections",     "check_keys",
-	"check_key_age",      "limit_accounts",	     "renew_at_once",
+	"confirm_writes",     "await_lease_expiry",    "fence",
+	"check_floor",	      "clean_values",	       "no_write_retry",
+	"fresh_claim",	      "resume_under_duty",     "avoid_outliers",
+	"limit_in_flight",    "distrust_restarted",    "claim_after_fence",
+	"distrust_unpaused",  "distrust_newly_listed", "check_list_age",
+	"leave_when_cut_off", "own_connections",       "check_keys",
+	"check_key_age",      "limit_accounts",	       "renew_lease_at_once",
 };
 
 #define GUARD_SEEDS 400
--- a/packages/relay/tests/test_homes.c
+++ b/packages/relay/tests/test_homes.c
@@ -12,7 +12,7 @@
 	struct fake *f = fake_create(seed, n_relays, 1);
 
 	f->homes = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, USEC_PER_SEC);
 	return f;
 }
@@ -102,7 +102,7 @@
 	gpointer value;
 
 	f->relays[relay].dead = true;
-	fake_freeze(f, relay, 3600 * USEC_PER_SEC);
+	fake_suspend_relay(f, relay, 3600 * USEC_PER_SEC);
 	g_hash_table_iter_init(&iter, f->conns);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct fake_conn *c = value;
@@ -223,7 +223,7 @@
 	relay_on_catalog(r, c, f->now_us);
 	relay_on_peers(r, infos, G_N_ELEMENTS(infos), f->now_us);
 	v = g_hash_table_lookup(r->services, "group0");
-	ck_assert_uint_eq(rrl_homes(v)->len + v->is_home, limits[_i][1]);
+	ck_assert_uint_eq(role_homes(v)->len + v->is_home, limits[_i][1]);
 	for (i = 0; i < G_N_ELEMENTS(infos); i++)
 		g_free(infos[i].id);
 	relay_catalog_unref(c);
@@ -310,7 +310,7 @@
 	fake_run(f, USEC_PER_SEC);
 	check_all_served(f);
 	f->relays[home].unlisted = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, USEC_PER_SEC);
 	check_all_served(f);
 	end(f);
@@ -332,7 +332,7 @@
 	before = f->n_codes[RELAY_BUSY];
 	f->relays[home].unlisted = true;
 	relay_stop(f->relays[home].relay, f->now_us);
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, 4 * USEC_PER_SEC);
 	for (i = 0; i < CALLERS; i++) {
 		ck_assert(callers[i]->open == (callers[i]->relay != home));
@@ -480,7 +480,7 @@
 	for (i = 0; i < RELAYS; i++)
 		f->side[i] = was_home[i];
 	/* Each of four homes may hold a statement until its timeout. */
-	fake_run(f, 4 * FAKE_LIMIT_US);
+	fake_run(f, 4 * FAKE_STATEMENT_TIMEOUT_US);
 	for (i = 0; i < CALLERS; i++)
 		ck_assert(callers[i]->open);
 	check_all_served(f);
@@ -507,7 +507,7 @@
 	unsigned i, relay, n_left = 0;
 
 	f->homes = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, USEC_PER_SEC);
 	for (relay = 0;
 	     is_home_of(f, relay, "group0") || is_home_of(f, relay, "group1");)
@@ -522,7 +522,7 @@
 	}
 	ck_assert_uint_gt(n_left, 0);
 	v = g_hash_table_lookup(f->relays[relay].relay->services, "group0");
-	g_ptr_array_set_size(rrl_spares(v), 0);
+	g_ptr_array_set_size(role_spares(v), 0);
 	for (i = 0; i < 100; i++) {
 		if (s->open)
 			hist_run(f, s, RELAY_READ, "", "1");
@@ -636,7 +636,8 @@
 		/* The fake runs each relay's timers once a tick. */
 		if (code == RELAY_BUSY)
 			ck_assert_uint_le(f->now_us - from_us,
-					  FAKE_AIM_US / 4 + 2 * TICK_US);
+					  FAKE_LATENCY_TARGET_US / 4 +
+						  2 * TICK_US);
 		fake_run(f, 20 * MS);
 	}
 	f->servers[0].sheds = 0;
@@ -659,7 +660,7 @@
 		fake_cut(f, i, 1, true);
 		fake_cut(f, i, 2, true);
 		fake_cut(f, i + 2, 0, true);
-		fake_store(f, i, false);
+		fake_set_store_reachable(f, i, false);
 	}
 }
 
@@ -695,7 +696,7 @@
 	ck_assert(relay_is_ready(f->relays[2].relay));
 	fake_heal(f);
 	for (i = 0; i < 2; i++)
-		fake_store(f, i, true);
+		fake_set_store_reachable(f, i, true);
 	fake_run(f, 2 * USEC_PER_SEC);
 	ck_assert(relay_is_ready(f->relays[0].relay));
 	s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
@@ -718,7 +719,7 @@
 	ck_assert_int_eq(hist_run(f, s, RELAY_WRITE, "", "1"), RELAY_OK);
 	f->lose_claims = 1;
 	for (i = 0; i < 4; i++)
-		fake_store(f, i, false);
+		fake_set_store_reachable(f, i, false);
 	fake_crash(f, 0);
 	write_until_closed(f, s, 2 * USEC_PER_SEC);
 	ck_assert(s->open);
@@ -742,7 +743,7 @@
 		homes += is_home(f, i);
 	for (i = 1; i < RELAYS; i++)
 		f->relays[i].unlisted = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < RELAYS; i++)
 		now += is_home(f, i);
--- a/packages/relay/tests/test_late_news.c
+++ b/packages/relay/tests/test_late_news.c
@@ -9,9 +9,9 @@
 
 static struct fake *start(uint32_t seed)
 {
-	struct fake *f = story_start(seed, 6 * USEC_PER_SEC);
+	struct fake *f = scenario_start(seed, 6 * USEC_PER_SEC);
 
-	story_callers_come(f);
+	scenario_open_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	return f;
 }
@@ -20,36 +20,36 @@
 {
 	struct fake *f = start(seed);
 
-	f->promote_late_us = fake_random(f, 300, 1200) * MS;
-	f->promote_us = 1000 * MS;
+	f->promote_call_delay_us = fake_random(f, 300, 1200) * MS;
+	f->promote_duration_us = 1000 * MS;
 	fake_crash(f, 0);
-	story_run_until(f, PHASE_PROMOTE);
+	scenario_run_until(f, PHASE_PROMOTE);
 	f->lose_claims = 1;
 	fake_run(f, fake_random(f, 0, 1500) * MS);
 	if (seed % 2)
-		fake_join(f, 0);
-	fake_return(f, 0);
+		fake_add_replica(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 6 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *abandoned_promotions(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
-	f->promote_late_us = fake_random(f, 2000, 3000) * MS;
-	f->promote_us = 1000 * MS;
+	f->promote_call_delay_us = fake_random(f, 2000, 3000) * MS;
+	f->promote_duration_us = 1000 * MS;
 	f->lose_promote_replies = true;
 	f->n_promotions_to_drop = seed / 2 % 4;
 	fake_crash(f, 0);
-	story_run_until(f, PHASE_PROMOTE);
+	scenario_run_until(f, PHASE_PROMOTE);
 	fake_run(f, fake_random(f, 0, 3000) * MS);
 	if (seed % 2)
 		fake_restart(f, 0);
 	else
-		fake_return(f, 0);
+		fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 14 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -63,38 +63,39 @@
 	unsigned i, server;
 
 	f->relays[separated].deaf = true;
-	f->relays[separated].list_held = true;
-	for (i = 0; i < STORY_RELAYS; i++)
+	f->relays[separated].drop_lists = true;
+	for (i = 0; i < SCENARIO_RELAYS; i++)
 		for (server = 0; server < GROUP_SIZE; server++)
 			fake_cut(f, i, server,
 				 (i == separated) == (server == replica));
 	for (server = 0; server < GROUP_SIZE; server++)
 		f->servers[server].listed = server == replica;
-	fake_list(f);
+	fake_publish_lists(f);
 }
 
 static char *servers_lost_beyond_partition(uint32_t seed)
 {
 	struct fake *f = start(seed);
 
-	partition_network(f, seed % STORY_RELAYS, 1 + seed / STORY_RELAYS % 2);
+	partition_network(f, seed % SCENARIO_RELAYS,
+			  1 + seed / SCENARIO_RELAYS % 2);
 	fake_run(f, 14 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *new_server_beyond_a_partition(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	unsigned separated = seed % STORY_RELAYS;
-	unsigned replica = 1 + seed / STORY_RELAYS % 2;
+	unsigned separated = seed % SCENARIO_RELAYS;
+	unsigned replica = 1 + seed / SCENARIO_RELAYS % 2;
 
 	fake_leave(f, replica, 60 * USEC_PER_SEC);
 	fake_run(f, 500 * MS);
 	partition_network(f, separated, replica);
 	fake_run(f, fake_random(f, 0, 1000) * MS);
-	fake_cut(f, separated, fake_join(f, 0), true);
+	fake_cut(f, separated, fake_add_replica(f, 0), true);
 	fake_run(f, 14 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static void send_list_of_one(struct fake *f, unsigned relay, unsigned server)
@@ -114,19 +115,19 @@
 
 static char *list_with_the_old_primary_alone(uint32_t seed)
 {
-	struct fake *f = story_start(seed, 0);
-	unsigned i, last = STORY_RELAYS - 1;
+	struct fake *f = scenario_start(seed, 0);
+	unsigned i, last = SCENARIO_RELAYS - 1;
 
-	f->relays[last].list_held = true;
+	f->relays[last].drop_lists = true;
 	fake_run(f, 6 * USEC_PER_SEC);
-	story_callers_come(f);
+	scenario_open_callers(f);
 	fake_crash(f, 0);
-	story_run_until(f, PHASE_PROMOTE);
+	scenario_run_until(f, PHASE_PROMOTE);
 	for (i = 0; i < last; i++)
-		f->relays[i].list_held = true;
-	send_list_of_one(f, last, fake_return(f, 0));
+		f->relays[i].drop_lists = true;
+	send_list_of_one(f, last, fake_rejoin_with_new_id(f, 0));
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *planned_change_with_an_unreached_replica(uint32_t seed)
@@ -135,15 +136,15 @@
 	unsigned acked;
 	char *wrong;
 
-	fake_cut(f, seed % STORY_RELAYS, 2, true);
+	fake_cut(f, seed % SCENARIO_RELAYS, 2, true);
 	f->servers[0].leaving = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, 10 * USEC_PER_SEC);
 	acked = hist_acknowledged(f);
 	fake_run(f, USEC_PER_SEC);
 	if (hist_acknowledged(f) > acked)
-		return story_end(f);
-	wrong = story_end(f);
+		return scenario_finish(f);
+	wrong = scenario_finish(f);
 	g_free(wrong);
 	return g_strdup("nothing is stored within 10 s");
 }
@@ -153,15 +154,15 @@
 	struct fake *f = start(seed);
 	unsigned i;
 
-	for (i = 0; i < STORY_RELAYS; i++)
-		fake_cut(f, i, 2, i == seed % STORY_RELAYS);
+	for (i = 0; i < SCENARIO_RELAYS; i++)
+		fake_cut(f, i, 2, i == seed % SCENARIO_RELAYS);
 	f->servers[0].leaving = true;
-	fake_list(f);
-	story_run_until(f, PHASE_PROMOTE);
+	fake_publish_lists(f);
+	scenario_run_until(f, PHASE_PROMOTE);
 	fake_run(f, fake_random(f, 0, 300) * MS);
-	fake_reborn(f, 0, true);
+	fake_restart_at_once(f, 0, true);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -170,7 +171,7 @@
  */
 START_TEST(test_late_promotion)
 {
-	story_check_promises(late_promotion);
+	scenario_check_guarantees(late_promotion);
 }
 END_TEST
 
@@ -181,7 +182,7 @@
  */
 START_TEST(test_abandoned_promotions)
 {
-	story_check_promises(abandoned_promotions);
+	scenario_check_guarantees(abandoned_promotions);
 }
 END_TEST
 
@@ -193,7 +194,7 @@
  */
 START_TEST(test_servers_lost_beyond_partition)
 {
-	story_check_promises(servers_lost_beyond_partition);
+	scenario_check_guarantees(servers_lost_beyond_partition);
 }
 END_TEST
 
@@ -203,7 +204,7 @@
  */
 START_TEST(test_new_server_beyond_partition)
 {
-	story_check_promises(new_server_beyond_a_partition);
+	scenario_check_guarantees(new_server_beyond_a_partition);
 }
 END_TEST
 
@@ -223,7 +224,7 @@
  */
 START_TEST(test_list_with_old_primary_alone)
 {
-	story_check_promises(list_with_the_old_primary_alone);
+	scenario_check_guarantees(list_with_the_old_primary_alone);
 }
 END_TEST
 
@@ -234,7 +235,7 @@
  */
 START_TEST(test_planned_change_with_unreached_replica)
 {
-	story_check_promises(planned_change_with_an_unreached_replica);
+	scenario_check_guarantees(planned_change_with_an_unreached_replica);
 }
 END_TEST
 
@@ -245,7 +246,7 @@
  */
 START_TEST(test_step_down_forgotten_late)
 {
-	story_check_promises(step_down_forgotten_late);
+	scenario_check_guarantees(step_down_forgotten_late);
 }
 END_TEST
 
--- a/packages/relay/tests/test_lease_log.c
+++ b/packages/relay/tests/test_lease_log.c
@@ -24,7 +24,7 @@
 
 	fake = fake_create(seed, 1, 1);
 	log_file = fake_log_open(fake);
-	fake_list(fake);
+	fake_publish_lists(fake);
 	fake_run(fake, 6 * USEC_PER_SEC);
 	s = hist_open(fake, 0, 0, RELAY_KIND_PRIMARY);
 	s->next = next_write;
@@ -123,7 +123,7 @@
 		ck_assert_int_le(number_of(line, "asked_ms"), 750);
 	}
 	ck_assert_uint_ge(n, 1);
-	ck_assert_uint_le(n, EVIDENCES);
+	ck_assert_uint_le(n, N_EVIDENCE_KINDS);
 	g_ptr_array_unref(lines);
 	end();
 }
@@ -168,7 +168,7 @@
 		const struct fake_server *p = fake_primary(fake, 0);
 
 		fake_crash(fake, p->index);
-		fake_join(fake, 0);
+		fake_add_replica(fake, 0);
 		fake_run(fake, 6 * USEC_PER_SEC);
 		fake_restart(fake, p->index);
 		fake_run(fake, 6 * USEC_PER_SEC);
@@ -191,7 +191,7 @@
 	unsigned number;
 
 	start(3);
-	number = fake_join(fake, 0);
+	number = fake_add_replica(fake, 0);
 	fake_run(fake, 2 * USEC_PER_SEC);
 	ck_assert_uint_eq(count("word-left-aside", fake->servers[number].id, 1,
 				"new"),
@@ -208,7 +208,7 @@
 	start(4);
 	n = count("word-left-aside", "s1", 1, "new");
 	fake_crash(fake, 2);
-	fake_reborn(fake, 1, true);
+	fake_restart_at_once(fake, 1, true);
 	fake_run(fake, 3 * USEC_PER_SEC);
 	ck_assert_str_eq(last_reason("s1"), "restarted");
 	ck_assert_uint_eq(count("word-left-aside", "s1", 1, NULL), n + 1);
--- a/packages/relay/tests/test_member_days.c
+++ b/packages/relay/tests/test_member_days.c
@@ -74,13 +74,13 @@
 {
 	if (may_restart(f, GPOINTER_TO_UINT(data)) &&
 	    f->n_servers < MAX_SERVERS)
-		fake_return(f, GPOINTER_TO_UINT(data));
+		fake_rejoin_with_new_id(f, GPOINTER_TO_UINT(data));
 }
 
 static void restart_event(struct fake *f, void *data)
 {
 	if (may_restart(f, GPOINTER_TO_UINT(data)))
-		fake_reborn(f, GPOINTER_TO_UINT(data), true);
+		fake_restart_at_once(f, GPOINTER_TO_UINT(data), true);
 }
 
 /* The server returns soon, with a new id or its own, or when faults end. */
@@ -96,14 +96,14 @@
 
 static void reconnect_event(struct fake *f, void *data)
 {
-	f->relays[GPOINTER_TO_UINT(data)].list_held = false;
-	fake_store(f, GPOINTER_TO_UINT(data), true);
+	f->relays[GPOINTER_TO_UINT(data)].drop_lists = false;
+	fake_set_store_reachable(f, GPOINTER_TO_UINT(data), true);
 }
 
 static void cut_off_from_store(struct fake *f, unsigned relay)
 {
-	fake_store(f, relay, false);
-	f->relays[relay].list_held = true;
+	fake_set_store_reachable(f, relay, false);
+	f->relays[relay].drop_lists = true;
 	if (fake_chance(f, 0.5))
 		fake_at(f, -1, fake_random(f, 200, 3000) * MS, reconnect_event,
 			GUINT_TO_POINTER(relay), NULL);
@@ -117,7 +117,7 @@
 		f->lose_claims = 0.5;
 		break;
 	case 1:
-		f->promote_late_us = fake_random(f, 200, 2500) * MS;
+		f->promote_call_delay_us = fake_random(f, 200, 2500) * MS;
 		break;
 	case 2:
 		f->lose_promote_replies = true;
@@ -127,13 +127,13 @@
 		cut_off_from_store(f, relay);
 		break;
 	case 4:
-		f->relays[relay].list_held = true;
+		f->relays[relay].drop_lists = true;
 		break;
 	case 5:
-		fake_freeze(f, relay, fake_random(f, 200, 2500) * MS);
+		fake_suspend_relay(f, relay, fake_random(f, 200, 2500) * MS);
 		break;
 	default:
-		f->relays[relay].list_lag_us = fake_random(f, 50, 2500) * MS;
+		f->relays[relay].list_delay_us = fake_random(f, 50, 2500) * MS;
 		break;
 	}
 }
@@ -150,7 +150,7 @@
 	case 1:
 		if (n < MAX_MEMBERS && f->n_servers < MAX_SERVERS &&
 		    fake_primary(f, group))
-			fake_join(f, group);
+			fake_add_replica(f, group);
 		break;
 	case 2:
 		if (fake_may_stop(f, server))
@@ -162,7 +162,7 @@
 			crash(f, server);
 		break;
 	case 5:
-		fake_reborn(f, server, true);
+		fake_restart_at_once(f, server, true);
 		break;
 	case 6:
 	case 7:
@@ -219,15 +219,15 @@
 	fake_heal(f);
 	f->n_promotions_to_drop = 0;
 	for (i = 0; i < RELAYS; i++) {
-		f->relays[i].list_lag_us = 0;
-		f->relays[i].list_held = false;
-		fake_store(f, i, true);
+		f->relays[i].list_delay_us = 0;
+		f->relays[i].drop_lists = false;
+		fake_set_store_reachable(f, i, true);
 	}
 	for (i = 0; i < GROUPS; i++)
 		if (fake_running_servers(f, i, all) < GROUP_SIZE &&
 		    fake_primary(f, i) && f->n_servers < MAX_SERVERS)
-			fake_join(f, i);
-	fake_list(f);
+			fake_add_replica(f, i);
+	fake_publish_lists(f);
 }
 
 /* Runs one history: episodes with faults, each followed by a recovery. */
@@ -236,7 +236,7 @@
 	unsigned i;
 
 	memset(callers, 0, sizeof(callers));
-	f->promote_us = fake_random(f, 400, 1001) * MS;
+	f->promote_duration_us = fake_random(f, 400, 1001) * MS;
 	for (i = 0; i < EPISODES; i++) {
 		open_sessions(f);
 		f->busy = 0.01;
--- a/packages/relay/tests/test_member_stories.c
+++ b/packages/relay/tests/test_member_stories.c
@@ -11,16 +11,16 @@
 /* Callers start after 6 s, when the proxies know all servers. */
 static struct fake *start(uint32_t seed)
 {
-	struct fake *f = story_start(seed, 6 * USEC_PER_SEC);
+	struct fake *f = scenario_start(seed, 6 * USEC_PER_SEC);
 
-	story_callers_come(f);
+	scenario_open_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	return f;
 }
 
 static unsigned target_of(const struct fake *f, int relay)
 {
-	const struct rservice *v = story_service(f, (unsigned)relay);
+	const struct rservice *v = scenario_service(f, (unsigned)relay);
 	unsigned i;
 
 	for (i = 1; i < f->n_servers; i++)
@@ -44,20 +44,20 @@
 	if (seed % 3 == 1)
 		fake_leave(f, 2, 0);
 	fake_run(f, 8 * USEC_PER_SEC);
-	f->promote_us = 1000 * MS;
+	f->promote_duration_us = 1000 * MS;
 	fake_crash(f, 0);
-	coordinator = story_run_until(f, PHASE_SETTLE);
+	coordinator = scenario_run_until(f, PHASE_AWAIT_PRIMARY);
 	target = coordinator < 0 ? 1 : target_of(f, coordinator);
 	fake_run(f, fake_random(f, 0, 300) * MS);
 	if (seed % 3 == 2) {
 		fake_cut(f, (unsigned)MAX(coordinator, 0), 3 - target, true);
-		fake_reborn(f, 3 - target, true);
+		fake_restart_at_once(f, 3 - target, true);
 	}
-	fake_reborn(f, target, true);
+	fake_restart_at_once(f, target, true);
 	fake_run(f, fake_random(f, 0, 300) * MS);
-	fake_reborn(f, 0, true);
+	fake_restart_at_once(f, 0, true);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -70,44 +70,46 @@
 	struct fake *f = start(seed);
 	int coordinator;
 
-	f->promote_late_us = fake_random(f, 1000, 2500) * MS;
-	f->promote_us = 400 * MS;
+	f->promote_call_delay_us = fake_random(f, 1000, 2500) * MS;
+	f->promote_duration_us = 400 * MS;
 	fake_leave(f, 0, 5500 * MS);
-	coordinator = story_run_until(f, PHASE_CATCH_UP);
+	coordinator = scenario_run_until(f, PHASE_CATCH_UP);
 	if (coordinator >= 0)
 		fake_cut(f, (unsigned)coordinator, 1, true);
 	fake_crash(f, 2);
 	fake_run(f, fake_random(f, 1700, 2000) * MS);
-	fake_reborn(f, 2, true);
+	fake_restart_at_once(f, 2, true);
 	fake_run(f, fake_random(f, 1500, 3000) * MS);
 	memset(f->cut, 0, sizeof(f->cut));
 	fake_run(f, 6 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /* A proxy restarts in some phase of its own change or of another proxy's. */
 static char *proxy_restarts(uint32_t seed)
 {
-	static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD,
-					      PHASE_PROMOTE, PHASE_SETTLE };
+	static const enum rphase phases[] = { PHASE_FENCE, PHASE_LEASE_EXPIRY,
+					      PHASE_PROMOTE,
+					      PHASE_AWAIT_PRIMARY };
 	struct fake *f = start(seed);
 	int coordinator;
 
 	fake_crash(f, 0);
-	coordinator = story_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
+	coordinator =
+		scenario_run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
 	fake_run(f, fake_random(f, 0, 100) * MS);
 	if (coordinator >= 0 && seed / 4 % 2)
 		fake_restart_relay(f, (unsigned)coordinator);
 	else
-		fake_restart_relay(f,
-				   ((unsigned)coordinator + 1) % STORY_RELAYS);
-	story_callers_come(f);
+		fake_restart_relay(f, ((unsigned)coordinator + 1) %
+					      SCENARIO_RELAYS);
+	scenario_open_callers(f);
 	fake_run(f, fake_random(f, 0, 100) * MS);
 	if (seed / 8 % 2)
-		fake_join(f, 0);
-	fake_return(f, 0);
+		fake_add_replica(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -119,7 +121,7 @@
  */
 START_TEST(test_target_restarts)
 {
-	story_check_promises(target_restarts);
+	scenario_check_guarantees(target_restarts);
 }
 END_TEST
 
@@ -131,7 +133,7 @@
  */
 START_TEST(test_change_outlives_its_claim)
 {
-	story_check_promises(change_that_outlives_its_claim);
+	scenario_check_guarantees(change_that_outlives_its_claim);
 }
 END_TEST
 
@@ -142,7 +144,7 @@
  */
 START_TEST(test_proxy_restarts)
 {
-	story_check_promises(proxy_restarts);
+	scenario_check_guarantees(proxy_restarts);
 }
 END_TEST
 
--- a/packages/relay/tests/test_metrics.c
+++ b/packages/relay/tests/test_metrics.c
@@ -222,7 +222,7 @@
 	unsigned i;
 
 	fake_run(f, USEC_PER_SEC);
-	fake_store(f, 0, true);
+	fake_set_store_reachable(f, 0, true);
 	relay_on_store_call(f->relays[0].relay, 4 * MS);
 	s = hist_open(f, 0, 0, RELAY_KIND_PRIMARY);
 	for (i = 0; i < 5; i++)
@@ -260,9 +260,9 @@
 		g_hash_table_lookup(f->relays[0].relay->services, "group0");
 	uint64_t limit_us = f->now_us + 5 * USEC_PER_SEC;
 
-	while (v->phase != PHASE_HOLD && f->now_us < limit_us)
+	while (v->phase != PHASE_LEASE_EXPIRY && f->now_us < limit_us)
 		fake_run(f, MS);
-	ck_assert_int_eq(v->phase, PHASE_HOLD);
+	ck_assert_int_eq(v->phase, PHASE_LEASE_EXPIRY);
 }
 
 /*
@@ -285,7 +285,7 @@
 	ck_assert_uint_eq(value("celeryquay_relay_pauses_total{}"), 2);
 	ck_assert_uint_eq(value("celeryquay_relay_fences_again_total{}"), 0);
 	end_metrics();
-	fake_join(f, 0);
+	fake_add_replica(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
 	scrape(f);
 	ck_assert_uint_eq(value("celeryquay_relay_pauses_total{}"), 3);
--- a/packages/relay/tests/test_newcomers.c
+++ b/packages/relay/tests/test_newcomers.c
@@ -9,9 +9,9 @@
 
 static struct fake *start(uint32_t seed)
 {
-	struct fake *f = story_start(seed, 6 * USEC_PER_SEC);
+	struct fake *f = scenario_start(seed, 6 * USEC_PER_SEC);
 
-	story_callers_come(f);
+	scenario_open_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	return f;
 }
@@ -22,11 +22,11 @@
 
 	fake_crash(f, 0);
 	scenario_run_into_phase(f, seed);
-	fake_join(f, 0);
+	fake_add_replica(f, 0);
 	fake_run(f, fake_random(f, 20, 400) * MS);
-	fake_return(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *new_server_that_coordinator_learns_late(uint32_t seed)
@@ -35,17 +35,17 @@
 	int coordinator;
 
 	fake_crash(f, 0);
-	coordinator = story_run_until(f, PHASE_FENCE);
+	coordinator = scenario_run_until(f, PHASE_FENCE);
 	if (coordinator >= 0)
-		f->relays[coordinator].list_lag_us = 2 * USEC_PER_SEC;
+		f->relays[coordinator].list_delay_us = 2 * USEC_PER_SEC;
 	if (seed % 2)
-		story_run_until(f, PHASE_HOLD);
+		scenario_run_until(f, PHASE_LEASE_EXPIRY);
 	fake_run(f, fake_random(f, 0, 10) * MS);
-	fake_join(f, 0);
+	fake_add_replica(f, 0);
 	fake_run(f, fake_random(f, 20, 400) * MS);
-	fake_return(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *new_server_after_promotion_call(uint32_t seed)
@@ -54,32 +54,32 @@
 	int coordinator;
 
 	fake_crash(f, 0);
-	coordinator = story_run_until(f, PHASE_PROMOTE);
+	coordinator = scenario_run_until(f, PHASE_PROMOTE);
 	if (coordinator >= 0)
-		f->relays[coordinator].list_lag_us = 2 * USEC_PER_SEC;
-	fake_join(f, 0);
+		f->relays[coordinator].list_delay_us = 2 * USEC_PER_SEC;
+	fake_add_replica(f, 0);
 	fake_run(f, fake_random(f, 20, 200) * MS);
-	fake_return(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *new_server_just_before_the_pauses(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	unsigned i, late = seed % STORY_RELAYS;
+	unsigned i, late = seed % SCENARIO_RELAYS;
 
-	f->relays[late].list_lag_us = 3 * USEC_PER_SEC;
-	for (i = 0; i < STORY_RELAYS; i++)
+	f->relays[late].list_delay_us = 3 * USEC_PER_SEC;
+	for (i = 0; i < SCENARIO_RELAYS; i++)
 		f->relays[i].deaf = i != late;
-	fake_join(f, 0);
+	fake_add_replica(f, 0);
 	fake_run(f, fake_random(f, 0, 700) * MS);
 	fake_crash(f, 0);
-	story_run_until(f, PHASE_HOLD);
+	scenario_run_until(f, PHASE_LEASE_EXPIRY);
 	fake_run(f, fake_random(f, 0, 400) * MS);
-	fake_return(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *paused_replica_returns_with_new_id(uint32_t seed)
@@ -91,11 +91,11 @@
 	scenario_run_into_phase(f, seed);
 	fake_crash(f, replica);
 	fake_run(f, fake_random(f, 20, 300) * MS);
-	fake_return(f, replica);
+	fake_rejoin_with_new_id(f, replica);
 	fake_run(f, fake_random(f, 0, 200) * MS);
-	fake_return(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, 4 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *planned_replacement_of_all_servers(uint32_t seed)
@@ -104,7 +104,7 @@
 	unsigned i;
 
 	for (i = 0; i < GROUP_SIZE; i++) {
-		fake_join(f, 0);
+		fake_add_replica(f, 0);
 		fake_run(f, fake_random(f, 0, 300) * MS);
 		fake_leave(f, i, 7 * USEC_PER_SEC);
 		fake_run(f, fake_random(f, 0, 500) * MS);
@@ -112,7 +112,7 @@
 	scenario_run_into_phase(f, seed);
 	fake_crash(f, fake_random(f, 0, GROUP_SIZE));
 	fake_run(f, 9 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -126,23 +126,23 @@
  */
 START_TEST(test_server_listed_in_change)
 {
-	story_check_promises(new_server_in_a_change);
+	scenario_check_guarantees(new_server_in_a_change);
 }
 END_TEST
 
 /* The same after the promotion call, when the change can't be abandoned. */
 START_TEST(test_server_listed_after_promotion_call)
 {
-	story_check_promises(new_server_after_promotion_call);
+	scenario_check_guarantees(new_server_after_promotion_call);
 }
 END_TEST
 
-/* Without the guard doubt_newcomers the checker finds that fault. */
+/* Without the guard distrust_newly_listed the checker finds that fault. */
 START_TEST(test_checker_finds_new_servers_confirmation)
 {
 	scenario_check_guard_is_needed(new_server_after_promotion_call,
 				       offsetof(struct relay_guards,
-						doubt_newcomers));
+						distrust_newly_listed));
 }
 END_TEST
 
@@ -152,7 +152,7 @@
  */
 START_TEST(test_server_that_coordinator_learns_late)
 {
-	story_check_promises(new_server_that_coordinator_learns_late);
+	scenario_check_guarantees(new_server_that_coordinator_learns_late);
 }
 END_TEST
 
@@ -163,7 +163,7 @@
  */
 START_TEST(test_server_never_paused)
 {
-	story_check_promises(new_server_just_before_the_pauses);
+	scenario_check_guarantees(new_server_just_before_the_pauses);
 }
 END_TEST
 
@@ -182,14 +182,14 @@
  */
 START_TEST(test_pause_lost_with_server_id)
 {
-	story_check_promises(paused_replica_returns_with_new_id);
+	scenario_check_guarantees(paused_replica_returns_with_new_id);
 }
 END_TEST
 
 /* All servers are replaced as planned, and one more crashes. */
 START_TEST(test_planned_replacement_of_all_servers)
 {
-	story_check_promises(planned_replacement_of_all_servers);
+	scenario_check_guarantees(planned_replacement_of_all_servers);
 }
 END_TEST
 
--- a/packages/relay/tests/test_overload.c
+++ b/packages/relay/tests/test_overload.c
@@ -11,7 +11,8 @@
 /* Statements that the primary's slots can run in LOAD_US. */
 #define CAPACITY (FAKE_SLOTS * LOAD_US / WORK_US)
 
-static unsigned n_in_time; /* statements that succeeded within FAKE_AIM_US */
+static unsigned
+	n_in_time; /* statements that succeeded within FAKE_LATENCY_TARGET_US */
 static uint64_t pause_us; /* mean pause of a caller between two statements */
 
 static void next_operation_event(struct fake *f, void *data);
@@ -20,7 +21,8 @@
 {
 	struct hist_session *s = data;
 
-	if (s->told == RELAY_OK && f->now_us <= s->begun_us + FAKE_AIM_US)
+	if (s->told == RELAY_OK &&
+	    f->now_us <= s->begun_us + FAKE_LATENCY_TARGET_US)
 		n_in_time++;
 	fake_at(f, -1, fake_random(f, pause_us / 2, pause_us * 3 / 2),
 		next_operation_event, s, NULL);
--- a/packages/relay/tests/test_rank.c
+++ b/packages/relay/tests/test_rank.c
@@ -104,8 +104,8 @@
 		is_home |= !strcmp(expected[i], names[SELF]);
 	ck_assert_uint_eq(n, 20);
 	ck_assert_int_eq(v->is_home, is_home);
-	check_names(rrl_homes(v), expected, 16);
-	check_names(rrl_spares(v), expected + 16, 4);
+	check_names(role_homes(v), expected, 16);
+	check_names(role_spares(v), expected + 16, 4);
 }
 
 /*
@@ -152,12 +152,12 @@
 		listed[i] = true;
 	name_all(f);
 	configure(f, 1);
-	ck_assert(relay_takes_peers(r, PROXIES, f->now_us));
+	ck_assert(relay_wants_peers(r, PROXIES, f->now_us));
 	give_list(f, listed);
-	ck_assert(!relay_takes_peers(r, PROXIES - 1, f->now_us + 100 * MS));
-	ck_assert(relay_takes_peers(r, PROXIES / 2, f->now_us + 100 * MS));
-	ck_assert(relay_takes_peers(r, PROXIES * 2, f->now_us + 100 * MS));
-	ck_assert(relay_takes_peers(r, PROXIES - 1, f->now_us + 200 * MS));
+	ck_assert(!relay_wants_peers(r, PROXIES - 1, f->now_us + 100 * MS));
+	ck_assert(relay_wants_peers(r, PROXIES / 2, f->now_us + 100 * MS));
+	ck_assert(relay_wants_peers(r, PROXIES * 2, f->now_us + 100 * MS));
+	ck_assert(relay_wants_peers(r, PROXIES - 1, f->now_us + 200 * MS));
 	fake_destroy(f);
 }
 END_TEST
@@ -258,9 +258,9 @@
 	relay_on_peers(r, moved, 2, f->now_us);
 	moved[1].host = (char *)"127.0.0.2";
 	relay_on_peers(r, moved, 2, f->now_us);
-	ck_assert_str_eq(rpr_find(r, names[2])->host, "127.0.0.2");
-	ck_assert_str_eq(rpr_find(r, names[1])->host, "127.0.0.1");
-	ck_assert_ptr_null(rpr_find(r, names[SELF]));
+	ck_assert_str_eq(peers_find(r, names[2])->host, "127.0.0.2");
+	ck_assert_str_eq(peers_find(r, names[1])->host, "127.0.0.1");
+	ck_assert_ptr_null(peers_find(r, names[SELF]));
 	fake_destroy(f);
 }
 END_TEST
@@ -289,8 +289,8 @@
 	configure(f, homes[_i][0]);
 	give_list(f, listed);
 	v = g_hash_table_lookup(f->relays[0].relay->services, "group0");
-	ck_assert_uint_eq(rrl_homes(v)->len + v->is_home, homes[_i][1]);
-	ck_assert_uint_eq(rrl_spares(v)->len, 4);
+	ck_assert_uint_eq(role_homes(v)->len + v->is_home, homes[_i][1]);
+	ck_assert_uint_eq(role_spares(v)->len, 4);
 	fake_destroy(f);
 }
 END_TEST
--- a/packages/relay/tests/test_reborn.c
+++ b/packages/relay/tests/test_reborn.c
@@ -32,9 +32,10 @@
 	for (i = 0; i < N_RELAYS; i++) {
 		struct relay_guards *g = relay_guards_of(f->relays[i].relay);
 
-		g->doubt_reborn = guard;
-		/* It asks all replicas, which hides doubt_reborn's effect. */
-		g->doubt_unpaused = guard;
+		g->distrust_restarted = guard;
+		/* It asks all replicas, which hides distrust_restarted's
+		 * effect. */
+		g->distrust_unpaused = guard;
 	}
 	fake_run(f, USEC_PER_SEC);
 	for (i = 0; i < N_RELAYS; i++) {
@@ -52,7 +53,7 @@
 	unsigned acked;
 	char *wrong;
 
-	f->relays[1].list_held = false;
+	f->relays[1].drop_lists = false;
 	fake_heal(f);
 	fake_run(f, 8 * USEC_PER_SEC);
 	acked = hist_acknowledged(f);
@@ -88,8 +89,8 @@
 		fake_run(f, MS);
 }
 
-static const enum rphase phases[] = { PHASE_FENCE, PHASE_HOLD, PHASE_PROMOTE,
-				      PHASE_SETTLE };
+static const enum rphase phases[] = { PHASE_FENCE, PHASE_LEASE_EXPIRY,
+				      PHASE_PROMOTE, PHASE_AWAIT_PRIMARY };
 
 /*
  * The primary is cut off from two proxies of three, which replace it; one
@@ -100,13 +101,13 @@
 {
 	struct fake *f = start(seed, guard);
 
-	f->promote_us = 300 * MS + seed % 5 * 100 * MS;
+	f->promote_duration_us = 300 * MS + seed % 5 * 100 * MS;
 	fake_cut(f, 0, 0, true);
 	fake_cut(f, 2, 0, true);
 	run_until(f, phases[seed % G_N_ELEMENTS(phases)]);
 	fake_run(f, fake_random(f, 0, 200) * MS);
-	f->relays[1].list_held = seed / 8 % 2;
-	fake_reborn(f, 1 + seed / 4 % 2, true);
+	f->relays[1].drop_lists = seed / 8 % 2;
+	fake_restart_at_once(f, 1 + seed / 4 % 2, true);
 	fake_run(f, 4 * USEC_PER_SEC);
 	return end(f);
 }
@@ -116,14 +117,14 @@
 {
 	struct fake *f = start(seed, guard);
 
-	f->promote_us = 300 * MS + seed % 5 * 100 * MS;
+	f->promote_duration_us = 300 * MS + seed % 5 * 100 * MS;
 	f->servers[1].lag_us = f->servers[2].lag_us = 100 * MS;
 	f->servers[0].leaving = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	while (f->servers[0].role == ROLE_PRIMARY)
 		fake_run(f, MS);
 	fake_run(f, fake_random(f, 0, 400) * MS);
-	fake_reborn(f, 0, true);
+	fake_restart_at_once(f, 0, true);
 	fake_run(f, 4 * USEC_PER_SEC);
 	return end(f);
 }
@@ -135,7 +136,7 @@
 
 	f->servers[1].lag_us = f->servers[2].lag_us = 10 * MS;
 	fake_run(f, fake_random(f, 0, 400) * MS);
-	fake_reborn(f, 0, false);
+	fake_restart_at_once(f, 0, false);
 	fake_run(f, 8 * USEC_PER_SEC);
 	return end(f);
 }
--- a/packages/relay/tests/test_returns.c
+++ b/packages/relay/tests/test_returns.c
@@ -11,9 +11,9 @@
 
 static struct fake *start(uint32_t seed)
 {
-	struct fake *f = story_start(seed, 6 * USEC_PER_SEC);
+	struct fake *f = scenario_start(seed, 6 * USEC_PER_SEC);
 
-	story_callers_come(f);
+	scenario_open_callers(f);
 	fake_run(f, USEC_PER_SEC);
 	return f;
 }
@@ -23,10 +23,11 @@
 {
 	int i;
 
-	for (i = 0; i < STORY_RELAYS; i++) {
-		enum rphase phase = story_service(f, (unsigned)i)->phase;
+	for (i = 0; i < SCENARIO_RELAYS; i++) {
+		enum rphase phase = scenario_service(f, (unsigned)i)->phase;
 
-		if (i != but && (phase == PHASE_HOLD || phase == PHASE_FENCE))
+		if (i != but &&
+		    (phase == PHASE_LEASE_EXPIRY || phase == PHASE_FENCE))
 			return true;
 	}
 	return false;
@@ -38,18 +39,18 @@
 	unsigned ms = 0;
 	int changer;
 
-	f->promote_late_us = (2600 + seed % 6 * 100) * MS;
-	f->promote_us = 700 * MS;
+	f->promote_call_delay_us = (2600 + seed % 6 * 100) * MS;
+	f->promote_duration_us = 700 * MS;
 	fake_crash(f, 0);
-	changer = story_run_until(f, PHASE_PROMOTE);
+	changer = scenario_run_until(f, PHASE_PROMOTE);
 	if (changer >= 0)
-		fake_freeze(f, (unsigned)changer, FREEZE_US);
+		fake_suspend_relay(f, (unsigned)changer, FREEZE_US);
 	while (!any_other_is_fencing(f, changer) && ms++ < 6000)
 		fake_run(f, MS);
 	fake_run(f, seed % 10 * 10 * MS);
-	fake_return(f, 0);
+	fake_rejoin_with_new_id(f, 0);
 	fake_run(f, FREEZE_US);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -60,44 +61,46 @@
 static char *replica_that_is_relisted(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	unsigned i, changer = seed % STORY_RELAYS, ms = 0;
+	unsigned i, changer = seed % SCENARIO_RELAYS, ms = 0;
 
-	f->promote_us = 300 * MS;
-	for (i = 0; i < STORY_RELAYS; i++)
+	f->promote_duration_us = 300 * MS;
+	for (i = 0; i < SCENARIO_RELAYS; i++)
 		if (i != changer)
-			f->relays[i].list_lag_us = (100 + seed % 5 * 100) * MS;
+			f->relays[i].list_delay_us =
+				(100 + seed % 5 * 100) * MS;
 	fake_cut(f, changer, 0, true);
 	fake_run(f, 3000 * MS);
 	fake_cut(f, changer, 2, true);
 	f->servers[2].listed = false;
-	fake_list(f);
-	while (story_service(f, changer)->phase != PHASE_HOLD && ms++ < 20000)
+	fake_publish_lists(f);
+	while (scenario_service(f, changer)->phase != PHASE_LEASE_EXPIRY &&
+	       ms++ < 20000)
 		fake_run(f, MS);
 	fake_run(f, 12 * MS);
-	for (i = 0; i < STORY_RELAYS; i++)
-		f->relays[i].list_lag_us = i == changer ? 1000 * MS : 0;
+	for (i = 0; i < SCENARIO_RELAYS; i++)
+		f->relays[i].list_delay_us = i == changer ? 1000 * MS : 0;
 	f->servers[2].listed = true;
-	fake_list(f);
+	fake_publish_lists(f);
 	fake_run(f, 6 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *lone_primary_without_the_store(uint32_t seed)
 {
 	struct fake *f = start(seed);
-	unsigned i, last = STORY_RELAYS - 1;
+	unsigned i, last = SCENARIO_RELAYS - 1;
 
-	f->promote_us = 300 * MS;
+	f->promote_duration_us = 300 * MS;
 	fake_crash(f, 1);
 	fake_crash(f, 2);
 	fake_run(f, 10 * USEC_PER_SEC);
 	f->relays[last].deaf = true;
-	f->relays[last].list_held = true;
+	f->relays[last].drop_lists = true;
 	for (i = 0; i < last; i++)
 		fake_cut(f, i, 0, true);
 	fake_restart(f, 1);
 	fake_run(f, 14 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 static char *target_that_restarts(uint32_t seed)
@@ -106,15 +109,15 @@
 
 	fake_crash(f, 2);
 	fake_run(f, 10 * USEC_PER_SEC);
-	f->promote_us = 1000 * MS;
+	f->promote_duration_us = 1000 * MS;
 	fake_crash(f, 0);
-	story_run_until(f, PHASE_PROMOTE);
+	scenario_run_until(f, PHASE_PROMOTE);
 	fake_run(f, 20 * MS);
-	fake_reborn(f, 1, true);
+	fake_restart_at_once(f, 1, true);
 	fake_run(f, seed % 2 * 30 * MS);
 	fake_restart(f, 0);
 	fake_run(f, 6 * USEC_PER_SEC);
-	return story_end(f);
+	return scenario_finish(f);
 }
 
 /*
@@ -124,7 +127,7 @@
  */
 START_TEST(test_an_own_pause_beside_anothers_promotion)
 {
-	story_check_promises(own_pause_beside_anothers_promotion);
+	scenario_check_guarantees(own_pause_beside_anothers_promotion);
 }
 END_TEST
 
@@ -135,7 +138,7 @@
  */
 START_TEST(test_a_replica_that_is_relisted)
 {
-	story_check_promises(replica_that_is_relisted);
+	scenario_check_guarantees(replica_that_is_relisted);
 }
 END_TEST
 
@@ -146,7 +149,7 @@
  */
 START_TEST(test_a_lone_primary_without_the_store)
 {
-	story_check_promises(lone_primary_without_the_store);
+	scenario_check_guarantees(lone_primary_without_the_store);
 }
 END_TEST
 
@@ -156,7 +159,7 @@
  */
 START_TEST(test_a_target_that_restarts)
 {
-	story_check_promises(target_that_restarts);
+	scenario_check_guarantees(target_that_restarts);
 }
 END_TEST
 
--- a/packages/relay/tests/test_routing.c
+++ b/packages/relay/tests/test_routing.c
@@ -153,13 +153,13 @@
 {
 	struct fake *f = start();
 	struct hist_session *s = hist_open(f, 0, 0, RELAY_KIND_BOUNDED);
-	uint64_t until_us = f->now_us + 2 * FAKE_AGE_US;
+	uint64_t until_us = f->now_us + 2 * FAKE_MAX_AGE_US;
 
 	while (f->now_us < until_us)
 		ck_assert_int_eq(hist_run(f, s, RELAY_WRITE, "", "1"),
 				 RELAY_OK);
 	fake_crash(f, 0);
-	until_us = f->now_us + FAKE_AGE_US - 60 * MS;
+	until_us = f->now_us + FAKE_MAX_AGE_US - 60 * MS;
 	while (f->now_us < until_us)
 		ck_assert_int_eq(hist_run(f, s, RELAY_READ, "", "1"), RELAY_OK);
 	ck_assert_ptr_null(fake_primary(f, 0));
@@ -314,8 +314,8 @@
 		relay_server_list_put(list, s->id, info);
 	}
 	if (bad < GROUP_SIZE)
-		relay_server_list_withdraw(list, f->servers[bad].id);
-	relay_server_list_withdraw(list, "nobody");
+		relay_server_list_mark_unusable(list, f->servers[bad].id);
+	relay_server_list_mark_unusable(list, "nobody");
 	relay_server_list_pass(list, f->relays[0].relay, relay_on_servers,
 			       f->now_us);
 	relay_server_list_destroy(list);
@@ -385,7 +385,7 @@
 	struct relay_profile p = { .database = "primary0",
 				   .service = "group0",
 				   .kind = RELAY_KIND_PRIMARY,
-				   .timeout_us = FAKE_LIMIT_US,
+				   .timeout_us = FAKE_STATEMENT_TIMEOUT_US,
 				   .aim_us = target_us };
 
 	relay_catalog_add_service(c, &conf);
--- a/packages/relay/tests/test_sessions.c
+++ b/packages/relay/tests/test_sessions.c
@@ -200,7 +200,7 @@
 	unsigned i, n = f->n_serials;
 
 	for (i = 0; i < 50; i++) {
-		fake_list(f);
+		fake_publish_lists(f);
 		fake_run(f, 20 * MS);
 	}
 	ck_assert_uint_eq(f->n_serials, n);
@@ -217,8 +217,8 @@
 		.database = (char *)database,
 		.service = "group0",
 		.kind = RELAY_KIND_PRIMARY,
-		.timeout_us = FAKE_LIMIT_US,
-		.aim_us = FAKE_LIMIT_US,
+		.timeout_us = FAKE_STATEMENT_TIMEOUT_US,
+		.aim_us = FAKE_STATEMENT_TIMEOUT_US,
 	};
 
 	relay_catalog_add_profile(c, &profile);
--- a/packages/transport/tests/support_kv.c
+++ b/packages/transport/tests/support_kv.c
@@ -386,7 +386,7 @@
 	p->asks_once = true;
 	p->n_missing++;
 	if (p->decides)
-		feed_source_on_missing(p->decides);
+		feed_source_on_value_missing(p->decides);
 }
 
 static void on_first_page(void *ctx)
