--- a/packages/core/src/fresh.c
+++ b/packages/core/src/fresh.c
@@ -5,31 +5,36 @@
 #include <glib.h>
 #include <stdlib.h>
 
-#define LAG_SMOOTHING 8
-/* What has been missing for long is expected to be for this part longer. */
-#define MISSING_PART 4
+/* A lower lag moves the smoothed one by an eighth of the difference. */
+#define LAG_SMOOTHING_DIVISOR 8
+/*
+ * Data that has been missing for some time is expected to be missing for at
+ * least a quarter of that time more.
+ */
+#define MISSING_DIVISOR 4
 
 struct fresh_server {
 	bool known;
 	struct server_status status;
-	uint64_t started_us; /* of the probe that gave the status */
-	uint64_t granted; /* the highest term ever reported granted */
-	uint64_t granted_us; /* start of the last probe that reported it */
-	uint64_t clear_us; /* same, of one without a grant above the term */
-	uint64_t lag_us; /* smoothed, while behind */
-	/* The last entry of its log, shown before any higher grant. */
+	uint64_t started_us; /* start of the probe that returned the status */
+	uint64_t granted; /* highest term ever reported as granted */
+	uint64_t granted_seen_at_us; /* start of the last probe reporting it */
+	/* Start of the last probe that reported no grant above the term. */
+	uint64_t no_higher_grant_at_us;
+	uint64_t lag_us; /* smoothed lag while it is behind the primary */
+	/* The last entry of its log before it granted a higher term. */
 	struct position proof;
 };
 
 struct fresh {
 	unsigned n_servers;
 	struct fresh_server *servers;
-	uint64_t term; /* the highest that had a primary, as far as seen */
-	uint64_t confirmed_us;
-	struct fresh_samples samples;
+	uint64_t term; /* highest term that had a primary, as far as seen */
+	uint64_t confirmed_until_us; /* see fresh_confirmed_us() */
+	struct fresh_samples samples; /* positions of that term's primary */
 };
 
-/* Nothing is known of the servers; n_servers is the group's whole size. */
+/* n_servers counts all servers of the group, reachable or not. */
 struct fresh *fresh_create(unsigned n_servers)
 {
 	struct fresh *f;
@@ -41,7 +46,6 @@
 	return f;
 }
 
-/* Frees. */
 void fresh_destroy(struct fresh *f)
 {
 	if (!f)
@@ -69,38 +73,44 @@
 }
 
 /*
- * The latest time from which on a majority was found without a grant above
- * the term. No write of a higher term was acknowledged before it: that needs a
- * primary with grants of a majority, and the two majorities share a server.
+ * Raises confirmed_until_us to the latest time s such that probes started at s
+ * or later found a majority without a grant above the term. No write of a
+ * higher term was acknowledged before s: that needs a primary with grants of a
+ * majority, and the two majorities share a server.
  */
-static void update_confirmed(struct fresh *f)
+static void update_confirmed_until(struct fresh *f)
 {
 	uint64_t clear[FRESH_MAX_SERVERS] = { 0 };
 	unsigned i;
 
 	for (i = 0; i < f->n_servers; i++)
-		clear[i] = f->servers[i].clear_us;
+		clear[i] = f->servers[i].no_higher_grant_at_us;
 	qsort(clear, f->n_servers, sizeof(clear[0]), compare_newest);
-	if (clear[majority(f) - 1] <= f->confirmed_us)
+	if (clear[majority(f) - 1] <= f->confirmed_until_us)
 		return;
-	f->confirmed_us = clear[majority(f) - 1];
-	fresh_samples_prune(&f->samples, f->confirmed_us);
+	f->confirmed_until_us = clear[majority(f) - 1];
+	fresh_samples_prune(&f->samples, f->confirmed_until_us);
 }
 
-/* A higher term had a primary: what was confirmed before stays true. */
+/*
+ * A higher term had a primary. Samples up to confirmed_until_us stay valid,
+ * later ones are dropped.
+ */
 static void raise_term(struct fresh *f, uint64_t term)
 {
 	unsigned i;
 
 	if (term <= f->term)
 		return;
-	fresh_samples_drop_after(&f->samples, f->confirmed_us);
+	fresh_samples_drop_after(&f->samples, f->confirmed_until_us);
 	f->term = term;
 	for (i = 0; i < f->n_servers; i++) {
 		struct fresh_server *sv = &f->servers[i];
 
 		if (sv->granted <= term)
-			sv->clear_us = MAX(sv->clear_us, sv->granted_us);
+			sv->no_higher_grant_at_us =
+				MAX(sv->no_higher_grant_at_us,
+				    sv->granted_seen_at_us);
 	}
 }
 
@@ -109,18 +119,20 @@
 {
 	if (granted > sv->granted) {
 		sv->granted = granted;
-		sv->granted_us = started_us;
+		sv->granted_seen_at_us = started_us;
 	} else if (granted == sv->granted) {
-		sv->granted_us = MAX(sv->granted_us, started_us);
+		sv->granted_seen_at_us =
+			MAX(sv->granted_seen_at_us, started_us);
 	}
 	if (granted <= f->term)
-		sv->clear_us = MAX(sv->clear_us, started_us);
+		sv->no_higher_grant_at_us =
+			MAX(sv->no_higher_grant_at_us, started_us);
 }
 
 /*
- * What a log held before its server granted a higher term was there for every
- * later promotion to find. What it shows after may have come from a later
- * primary and is no proof, see fresh_majority_has().
+ * What a log held before its server granted a higher term is seen by every
+ * later promotion. What it holds after the grant may come from a later primary
+ * and proves nothing, see fresh_majority_has().
  */
 static void note_proof(struct fresh_server *sv, const struct server_status *s)
 {
@@ -130,24 +142,27 @@
 		sv->proof = last;
 }
 
-/* A replica's lag shows only while it is behind; else the last one stays. */
+/*
+ * A replica's lag can be measured only while it is behind; otherwise the last
+ * value is kept.
+ */
 static void note_lag(const struct fresh *f, struct fresh_server *sv,
 		     uint64_t started_us)
 {
-	uint64_t past_us =
-		fresh_samples_first_past_us(&f->samples, sv->status.applied);
+	uint64_t passed_at_us =
+		fresh_samples_passed_at_us(&f->samples, sv->status.applied);
 	uint64_t lag_us;
 
-	if (!past_us || past_us >= started_us)
+	if (!passed_at_us || passed_at_us >= started_us)
 		return;
-	lag_us = started_us - past_us;
+	lag_us = started_us - passed_at_us;
 	if (lag_us > sv->lag_us)
 		sv->lag_us = lag_us;
 	else
-		sv->lag_us -= (sv->lag_us - lag_us) / LAG_SMOOTHING;
+		sv->lag_us -= (sv->lag_us - lag_us) / LAG_SMOOTHING_DIVISOR;
 }
 
-/* Whether a status was surely given before the one that is known. */
+/* Whether a status is certainly older than the known one. */
 static bool status_is_older(const struct fresh_server *sv, uint64_t started_us,
 			    const struct server_status *status)
 {
@@ -156,10 +171,10 @@
 }
 
 /*
- * Takes a server's status in. started_us is when the probe was sent, by the
- * same clock as all other times. A status that came late proves what it says
- * of its time; it does not replace a newer one. Otherwise a server is taken at
- * its word, also where its log is shorter than before.
+ * Processes a server's status. started_us is when the probe was sent, by the
+ * same clock as all other times. A late status is still evidence of the
+ * server's state at that time, but does not replace a newer one. Otherwise the
+ * status is believed, even if the log is shorter than before.
  */
 void fresh_on_status(struct fresh *f, unsigned server, uint64_t started_us,
 		     const struct server_status *status)
@@ -183,13 +198,14 @@
 						     status->received });
 	else if (sv->status.role == ROLE_REPLICA)
 		note_lag(f, sv, started_us);
-	update_confirmed(f);
+	update_confirmed_until(f);
 }
 
 /*
- * Raises what the server is known to have applied, from an answer that a
- * connection gave. Of a replica only positions up to its known end count: the
- * answer may have been under way while its tail was removed.
+ * Raises the position that the server is known to have applied, by an answer on
+ * one of its connections. For a replica, only positions up to the known end of
+ * its log count: the end of the log may have been truncated while the answer
+ * was on its way.
  */
 void fresh_on_applied(struct fresh *f, unsigned server, struct position p)
 {
@@ -201,7 +217,7 @@
 	if (s->role == ROLE_PRIMARY && p.term == s->term) {
 		s->received = MAX(s->received, p.index);
 		s->applied = s->received;
-		/* It commits nothing once fenced, so it was there before. */
+		/* A fenced primary commits nothing, so p precedes the fence. */
 		if (position_is_before(sv->proof, p))
 			sv->proof = p;
 	} else if (p.index <= s->received) {
@@ -210,8 +226,8 @@
 }
 
 /*
- * Forgets the server's log: it may come back empty or shorter. Its grants stay
- * known, since a server that forgot one would break promises, not keep them.
+ * Forgets the server's log: the server may come back with an empty or shorter
+ * one. Its grants stay known, since a server must never forget a grant.
  */
 void fresh_forget(struct fresh *f, unsigned server)
 {
@@ -222,8 +238,8 @@
 }
 
 /*
- * The highest term that had a primary, unless a majority granted a higher one
- * since; then nothing commits until the next primary stands, and it is 0.
+ * The highest term that had a primary. 0 if a majority has granted a higher one
+ * since: then nothing commits until the next primary is promoted.
  */
 uint64_t fresh_term(const struct fresh *f)
 {
@@ -235,14 +251,14 @@
 	return higher >= majority(f) ? 0 : f->term;
 }
 
-static bool leads(const struct fresh *f, const struct fresh_server *sv)
+static bool is_primary(const struct fresh *f, const struct fresh_server *sv)
 {
 	return sv->known && sv->status.role == ROLE_PRIMARY &&
 	       sv->status.term == f->term && !sv->status.fenced &&
 	       sv->granted <= f->term;
 }
 
-/* The server that leads the present term, -1 when none is known to. */
+/* The primary of the current term, -1 if none is known. */
 int fresh_primary(const struct fresh *f)
 {
 	unsigned i;
@@ -250,15 +266,15 @@
 	if (!fresh_term(f))
 		return -1;
 	for (i = 0; i < f->n_servers; i++) {
-		if (leads(f, &f->servers[i]))
+		if (is_primary(f, &f->servers[i]))
 			return (int)i;
 	}
 	return -1;
 }
 
 /*
- * Whether the server's reads see all of p, in the same history. The primary
- * has every position of its own term, also one that came after its status.
+ * Whether the server's reads see the log up to p, in the same history. The
+ * primary has every position of its own term, even one later than its status.
  */
 bool fresh_has_applied(const struct fresh *f, unsigned server,
 		       struct position p)
@@ -272,15 +288,18 @@
 	return !p.term || sv->status.applied >= p.index;
 }
 
-/* Start of the last confirmed sample that the server covers, 0: none. */
-static uint64_t covered_us(const struct fresh *f, unsigned server)
+/*
+ * Start of the newest confirmed sample whose position the server has applied,
+ * 0: none.
+ */
+static uint64_t newest_covered_at_us(const struct fresh *f, unsigned server)
 {
 	unsigned i;
 
 	for (i = f->samples.count; i > 0; i--) {
 		const struct fresh_sample *s = &f->samples.list[i - 1];
 
-		if (s->started_us <= f->confirmed_us &&
+		if (s->started_us <= f->confirmed_until_us &&
 		    fresh_has_applied(f, server, s->at))
 			return s->started_us;
 	}
@@ -288,9 +307,10 @@
 }
 
 /*
- * Upper bound of the server's age: everything that was acknowledged longer ago
- * is in its reads. The primary's data is as old as its last confirmation, for
- * a later term's writes may be missing. UINT64_MAX: not known.
+ * Upper bound of the age of the server's data: its reads see everything that
+ * was acknowledged longer ago. The age of the primary's data is the time since
+ * it was last confirmed, as writes of a later term may be missing. UINT64_MAX:
+ * not known.
  */
 uint64_t fresh_age_us(const struct fresh *f, unsigned server, uint64_t now_us)
 {
@@ -299,26 +319,26 @@
 	if (!f->servers[server].known)
 		return UINT64_MAX;
 	if (fresh_primary(f) == (int)server)
-		since_us = f->confirmed_us;
+		since_us = f->confirmed_until_us;
 	else
-		since_us = covered_us(f, server);
+		since_us = newest_covered_at_us(f, server);
 	if (!since_us)
 		return UINT64_MAX;
 	return now_us > since_us ? now_us - since_us : 0;
 }
 
-/* The time up to which a majority had granted no term above the present. */
+/* The time until which a majority had granted no term above the current one. */
 uint64_t fresh_confirmed_us(const struct fresh *f)
 {
-	return f->confirmed_us;
+	return f->confirmed_until_us;
 }
 
 /*
- * Whether a server's log shows p in a way that holds for every later term, by
- * an entry of the given term that it received before it granted a higher one.
+ * Whether a server's log proves p for every later term: it has p and received
+ * an entry of the given term, at p or after it, before it granted a higher one.
  */
-static bool proves(const struct fresh_server *sv, uint64_t term,
-		   struct position p)
+static bool proves_survival(const struct fresh_server *sv, uint64_t term,
+			    struct position p)
 {
 	const struct server_status *s = &sv->status;
 
@@ -333,10 +353,11 @@
 
 /*
  * Whether p survives every promotion. A promotion takes the highest (term,
- * position) of a majority of granters, so p is safe when a majority had, before
- * granting anything higher, an entry of one and the same term at p or after it.
- * Copies alone don't do: an entry of an old term that a later primary copied to
- * a majority is still lost to a log that ends in a term between the two.
+ * position) of a majority of granters, so p is safe if a majority had, before
+ * granting a higher term, an entry of one and the same term at p or after it.
+ * Copies of p alone are not enough: an entry of an old term that a later
+ * primary copied to a majority is still lost if a server is promoted whose log
+ * lacks it and ends in a term between the two.
  */
 bool fresh_majority_has(const struct fresh *f, struct position p)
 {
@@ -349,7 +370,7 @@
 		if (term < p.term)
 			continue;
 		for (k = 0; k < f->n_servers; k++)
-			count += proves(&f->servers[k], term, p);
+			count += proves_survival(&f->servers[k], term, p);
 		if (count >= majority(f))
 			return true;
 	}
@@ -357,8 +378,9 @@
 }
 
 /*
- * Whether p can never be in the database's history again: the present term's
- * log went on without it, and that term's first entry survives.
+ * Whether p can never be in the database's history again: the log of the
+ * current term does not contain it, and that term's first entry survives every
+ * promotion.
  */
 bool fresh_lost(const struct fresh *f, struct position p)
 {
@@ -379,35 +401,36 @@
 }
 
 /*
- * Estimate of how long until the server's reads see p and what stood at
- * since_us, by the lag that it showed when it was last behind; 0 when they do,
- * UINT64_MAX when there is nothing to go by.
+ * Estimates the time until the server's reads see p and everything acknowledged
+ * before since_us, by the lag measured when it was last behind. 0 if they see
+ * it already, UINT64_MAX if nothing is known to estimate from.
  */
 uint64_t fresh_catch_up_us(const struct fresh *f, unsigned server,
 			   struct position p, uint64_t since_us,
 			   uint64_t now_us)
 {
-	uint64_t have_us = covered_us(f, server);
-	uint64_t target_us = since_us;
-	uint64_t due_us, missing_us, left_us;
+	uint64_t covered_at_us = newest_covered_at_us(f, server);
+	uint64_t target_at_us = since_us;
+	uint64_t due_at_us, missing_for_us, left_us;
 
-	if (!have_us)
+	if (!covered_at_us)
 		return UINT64_MAX;
 	if (!fresh_has_applied(f, server, p)) {
-		uint64_t past_us =
-			fresh_samples_first_past_us(&f->samples, p.index - 1);
+		uint64_t passed_at_us =
+			fresh_samples_passed_at_us(&f->samples, p.index - 1);
 
-		target_us = MAX(target_us, past_us ? past_us : now_us);
-	} else if (have_us >= since_us) {
+		target_at_us =
+			MAX(target_at_us, passed_at_us ? passed_at_us : now_us);
+	} else if (covered_at_us >= since_us) {
 		return 0;
 	}
-	due_us = target_us + f->servers[server].lag_us;
-	missing_us = now_us > target_us ? now_us - target_us : 0;
-	left_us = due_us > now_us ? due_us - now_us : 0;
-	return MAX(left_us, missing_us / MISSING_PART);
+	due_at_us = target_at_us + f->servers[server].lag_us;
+	missing_for_us = now_us > target_at_us ? now_us - target_at_us : 0;
+	left_us = due_at_us > now_us ? due_at_us - now_us : 0;
+	return MAX(left_us, missing_for_us / MISSING_DIVISOR);
 }
 
-/* The last status of a server, NULL before the first or once forgotten. */
+/* NULL before the first status and after fresh_forget(). */
 const struct server_status *fresh_status(const struct fresh *f, unsigned server)
 {
 	const struct fresh_server *sv = &f->servers[server];
--- a/packages/core/src/fresh_samples.c
+++ b/packages/core/src/fresh_samples.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* In the order of promotions: by term, then by index. */
+/* Whether a is lower than b: by term, then by index. */
 bool position_is_before(struct position a, struct position b)
 {
 	return a.term < b.term || (a.term == b.term && a.index < b.index);
 }
 
-static void drop(struct fresh_samples *s, unsigned i)
+static void remove_at(struct fresh_samples *s, unsigned i)
 {
 	s->count--;
 	memmove(&s->list[i], &s->list[i + 1],
@@ -16,11 +16,11 @@
 }
 
 /*
- * Makes room: drops the sample whose loss costs least, by the gap that it
- * leaves relative to its distance from the newest. So the spacing grows with
- * the age, and a replica that is far behind still has a close bound.
+ * Makes room: drops the sample that leaves the smallest gap in relation to its
+ * distance from the newest one. So the spacing grows in proportion to the age,
+ * and a replica that is far behind still has a tight bound.
  */
-static void thin(struct fresh_samples *s)
+static void drop_cheapest(struct fresh_samples *s)
 {
 	uint64_t newest_us = s->list[s->count - 1].started_us;
 	unsigned best = 1;
@@ -37,17 +37,17 @@
 			best = i;
 		}
 	}
-	drop(s, best);
+	remove_at(s, best);
 }
 
-/* Adds a sample, whose probe may have started before others' that are in. */
+/* Adds a sample; its probe may have started before those of other samples. */
 void fresh_samples_add(struct fresh_samples *s, uint64_t started_us,
 		       struct position at)
 {
 	unsigned i;
 
-	if (s->count == FRESH_SAMPLES_MAX)
-		thin(s);
+	if (s->count == MAX_FRESH_SAMPLES)
+		drop_cheapest(s);
 	i = s->count;
 	while (i > 0 && s->list[i - 1].started_us > started_us) {
 		s->list[i] = s->list[i - 1];
@@ -57,7 +57,7 @@
 	s->count++;
 }
 
-/* Drops the samples that started after a time. */
+/* Drops the samples whose probe started after time_us. */
 void fresh_samples_drop_after(struct fresh_samples *s, uint64_t time_us)
 {
 	while (s->count && s->list[s->count - 1].started_us > time_us)
@@ -65,11 +65,12 @@
 }
 
 /*
- * Drops the samples up to confirmed_us that are of no use beside a later one
- * which asks for no more. When a position was first found stays known, so that
- * an idle primary does not make old positions look new.
+ * Drops each sample up to confirmed_until_us if a later one has the same or a
+ * lower position and so gives a better bound. The kept sample takes over when
+ * its position was first seen, so that an idle primary does not make old
+ * positions look new.
  */
-void fresh_samples_prune(struct fresh_samples *s, uint64_t confirmed_us)
+void fresh_samples_prune(struct fresh_samples *s, uint64_t confirmed_until_us)
 {
 	struct fresh_sample *kept = NULL;
 	unsigned i;
@@ -77,28 +78,28 @@
 	for (i = s->count; i > 0; i--) {
 		struct fresh_sample *p = &s->list[i - 1];
 
-		if (p->started_us > confirmed_us)
+		if (p->started_us > confirmed_until_us)
 			continue;
 		if (!kept || position_is_before(p->at, kept->at)) {
 			kept = p;
 			continue;
 		}
 		if (p->at.index == kept->at.index)
-			kept->first_us = p->first_us;
-		drop(s, i - 1);
+			kept->first_seen_at_us = p->first_seen_at_us;
+		remove_at(s, i - 1);
 		kept--;
 	}
 }
 
-/* Start of the first probe that found more than an index, 0: none did. */
-uint64_t fresh_samples_first_past_us(const struct fresh_samples *s,
-				     uint64_t index)
+/* Start of the first probe that found the log past the index, 0: none did. */
+uint64_t fresh_samples_passed_at_us(const struct fresh_samples *s,
+				    uint64_t index)
 {
 	unsigned i;
 
 	for (i = 0; i < s->count; i++) {
 		if (s->list[i].at.index > index)
-			return s->list[i].first_us;
+			return s->list[i].first_seen_at_us;
 	}
 	return 0;
 }
