--- a/packages/core/src/conn_pool.c
+++ b/packages/core/src/conn_pool.c
@@ -1,8 +1,8 @@
 #include "conn_pool.h"
 
-/* A step of the pool's own has at most so many parameters. */
-#define MAX_OWN_PARAMS 8
-#define TEXT_BLOCK 512
+/* Maximum parameters of a step whose parameters the pool allocates. */
+#define MAX_STEP_PARAMS 8
+#define TEXT_CHUNK_BYTES 512
 
 struct conn_pool {
 	struct upstream *upstream;
@@ -10,16 +10,16 @@
 	const struct conn_events *events;
 	void *ctx;
 	GHashTable *conns; /* id -> struct conn */
-	uint64_t prefix; /* upper half of all its ids */
-	uint32_t last; /* lower half of the newest id */
-	bool close_on_timeout;
+	uint64_t id_prefix; /* upper 32 bits of all its connections' ids */
+	uint32_t last_sequence; /* lower 32 bits of the newest id */
+	bool close_on_timeout; /* true except in tests */
 };
 
 /*
- * The ids of two pools on the same upstream must differ; the upper half
- * numbers the pools of the process.
+ * The ids of two pools on the same upstream must differ, so their upper half
+ * is the number of the pool within the process.
  */
-static uint64_t next_prefix(void)
+static uint64_t next_id_prefix(void)
 {
 	static uint32_t pools;
 
@@ -34,7 +34,7 @@
 	g_free(c);
 }
 
-/* An empty table; the events are told with ctx. */
+/* Creates an empty pool; ctx is passed to the events. */
 struct conn_pool *conn_pool_create(struct upstream *upstream,
 				   const struct upstream_ops *ops,
 				   const struct conn_events *events, void *ctx)
@@ -46,13 +46,13 @@
 	pool->events = events;
 	pool->ctx = ctx;
 	pool->conns = g_hash_table_new(g_int64_hash, g_int64_equal);
-	pool->prefix = next_prefix();
+	pool->id_prefix = next_id_prefix();
 	pool->close_on_timeout = true;
 	return pool;
 }
 
-/* Takes a connection out of the table and frees it. */
-static void forget(struct conn *c)
+/* Removes a connection from the pool and frees it. */
+static void remove_conn(struct conn *c)
 {
 	struct conn_pool *pool = c->pool;
 
@@ -61,7 +61,7 @@
 	conn_free(c);
 }
 
-/* Closes all connections; nobody is told. */
+/* Closes all connections, without events or calls of done functions. */
 void conn_pool_destroy(struct conn_pool *pool)
 {
 	GHashTableIter iter;
@@ -78,13 +78,13 @@
 	g_free(pool);
 }
 
-/* Lets a test see what the closing guards against. */
+/* Lets a test show what closing on timeout guards against. */
 void conn_pool_set_close_on_timeout(struct conn_pool *pool, bool close)
 {
 	pool->close_on_timeout = close;
 }
 
-/* Starts to open a connection; events->opened() tells how it went. */
+/* Starts to open a connection; events->opened() reports the result. */
 struct conn *conn_pool_open(struct conn_pool *pool, struct server *server,
 			    enum conn_role role,
 			    const struct upstream_target *target,
@@ -92,7 +92,7 @@
 {
 	struct conn *c = g_new0(struct conn, 1);
 
-	c->id = pool->prefix | ++pool->last;
+	c->id = pool->id_prefix | ++pool->last_sequence;
 	c->pool = pool;
 	c->server = server;
 	c->role = role;
@@ -101,17 +101,17 @@
 	c->deadline_us = now_us + timeout_us;
 	c->steps = g_array_new(FALSE, TRUE, sizeof(struct upstream_step));
 	c->params = g_ptr_array_new_with_free_func(g_free);
-	c->text = g_string_chunk_new(TEXT_BLOCK);
+	c->text = g_string_chunk_new(TEXT_CHUNK_BYTES);
 	c->link.data = c;
 	g_hash_table_insert(pool->conns, &c->id, c);
 	pool->ops->open(pool->upstream, c->id, target, timeout_us);
 	return c;
 }
 
-/* Whether the id was given out by this pool, now or earlier. */
+/* Whether the id was assigned by this pool, even if it is closed by now. */
 bool conn_pool_owns(const struct conn_pool *pool, conn_id id)
 {
-	return (id >> 32) << 32 == pool->prefix;
+	return (id >> 32) << 32 == pool->id_prefix;
 }
 
 static struct conn *find(const struct conn_pool *pool, conn_id id)
@@ -119,7 +119,7 @@
 	return g_hash_table_lookup(pool->conns, &id);
 }
 
-/* An opening ended; err NULL: well. */
+/* An opening ended; err NULL: it succeeded. */
 void conn_pool_on_opened(struct conn_pool *pool, conn_id id,
 			 const struct err *err, uint64_t now_us)
 {
@@ -131,14 +131,14 @@
 	c->state = err && err->code ? CONN_GONE : CONN_IDLE;
 	if (c->state == CONN_GONE) {
 		pool->events->opened(pool->ctx, c, err, now_us);
-		forget(c);
+		remove_conn(c);
 		return;
 	}
 	c->heard_us = now_us;
 	pool->events->opened(pool->ctx, c, NULL, now_us);
 }
 
-/* Calls the done function of the run in flight, once. */
+/* Ends the run in flight and calls its done function. */
 static void finish(struct conn *c, struct upstream_result *result,
 		   uint64_t now_us)
 {
@@ -153,8 +153,8 @@
 }
 
 /*
- * A run is over. An id that is not in the table any more belongs to a
- * connection that was closed: its answer is late and is dropped.
+ * A run has ended. An id that is not in the pool any more belongs to a closed
+ * connection: its late answer is dropped.
  */
 void conn_pool_on_done(struct conn_pool *pool, conn_id id,
 		       struct upstream_result *result, uint64_t now_us)
@@ -171,7 +171,7 @@
 		conn_close(c);
 }
 
-/* A connection broke; with a run in flight that run fails. */
+/* A connection broke; a run in flight or an opening fails. */
 void conn_pool_on_lost(struct conn_pool *pool, conn_id id,
 		       const struct err *err, uint64_t now_us)
 {
@@ -190,12 +190,12 @@
 	}
 	c->state = CONN_GONE;
 	pool->events->lost(pool->ctx, c, err, now_us);
-	forget(c);
+	remove_conn(c);
 }
 
 /*
- * One connection is past its deadline. It is closed before its user is told:
- * the server may still answer, and that answer belongs to nobody then.
+ * A connection is past its deadline. It is closed before its user is notified:
+ * the server may still answer, and no request waits for that answer any more.
  */
 static void expire(struct conn *c, uint64_t now_us)
 {
@@ -217,11 +217,12 @@
 	pool->events->silent(pool->ctx, c, now_us);
 	finish(c, &result, now_us);
 	if (pool->close_on_timeout && find(pool, id))
-		forget(c);
+		remove_conn(c);
 }
 
-/* The one that is past its deadline for longest, of equals the oldest. */
-static struct conn *first_due(const struct conn_pool *pool, uint64_t now_us)
+/* The connection with the earliest passed deadline, the oldest of equals. */
+static struct conn *find_most_overdue(const struct conn_pool *pool,
+				      uint64_t now_us)
 {
 	struct conn *due = NULL;
 	GHashTableIter iter;
@@ -245,12 +246,12 @@
 {
 	struct conn *due;
 
-	/* A user's answer to an expiry may change the table: begin anew. */
-	while ((due = first_due(pool, now_us)))
+	/* A user's callback may change the pool, so search it anew. */
+	while ((due = find_most_overdue(pool, now_us)))
 		expire(due, now_us);
 }
 
-/* When the next connection is past its deadline. */
+/* The earliest deadline of all connections. */
 uint64_t conn_pool_next_us(const struct conn_pool *pool)
 {
 	uint64_t next_us = UINT64_MAX;
@@ -263,13 +264,13 @@
 	return next_us;
 }
 
-/* How many there are, those being opened included. */
+/* Number of connections, including those being opened. */
 unsigned conn_pool_count(const struct conn_pool *pool)
 {
 	return g_hash_table_size(pool->conns);
 }
 
-/* Begins to build a run on an idle connection. */
+/* Starts to build a run on an idle connection. */
 void conn_begin(struct conn *c)
 {
 	g_assert(c->state == CONN_IDLE);
@@ -278,7 +279,7 @@
 	g_string_chunk_clear(c->text);
 }
 
-/* Adds a step; the text must live until the run is over. */
+/* Adds a step; sql must stay valid until the run has ended. */
 void conn_step(struct conn *c, struct str sql, bool keep_rows)
 {
 	struct upstream_step step = { .sql = sql, .keep_rows = keep_rows };
@@ -286,7 +287,10 @@
 	g_array_append_val(c->steps, step);
 }
 
-/* Adds a caller's statement, whose rows are kept. */
+/*
+ * Adds a caller's statement as a step whose rows are kept. The statement must
+ * stay valid until the run has ended.
+ */
 void conn_statement(struct conn *c, const struct statement *statement)
 {
 	struct upstream_step step = {
@@ -306,11 +310,11 @@
 	struct value *params = (struct value *)step->params;
 
 	if (!params) {
-		params = g_new0(struct value, MAX_OWN_PARAMS);
+		params = g_new0(struct value, MAX_STEP_PARAMS);
 		g_ptr_array_add(c->params, params);
 		step->params = params;
 	}
-	g_assert(step->n_params < MAX_OWN_PARAMS);
+	g_assert(step->n_params < MAX_STEP_PARAMS);
 	params[step->n_params++] = value;
 }
 
@@ -335,8 +339,8 @@
 }
 
 /*
- * Sends the run that was built. done() is called once, from an event or from
- * conn_pool_expire(), unless the connection is closed before.
+ * Sends the run that was built. done() is called once, from an upstream event
+ * or from conn_pool_expire(), unless the connection is closed before that.
  */
 void conn_send(struct conn *c, uint64_t max_bytes, uint64_t timeout_us,
 	       conn_done_fn done, void *user, uint64_t now_us)
@@ -348,15 +352,18 @@
 	c->user = user;
 	c->started_us = now_us;
 	c->deadline_us = now_us + timeout_us;
-	/* The deadline is the pool's own, on the clock that is handed in. */
+	/*
+	 * No time limit for the upstream: the pool checks the deadline by the
+	 * clock of its now_us arguments.
+	 */
 	pool->ops->run(pool->upstream, c->id,
 		       (const struct upstream_step *)(void *)c->steps->data,
 		       c->steps->len, max_bytes, 0);
 }
 
-/* Closes at once. */
+/* Closes at once, without calling a done function. */
 void conn_close(struct conn *c)
 {
 	c->pool->ops->close(c->pool->upstream, c->id);
-	forget(c);
+	remove_conn(c);
 }
--- a/packages/core/src/outcome.c
+++ b/packages/core/src/outcome.c
@@ -4,11 +4,11 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* How every element of a "results" list begins. */
+/* Beginning of every element of a "results" list. */
 #define ELEMENT_START "{\"columns\":"
-#define AFFECTED "rows_affected"
+#define ROWS_AFFECTED "rows_affected"
 
-/* "<length of the caller's name>:<name>/<key>" */
+/* Format: "<length of the caller's name>:<name>/<key>" */
 char *outcome_key(struct str caller, struct str key)
 {
 	char len[STR_U64_SIZE];
@@ -21,8 +21,9 @@
 }
 
 /*
- * "<length>:<name>:transaction:<id>", which no outcome_key() gives. A long
- * transaction commits at most once, whatever keys its commit requests carry.
+ * Format: "<length>:<name>:transaction:<id>", which outcome_key() never
+ * returns. A long transaction commits at most once, whatever keys its commit
+ * requests have.
  */
 char *outcome_transaction_key(struct str caller, struct str transaction)
 {
@@ -50,7 +51,7 @@
 						     NULL;
 }
 
-static JsonObject *element(JsonArray *list, unsigned i)
+static JsonObject *get_element(JsonArray *list, unsigned i)
 {
 	JsonNode *node = NULL;
 
@@ -61,13 +62,15 @@
 		       NULL;
 }
 
-static int64_t affected(JsonObject *o)
+static int64_t get_rows_affected(JsonObject *o)
 {
-	return o ? json_object_get_int_member_with_default(o, AFFECTED, 0) : 0;
+	return o ? json_object_get_int_member_with_default(o, ROWS_AFFECTED,
+							   0) :
+		   0;
 }
 
-/* The results without rows. */
-static GString *without_rows(const GString *results)
+/* The list with only the number of rows affected in each element. */
+static GString *strip_rows(const GString *results)
 {
 	JsonParser *parser = json_parser_new();
 	JsonArray *list = parse_results(parser, results->str, results->len);
@@ -78,15 +81,16 @@
 	for (i = 0; i < n; i++)
 		g_string_append_printf(out,
 				       "%s{\"columns\":[],\"rows\":[],"
-				       "\"" AFFECTED "\":%" G_GINT64_FORMAT "}",
+				       "\"" ROWS_AFFECTED "\":%" G_GINT64_FORMAT
+				       "}",
 				       i ? "," : "",
-				       affected(element(list, i)));
+				       get_rows_affected(get_element(list, i)));
 	g_string_append_c(out, ']');
 	g_object_unref(parser);
 	return out;
 }
 
-/* The whole results if they are small, else without rows, else none. */
+/* The results if they are small, else without rows, else an empty list. */
 GString *outcome_summary(const GString *results)
 {
 	GString *out;
@@ -98,13 +102,13 @@
 		g_string_append_c(out, ']');
 		return out;
 	}
-	out = without_rows(results);
+	out = strip_rows(results);
 	if (out->len > OUTCOME_SUMMARY_MAX)
 		g_string_assign(out, "[]");
 	return out;
 }
 
-/* A summary is the text of the list already. */
+/* A summary is already the text of the list. */
 GBytes *outcome_results(const char *summary)
 {
 	size_t len = strlen(summary);
@@ -114,7 +118,7 @@
 	return g_bytes_new(summary, len);
 }
 
-static const char *cell(JsonArray *row, unsigned i)
+static const char *get_text_cell(JsonArray *row, unsigned i)
 {
 	JsonNode *node = json_array_get_element(row, i);
 
@@ -124,16 +128,16 @@
 		       NULL;
 }
 
-/* Fills in the row's columns: state, digest, summary. */
-static bool take_row(JsonArray *row, struct outcome_row *out)
+/* Parses the columns state, digest and summary. */
+static bool parse_row(JsonArray *row, struct outcome_row *out)
 {
 	const char *state, *digest, *summary;
 
 	if (json_array_get_length(row) != 3)
 		return false;
-	state = cell(row, 0);
-	digest = cell(row, 1);
-	summary = cell(row, 2);
+	state = get_text_cell(row, 0);
+	digest = get_text_cell(row, 1);
+	summary = get_text_cell(row, 2);
 	if (!state || !digest || !summary)
 		return false;
 	if (!strcmp(state, "done"))
@@ -147,12 +151,12 @@
 	return true;
 }
 
-/* No row in the answer gives OUTCOME_ROW_NONE and true. */
+/* An answer without a row gives OUTCOME_ROW_NONE and true. */
 bool outcome_row_parse(const GString *results, struct outcome_row *out)
 {
 	JsonParser *parser = json_parser_new();
 	JsonArray *list = parse_results(parser, results->str, results->len);
-	JsonObject *first = element(list, 0);
+	JsonObject *first = get_element(list, 0);
 	JsonNode *node = first ? json_object_get_member(first, "rows") : NULL;
 	JsonArray *rows = NULL;
 	bool ok = false;
@@ -165,13 +169,13 @@
 	} else if (rows) {
 		node = json_array_get_element(rows, 0);
 		ok = JSON_NODE_HOLDS_ARRAY(node) &&
-		     take_row(json_node_get_array(node), out);
+		     parse_row(json_node_get_array(node), out);
 	}
 	g_object_unref(parser);
 	return ok;
 }
 
-/* Frees what the row holds. */
+/* Frees the row's strings, not the row itself. */
 void outcome_row_clear(struct outcome_row *row)
 {
 	g_free(row->digest);
@@ -179,8 +183,8 @@
 	memset(row, 0, sizeof(*row));
 }
 
-/* Where the last element of the results begins, or NULL. */
-static char *last_element(const GString *results)
+/* Start of the last element of the results, or NULL. */
+static char *find_last_element(const GString *results)
 {
 	const size_t len = strlen(ELEMENT_START);
 	size_t i = results->len;
@@ -194,15 +198,15 @@
 }
 
 /*
- * The position is the last kept step, since the step after it, the COMMIT,
- * takes the place of last_row. Within strings a quote is escaped, so that the
- * last ELEMENT_START is where the last element begins, whatever the caller's
- * own rows hold.
+ * The position is the last kept step, since the step after it, the COMMIT, has
+ * overwritten last_row. Quotes within strings are escaped, so the last
+ * ELEMENT_START is the start of the last element, whatever the caller's own
+ * rows contain.
  */
 bool outcome_cut_position(GString *results, struct position *out)
 {
 	static const char row_start[] = "\"rows\":[[\"";
-	char *at = last_element(results);
+	char *at = find_last_element(results);
 	const char *value, *end;
 	struct str text;
 
@@ -224,12 +228,12 @@
 	return true;
 }
 
-/* 0 when the answer is malformed. */
+/* 0 if the answer is malformed. */
 uint64_t outcome_rows_affected(const GString *results)
 {
 	JsonParser *parser = json_parser_new();
 	JsonArray *list = parse_results(parser, results->str, results->len);
-	int64_t n = affected(element(list, 0));
+	int64_t n = get_rows_affected(get_element(list, 0));
 
 	g_object_unref(parser);
 	return n > 0 ? (uint64_t)n : 0;
--- a/packages/core/src/outcome.h
+++ b/packages/core/src/outcome.h
@@ -2,13 +2,14 @@
 #define CELERYQUAY_CORE_OUTCOME_H
 
 /*
- * The rows of the outcome table: what is written for a key, how it is read
- * back, and which answer it tells again.
+ * The rows of the outcome table: the key and summary that are written for a
+ * request, how a row is parsed, and the answer that it gives to a repetition of
+ * the request.
  */
 
 #include <celeryquay/core/request.h>
 
-/* A longer answer is told again without its rows. */
+/* Maximum bytes of a summary; a longer answer is stored without its rows. */
 #define OUTCOME_SUMMARY_MAX 4096
 
 enum outcome_state {
@@ -19,36 +20,41 @@
 
 struct outcome_row {
 	enum outcome_state state;
-	char *digest;
-	char *summary;
+	char *digest; /* of the request */
+	char *summary; /* of the answer, see outcome_summary() */
 };
 
 /*
- * The row's key: the caller's name is within, so that two callers' keys never
- * meet; its length goes before, so that no name can end in another's key.
+ * The row's key. It contains the caller's name, so that the keys of two callers
+ * never collide; the name's length precedes it, so that a name with a '/' can't
+ * be taken for a shorter name and its key.
  */
 char *outcome_key(struct str caller, struct str key);
-/* The key of a long transaction's commit; one per transaction. */
+/* The key of a long transaction's commit, one per transaction. */
 char *outcome_transaction_key(struct str caller, struct str transaction);
 
-/* The summary for the elements of a "results" list, comma-parted. */
+/*
+ * The summary of the elements of a "results" list, which are passed separated
+ * by commas.
+ */
 GString *outcome_summary(const GString *results);
-/* The text of a "results" list from a summary; "[]" if it is damaged. */
+/* The "results" list of a summary; "[]" if the summary is damaged. */
 GBytes *outcome_results(const char *summary);
 
 /*
- * Reads the answer to SQL_OUTCOME_READ: the kept steps as JSON elements, of
- * which the first is the row. False when it is malformed.
+ * Parses the answer to SQL_OUTCOME_READ. results holds the results of the kept
+ * steps as JSON elements; the first one holds the row. False if malformed.
  */
 bool outcome_row_parse(const GString *results, struct outcome_row *out);
 void outcome_row_clear(struct outcome_row *row);
 
 /*
- * Cuts the last element off the kept steps, which is the answer to
- * cq_read_position(), and reads it. False, and nothing cut, if it is not one.
+ * Parses the last element of the results, which is the answer to
+ * cq_read_position(), and removes it. False, with the results unchanged, if it
+ * is not a position.
  */
 bool outcome_cut_position(GString *results, struct position *out);
-/* How many rows the first kept step changed. */
+/* Number of rows changed by the first kept step; 0 if malformed. */
 uint64_t outcome_rows_affected(const GString *results);
 
 #endif
