--- a/packages/core/include/celeryquay/core/retry.h
+++ b/packages/core/include/celeryquay/core/retry.h
@@ -3,7 +3,7 @@
 
 /*
  * A retry budget: each first try earns a fraction of a token, each retry costs
- * one. Retries can so never multiply an overload.
+ * one token. So retries can't multiply an overload.
  */
 
 #include <stdbool.h>
@@ -12,11 +12,13 @@
 struct retry_budget {
 	double tokens;
 	double max_tokens;
-	double earn;
+	double tokens_per_first_try;
 };
 
-void retry_budget_init(struct retry_budget *b, double earn, double max_tokens);
+void retry_budget_init(struct retry_budget *b, double tokens_per_first_try,
+		       double max_tokens);
 void retry_budget_first_try(struct retry_budget *b);
+/* Takes a token for a retry; false: none left, don't retry. */
 bool retry_budget_take(struct retry_budget *b);
 
 #endif
--- a/packages/core/src/homes.c
+++ b/packages/core/src/homes.c
@@ -4,25 +4,29 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* How often a proxy draws: once, and once more for each server near it. */
-#define DRAWS_BASE 1
-#define DRAWS_PER_NEAR_SERVER 1
+/*
+ * Number of hashes of a candidate, of which the highest is its score: one, and
+ * one more for each server in its data centre.
+ */
+#define BASE_HASHES 1
+#define HASHES_PER_NEAR_SERVER 1
 
-/* A candidate's place: the tier counts first, then the highest draw. */
+/* Candidates are ordered by tier, then by the highest score. */
 struct ranked {
 	unsigned candidate;
 	unsigned tier;
-	uint64_t draw;
+	uint64_t score;
 };
 
+/* In the order of preference: a server in its region, none, leaving. */
 enum tier { TIER_REGION, TIER_FAR, TIER_LEAVING };
 
-static bool better(const struct ranked *a, const struct ranked *b)
+static bool ranks_before(const struct ranked *a, const struct ranked *b)
 {
 	if (a->tier != b->tier)
 		return a->tier < b->tier;
-	if (a->draw != b->draw)
-		return a->draw > b->draw;
+	if (a->score != b->score)
+		return a->score > b->score;
 	return a->candidate < b->candidate;
 }
 
@@ -40,39 +44,41 @@
 	return TIER_FAR;
 }
 
-static unsigned candidate_draws(const struct database_conf *db,
-				const struct home_candidate *c)
+static unsigned hash_count(const struct database_conf *db,
+			   const struct home_candidate *c)
 {
-	unsigned draws = DRAWS_BASE;
+	unsigned n_hashes = BASE_HASHES;
 	unsigned i;
 
 	for (i = 0; i < db->n_servers; i++) {
 		if (!strcmp(db->servers[i].data_centre, c->data_centre))
-			draws += DRAWS_PER_NEAR_SERVER;
+			n_hashes += HASHES_PER_NEAR_SERVER;
 	}
-	return draws;
+	return n_hashes;
 }
 
 /*
- * The highest of several hashes. Whoever draws w times wins against one that
- * draws once with odds w to 1, which is rendezvous hashing with whole weights
- * and needs no logarithm that might round differently elsewhere.
+ * The highest of several hashes. A candidate with w hashes wins against one
+ * with a single hash with odds of w to 1. This is rendezvous hashing with
+ * integer weights, without a logarithm that might round differently on another
+ * machine.
  */
-static uint64_t highest_draw(uint64_t seed, const char *name, unsigned draws)
+static uint64_t highest_score(uint64_t seed, const char *name,
+			      unsigned n_hashes)
 {
 	uint64_t best = 0;
 	size_t len = strlen(name);
 	unsigned i;
 
-	for (i = 0; i < draws; i++) {
-		uint64_t draw = XXH3_64bits_withSeed(name, len, seed + i);
+	for (i = 0; i < n_hashes; i++) {
+		uint64_t score = XXH3_64bits_withSeed(name, len, seed + i);
 
-		best = MAX(best, draw);
+		best = MAX(best, score);
 	}
 	return best;
 }
 
-/* What a database's draws start from. */
+/* The seed of a database's hashes. */
 uint64_t homes_seed(const struct database_conf *db)
 {
 	uint64_t seed = XXH3_64bits(db->service, strlen(db->service));
@@ -80,24 +86,24 @@
 	return XXH3_64bits_withSeed(db->name, strlen(db->name), seed);
 }
 
-/* What a candidate draws that no server is near. */
+/* The score of a candidate that no server is near. */
 uint64_t homes_draw(uint64_t seed, const char *name)
 {
-	return highest_draw(seed, name, DRAWS_BASE);
+	return highest_score(seed, name, BASE_HASHES);
 }
 
-/* Inserts into the best so far, which are at most max; returns how many. */
+/* Inserts into the sorted array of at most max; returns the new count. */
 static unsigned insert_ranked(struct ranked *best, unsigned count, unsigned max,
 			      struct ranked r)
 {
 	unsigned i = count;
 
 	if (count == max) {
-		if (!better(&r, &best[count - 1]))
+		if (!ranks_before(&r, &best[count - 1]))
 			return count;
 		i = count - 1;
 	}
-	while (i > 0 && better(&r, &best[i - 1])) {
+	while (i > 0 && ranks_before(&r, &best[i - 1])) {
 		best[i] = best[i - 1];
 		i--;
 	}
@@ -106,11 +112,10 @@
 }
 
 /*
- * Writes the indexes of the candidates, best first, at most max; returns how
- * many. Those in the region of a server rank before the others, leaving ones
- * last; within a tier each server in the candidate's data centre is one more
- * draw. A candidate's draws don't depend on the others, so one that comes or
- * goes moves only the databases that it takes or had.
+ * Candidates in the region of a server rank before the others, leaving ones
+ * last. Within a tier, each server in the candidate's data centre adds a hash.
+ * A candidate's score doesn't depend on the other candidates, so one that joins
+ * or leaves moves only the databases that it takes over or had.
  */
 unsigned homes_rank(const struct database_conf *db,
 		    const struct home_candidate *candidates, unsigned n,
@@ -129,7 +134,7 @@
 		struct ranked r = { .candidate = i };
 
 		r.tier = candidate_tier(db, c);
-		r.draw = highest_draw(seed, c->name, candidate_draws(db, c));
+		r.score = highest_score(seed, c->name, hash_count(db, c));
 		count = insert_ranked(best, count, max, r);
 	}
 	for (i = 0; i < count; i++)
--- a/packages/core/src/retry.c
+++ b/packages/core/src/retry.c
@@ -2,27 +2,29 @@
 
 #define RETRY_COST 1.0
 
-/* A full budget: earn tokens for each first try, up to max_tokens. */
-void retry_budget_init(struct retry_budget *b, double earn, double max_tokens)
+/* Starts with a full budget. */
+void retry_budget_init(struct retry_budget *b, double tokens_per_first_try,
+		       double max_tokens)
 {
-	b->earn = earn;
+	b->tokens_per_first_try = tokens_per_first_try;
 	b->max_tokens = max_tokens;
 	b->tokens = max_tokens;
 }
 
-/* Counts a first try. */
+/* Each first try earns tokens, up to max_tokens. */
 void retry_budget_first_try(struct retry_budget *b)
 {
-	b->tokens += b->earn;
+	b->tokens += b->tokens_per_first_try;
 	if (b->tokens > b->max_tokens)
 		b->tokens = b->max_tokens;
 }
 
 /*
- * Takes a retry out of the budget; false: don't retry. Without it, requests
- * that fail because servers are overloaded come back as more load, and the
- * overload feeds itself after its cause is gone. Retries are at most the
- * earned fraction of the first tries, whatever fails.
+ * Takes a token for a retry; false: none left, don't retry. Without the budget,
+ * requests that fail because servers are overloaded come back as more load, and
+ * the overload sustains itself after its cause is gone. Beyond the initial
+ * tokens, retries are at most the earned fraction of the first tries, whatever
+ * fails.
  */
 bool retry_budget_take(struct retry_budget *b)
 {
