--- a/packages/core/include/celeryquay/core/member.h
+++ b/packages/core/include/celeryquay/core/member.h
@@ -2,10 +2,12 @@
 #define CELERYQUAY_CORE_MEMBER_H
 
 /*
- * Which proxies live: random probes with indirect ones before a suspicion,
- * news piggybacked on them, incarnations so that a node that restarts is a new
- * one. Bytes per second are bounded whatever the size of the fleet. No promise
- * rests on it: two views may differ for a while.
+ * Failure detection and membership of the proxies, in the manner of SWIM: each
+ * node probes a few others, asks further nodes to probe indirectly before it
+ * suspects a member, and piggybacks changes on these messages (gossip). An
+ * incarnation number tells a restarted node from its earlier process. The bytes
+ * sent per second are bounded whatever the size of the fleet. No guarantee
+ * depends on the result: the views of two nodes may differ for a while.
  */
 
 #include <celeryquay/core/types.h>
@@ -20,48 +22,58 @@
 
 struct member_info {
 	char name[64];
-	char host[64]; /* numeric address of the peers' port */
+	char host[64]; /* numeric address, for connections from peers */
 	uint16_t peer_port;
 	char data_centre[32];
 	char region[32];
 	char curve_public[41]; /* Z85, empty without encryption */
-	uint64_t incarnation; /* start time in ms, then raised to refute */
-	unsigned version_min; /* of the peers' protocol */
+	/*
+	 * Start time of the process in ms since 1970; a member raises its own
+	 * to refute a false claim about itself.
+	 */
+	uint64_t incarnation;
+	unsigned version_min; /* range of peer protocol versions it speaks */
 	unsigned version_max;
 	enum member_state state;
 };
 
 struct members;
 
-/* None of them may call back into the members, but for reading. */
+/* The callbacks may only read from struct members, not change it. */
 struct member_ops {
 	/*
-	 * Sends one gossip message; may be lost. A seed whose name is not yet
-	 * known has its address, as host:port, for a name.
+	 * Sends one gossip message, which may be lost. For a seed whose name is
+	 * not yet known, to->name is its address as host:port.
 	 */
 	void (*send)(void *ctx, const struct member_info *to, GBytes *message);
 	/*
-	 * Another member came, changed its state, went, or was replaced by a
-	 * new process of the same name. Not called for self.
+	 * Another member was added, changed its state, or was replaced by a new
+	 * process of the same name. Not called for this node itself.
 	 */
 	void (*changed)(void *ctx, const struct member_info *member);
 };
 
 struct member_settings {
-	uint64_t probe_interval_us; /* one member is probed in each */
+	uint64_t probe_interval_us; /* one member is probed per interval */
 	uint64_t probe_timeout_us; /* then others are asked to probe */
-	/* From suspicion to dead for up to 10 members; grows with their log. */
+	/*
+	 * Shortest time from suspicion to dead for up to 10 members; grows with
+	 * the logarithm of their number.
+	 */
 	uint64_t suspect_us;
-	uint64_t forget_dead_us; /* dead members are tried for so long */
-	uint64_t dead_probe_us; /* between tries of a dead member or a seed */
-	uint64_t gossip_interval_us; /* while there is news */
+	/* Members that are dead or have left are removed after this time. */
+	uint64_t forget_dead_us;
+	/* Between pings to a dead member; twice that between pings to seeds. */
+	uint64_t dead_probe_us;
+	/* Between rounds of gossip messages while changes are queued. */
+	uint64_t gossip_interval_us;
 	uint64_t sync_interval_us; /* between comparisons of whole tables */
-	unsigned indirect_probes;
-	unsigned gossip_fanout;
+	unsigned indirect_probes; /* members asked to probe a silent one */
+	unsigned gossip_fanout; /* receivers per gossip round */
 	unsigned max_message_bytes;
-	/* News and repairs wait when it is used up; probes do not. */
+	/* Gossip and table repairs wait once it is used up; probes do not. */
 	unsigned max_bytes_per_s;
-	/* Taken in by a node that starts, until its table is complete. */
+	/* At which a starting node requests the table from another member. */
 	unsigned max_join_bytes_per_s;
 };
 
@@ -72,35 +84,36 @@
 			       const struct member_ops *ops, void *ctx,
 			       GRand *rng, uint64_t now_us);
 void members_destroy(struct members *m);
-/* A seed's address, from the settings or the platform's list. */
+/* Adds a seed's address, from the settings or the platform's list. */
 void members_seed(struct members *m, const char *host, uint16_t peer_port,
 		  uint64_t now_us);
 void members_tick(struct members *m, uint64_t now_us);
 /*
- * A gossip message came in from an authenticated peer. BAD_MESSAGE for a
- * malformed one; nothing of it is then taken.
+ * Handles a gossip message from an authenticated peer. Fails with BAD_MESSAGE
+ * if it is malformed; nothing of it is then applied.
  */
 bool members_on_message(struct members *m, struct str message, uint64_t now_us,
 			struct err *err);
-/* Traffic of another kind proves a member alive. */
+/* Other traffic from the member shows that it is alive. */
 void members_on_alive(struct members *m, const char *name, uint64_t now_us);
-/* Tells the others that this node leaves: it gets no new work. */
+/* Announces that this node is leaving, so that it is given no new work. */
 void members_leave(struct members *m, uint64_t now_us);
-/* The last word before the process exits, sent to a few members at once. */
+/* Announces to a few members that the process exits; call it last. */
 void members_left(struct members *m, uint64_t now_us);
 /*
- * Whether the table is complete enough to place work by: it was taken from
- * another member, or no seed answered for some seconds.
+ * Whether the table is complete enough to place work by: it was fetched from
+ * another member, or there is no seed, or none answered for some seconds.
  */
 bool members_joined(const struct members *m);
-/* Rises with each change that ops->changed is told of, and on leaving. */
+/* Counts the calls of ops->changed and this node's own changes of state. */
 uint64_t members_changes(const struct members *m);
 unsigned members_count(const struct members *m);
-/* In the order of names; self included. NULL past the end. */
+/* Ordered by name, this node included. NULL past the end. */
 const struct member_info *members_at(const struct members *m, unsigned i);
 /*
- * The few members that this node exchanges probes and news with all the time,
- * so that a link to them stands. NULL past the end; valid until the next tick.
+ * The few members with which this node regularly exchanges probes and gossip,
+ * so that a connection to them stays open. NULL past the end; valid until the
+ * next tick.
  */
 unsigned members_neighbour_count(const struct members *m);
 const struct member_info *members_neighbour(const struct members *m,
@@ -108,7 +121,7 @@
 const struct member_info *members_find(const struct members *m,
 				       const char *name);
 const struct member_info *members_self(const struct members *m);
-/* Whether the member may be given work: alive or suspect, not leaving. */
+/* Whether the member may be given work: it is alive or suspect. */
 bool member_is_live(const struct member_info *m);
 uint64_t members_bytes_sent(const struct members *m);
 
--- a/packages/core/src/member.c
+++ b/packages/core/src/member.c
@@ -6,23 +6,23 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Larger messages are refused, whatever the settings of the sender are. */
+/* Longer messages are rejected, whatever the sender's max_message_bytes. */
 #define MESSAGE_MAX_BYTES 65536
-/* Bytes that may be saved up: so many seconds' worth. */
+/* Capacity of the token bucket, and its largest debt: max_bytes_per_s times. */
 #define BURST_S 2
-/* Of a probe or an answer without claims. */
+/* Bytes of each message that cost no tokens: a probe or ack without claims. */
 #define BARE_BYTES 100
-/* Longer than regions lose each other for. */
+/* Longer than regions are expected to be partitioned from each other. */
 #define FORGET_DEAD_S 10800ULL
 #define FORGET_INTERVAL_US (10 * USEC_PER_SEC)
-/* A member that is held for dead but speaks is told so this often. */
+/* Shortest time between contradictions sent to one member. */
 #define CONTRADICT_US (500 * USEC_PER_MSEC)
 
 /*
  * Defaults for up to some thousands of members. A node sends two probes and
- * answers two in a second, of some 80 bytes each; the rest is news. A round
- * trip between regions takes up to 300 ms, by way of a third 600 ms, which the
- * probe's times leave room for.
+ * answers two per second, of about 80 bytes each; the rest of the traffic is
+ * gossip. The probe timeouts allow for a round trip between regions of up to
+ * 300 ms, or 600 ms by way of a third node.
  */
 void member_settings_default(struct member_settings *s)
 {
@@ -42,16 +42,16 @@
 	};
 }
 
-/* The hash by which nodes are named where a name is too long. */
+/* Short identifier of a member in lists of suspecters and bucket digests. */
 uint32_t member_name_hash(struct str name)
 {
 	return XXH32(name.data, name.len, 0);
 }
 
 /*
- * Hash of what a process never changes. The first incarnation is part of it,
- * so that a restart is told from a refutation, and a claim that carries only
- * the hash is applied to the right record.
+ * Hash of the properties that a process never changes. It covers the first
+ * incarnation, so that a restart differs from a refutation, and a claim that
+ * carries only the hash is applied to the record of the right process.
  */
 uint32_t member_meta(const struct member_info *info)
 {
@@ -65,7 +65,10 @@
 	return XXH32(info->curve_public, strlen(info->curve_public), hash);
 }
 
-/* Timeouts grow up to fourfold while own probes of well members fail. */
+/*
+ * Timeouts grow up to fourfold while this node's probes of members that nobody
+ * else suspects fail.
+ */
 uint64_t member_stretch(const struct members *m, uint64_t us)
 {
 	return us * (1 + m->health);
@@ -95,8 +98,9 @@
 }
 
 /*
- * A table with this node alone. ops, ctx and rng must live as long; settings
- * and self are copied. The incarnation is the start time in ms since 1970.
+ * Creates a table with this node alone. ops, ctx and rng must outlive it;
+ * settings and self are copied. The incarnation is the start time in ms since
+ * 1970.
  */
 struct members *members_create(const struct member_settings *settings,
 			       const struct member_info *self,
@@ -122,7 +126,7 @@
 	return m;
 }
 
-/* Frees the table; says nothing to the others. */
+/* Frees the table; sends nothing to the other members. */
 void members_destroy(struct members *m)
 {
 	if (!m)
@@ -135,7 +139,10 @@
 	g_free(m);
 }
 
-/* An address that may be pinged while nobody, or not all, are found. */
+/*
+ * Adds an address to ping for as long as no present member has it, so that this
+ * node finds the first member, or members it has lost.
+ */
 void members_seed(struct members *m, const char *host, uint16_t peer_port,
 		  uint64_t now_us)
 {
@@ -161,9 +168,9 @@
 }
 
 /*
- * Packs and sends; with news as far as there is room and budget. The bare
- * probes and answers are not charged: their number is bounded by the probe
- * interval, and a seed that all others ask at once must go on answering.
+ * Packs and sends, with queued gossip as far as size and budget allow. Probes
+ * and acks without claims cost no tokens: their number is bounded by the probe
+ * interval, and a seed that all others ping at once must go on answering.
  */
 void member_send(struct members *m, const struct member_info *to,
 		 struct outgoing *o)
@@ -185,10 +192,10 @@
 }
 
 /*
- * A process that was paused (or whose loop was blocked) finds on waking that
- * all its probes are unanswered and all suspicions ran out. It was itself what
- * failed: probes end without a verdict, suspects get the lost time again, and
- * timeouts are long until own probes succeed.
+ * After a process was paused or its event loop blocked, all its probes look
+ * unanswered and all suspicions look expired, although the fault was its own.
+ * So running probes are dropped without a result, the suspicion timeouts are
+ * extended by the pause, and timeouts stay long until own probes succeed.
  */
 static void check_pause(struct members *m, uint64_t now_us)
 {
@@ -197,7 +204,7 @@
 	m->last_tick_us = now_us;
 	if (gap_us <= m->settings.probe_timeout_us)
 		return;
-	LOG_INFO("stood still for %u ms, holding back",
+	LOG_INFO("not running for %u ms, holding back suspicions",
 		 (unsigned)(gap_us / USEC_PER_MSEC));
 	member_probe_abandon(m);
 	member_suspicion_shift(m, gap_us, now_us);
@@ -205,8 +212,8 @@
 }
 
 /*
- * Runs what is due; wanted every 100 ms or more often. A gap above the probe
- * timeout counts as a pause of this process.
+ * Runs what is due; to be called at least every 100 ms. A gap between calls
+ * above the probe timeout is taken for a pause of this process.
  */
 void members_tick(struct members *m, uint64_t now_us)
 {
@@ -237,7 +244,7 @@
 	}
 }
 
-/* The address to answer to: from the table, else as the message says. */
+/* Whom to answer: the member from the table, else as the message says. */
 static void sender_info(struct members *m, const struct message *msg,
 			struct member_info *out)
 {
@@ -274,8 +281,9 @@
 }
 
 /*
- * A member that is held for dead or suspect speaks: it may not know, as after
- * a partition, and must hear of it to refute.
+ * Answers a sender that this node regards as dead or suspect, or of which it
+ * knows a higher incarnation, with that claim. The sender may not know of it,
+ * as after a partition, and has to be told before it can refute it.
  */
 static void contradict(struct members *m, struct member *sender,
 		       const struct message *msg, uint64_t now_us)
@@ -324,7 +332,7 @@
 	case MESSAGE_RECORD_ASK:
 		member_on_record_ask(m, msg, from);
 		break;
-	default: /* claims alone, or a type of a later release */
+	default: /* only claims, or a type from a later release */
 		break;
 	}
 }
@@ -348,8 +356,8 @@
 }
 
 /*
- * A gossip message came in from an authenticated peer. False with BAD_MESSAGE
- * for a malformed one, of which nothing is taken.
+ * Handles a gossip message from an authenticated peer. Fails with BAD_MESSAGE
+ * if it is malformed; nothing of it is then applied.
  */
 bool members_on_message(struct members *m, struct str message, uint64_t now_us,
 			struct err *err)
@@ -359,7 +367,8 @@
 	bool ok;
 
 	if (message.len > MESSAGE_MAX_BYTES) {
-		err_set(err, ERR_BAD_MESSAGE, "gossip: %zu bytes", message.len);
+		err_set(err, ERR_BAD_MESSAGE, "gossip: too long, %zu bytes",
+			message.len);
 		return false;
 	}
 	if (!unpack_open(&unpack, message, err))
@@ -374,7 +383,10 @@
 	return ok;
 }
 
-/* Traffic of another kind proves a member alive; it is not probed in vain. */
+/*
+ * Other traffic from the member shows that it is alive: ends running probes of
+ * it as successful, and probes it soon if it is suspect or dead here.
+ */
 void members_on_alive(struct members *m, const char *name, uint64_t now_us)
 {
 	struct member *member = member_table_find(m, str_from_c(name));
@@ -388,7 +400,10 @@
 		member_probe_verify(m, member);
 }
 
-/* From now on the node gets no new work; it still takes part in all else. */
+/*
+ * Announces that this node is leaving. It is given no new work from now on, but
+ * still sends and answers messages.
+ */
 void members_leave(struct members *m, uint64_t now_us)
 {
 	if (m->left || m->self->info.state == MEMBER_LEAVING)
@@ -398,8 +413,8 @@
 }
 
 /*
- * The process exits: a few members are told at once, the others hear of it
- * from them. Nothing is sent or taken in after this.
+ * Announces that the process exits to a few members, which pass it on. Nothing
+ * is sent or handled after this.
  */
 void members_left(struct members *m, uint64_t now_us)
 {
@@ -411,13 +426,13 @@
 	m->left = true;
 }
 
-/* All in the table, those that are dead or left included. */
+/* Rows of the table, including this node and members dead or left. */
 unsigned members_count(const struct members *m)
 {
 	return m->table->len;
 }
 
-/* In the order of names; valid until the member is forgotten. */
+/* The i-th member by name; valid until it is removed from the table. */
 const struct member_info *members_at(const struct members *m, unsigned i)
 {
 	const struct member *member;
@@ -428,13 +443,13 @@
 	return &member->info;
 }
 
-/* How many members this node is always in touch with. */
+/* Number of members that this node regularly exchanges messages with. */
 unsigned members_neighbour_count(const struct members *m)
 {
 	return m->rings.neighbours->len;
 }
 
-/* One of them; it may be gone since the last tick. */
+/* One of the neighbours; it may have died or left since the last tick. */
 const struct member_info *members_neighbour(const struct members *m, unsigned i)
 {
 	const struct member *member;
@@ -455,13 +470,13 @@
 	return member ? &member->info : NULL;
 }
 
-/* This node as the others should see it. */
+/* This node's own row, as announced to the others. */
 const struct member_info *members_self(const struct members *m)
 {
 	return &m->self->info;
 }
 
-/* Whether the member may be given work. */
+/* Whether the member may be given work: it is alive or suspect. */
 bool member_is_live(const struct member_info *m)
 {
 	return m->state == MEMBER_ALIVE || m->state == MEMBER_SUSPECT;
@@ -473,13 +488,13 @@
 	return m->syncer.joined;
 }
 
-/* Rises with each change, so that a user sees whether to look again. */
+/* Rises with each change, so that a caller can tell if the table changed. */
 uint64_t members_changes(const struct members *m)
 {
 	return m->changes;
 }
 
-/* Bytes of gossip messages, without what the transport adds. */
+/* Total bytes of messages sent, without the transport's overhead. */
 uint64_t members_bytes_sent(const struct members *m)
 {
 	return m->bytes_sent;
--- a/packages/core/src/member_claim.c
+++ b/packages/core/src/member_claim.c
@@ -8,22 +8,25 @@
 #include <string.h>
 
 /*
- * What is believed of a member. A claim with a higher incarnation wins; of two
- * with the same, the one further down the order of enum member_state. Only the
- * member itself raises its incarnation, to refute what is not true.
+ * The rules by which claims change a member's state. A claim with a higher
+ * incarnation wins; of two with the same incarnation, the one whose state comes
+ * later in enum member_state. Only the member itself raises its incarnation, to
+ * refute false claims.
  */
 
-/* A suspicion that nobody shares lasts so many times longer. */
+/* A suspicion that no other node confirms lasts this many times longer. */
 #define SUSPICION_SPREAD 4
-/* And longer by so much for ten times as many members. */
+/* Share by which the timeout grows for each tenfold number of members. */
 #define SUSPICION_PER_DECADE 0.5
-/* So many look for themselves, besides those that watch the member. */
+/* Expected number of nodes that verify, besides the member's watchers. */
 #define SUSPICION_VERIFIERS 2
+/* Names noted per message whose full claims are requested. */
 #define WANTS_MAX 32
 #define DOUBT_GAP_US USEC_PER_SEC
+/* Shortest time between raises above another process of the same name. */
 #define OUTBID_INTERVAL_US USEC_PER_SEC
 
-/* SUSPECT does not hide that a member leaves, so LEAVING outranks it. */
+/* LEAVING ranks above SUSPECT, so that a suspicion does not hide leaving. */
 static unsigned rank(enum member_state state)
 {
 	return (unsigned)state;
@@ -42,7 +45,7 @@
 		m->ops->changed(m->ctx, &member->info);
 }
 
-/* Sets this node's own state and incarnation and tells the others. */
+/* Sets this node's own state and incarnation and announces them. */
 void member_self_change(struct members *m, enum member_state state,
 			uint64_t incarnation, uint64_t now_us)
 {
@@ -61,12 +64,13 @@
 }
 
 /*
- * Somebody claims something of this node. After a pause or a partition the
- * others hold it for suspect or dead and send it no work; a higher incarnation
- * sets that right wherever it arrives. A claim above the own incarnation is
- * about an earlier process whose clock was ahead, or about another node with
- * the same name: two of those would outbid each other without end, so it is
- * answered once a second at most, and logged.
+ * Handles a claim about this node itself. After a pause or a partition other
+ * members regard this node as suspect or dead and send it no work; announcing a
+ * higher incarnation corrects that wherever it arrives. A claim above the own
+ * incarnation is about an earlier process whose clock was ahead, or about
+ * another node with the same name. Two such nodes would outbid each other
+ * without end, so the incarnation is raised at most once a second, and this is
+ * logged.
  */
 static void claim_of_self(struct members *m, const struct claim *c,
 			  uint64_t now_us)
@@ -78,7 +82,7 @@
 	if (c->incarnation == self->incarnation) {
 		if (rank(c->state) <= rank(self->state))
 			return;
-		LOG_INFO("held for %s, refuting",
+		LOG_INFO("held to be %s by others, refuting",
 			 c->state == MEMBER_SUSPECT ? "suspect" : "dead");
 	} else {
 		if (m->raised_us && now_us - m->raised_us < OUTBID_INTERVAL_US)
@@ -114,7 +118,7 @@
 	member->suspect_us = now_us;
 }
 
-/* Counts a node that suspects the member; false when it was counted before. */
+/* Counts a node suspecting the member; false if counted before or full. */
 static bool add_by(struct member *member, uint32_t by)
 {
 	unsigned i;
@@ -156,9 +160,9 @@
 }
 
 /*
- * Those whose turn it is to watch the member probe it at once when they hear
- * of a suspicion, and a few others, as all watchers may sit where the network
- * is broken.
+ * On hearing of a suspicion the watchers of the member probe it at once, and so
+ * do a few other nodes at random, as all watchers may be in the part of the
+ * network that is cut off.
  */
 static void maybe_verify(struct members *m, struct member *member)
 {
@@ -169,9 +173,10 @@
 }
 
 /*
- * Another's table says that the member is dead. It is probed if that is this
- * node's turn; of the others one a second at most, for after a partition all
- * tables say so of hundreds, and each probe may open a link.
+ * Probes a member that another's table says is dead or suspect. Members that
+ * this node does not watch are probed at most once a second in total: after a
+ * partition all tables say so of hundreds, and each probe may open a
+ * connection.
  */
 static void doubt(struct members *m, struct member *member, uint64_t now_us)
 {
@@ -208,12 +213,13 @@
 }
 
 /*
- * What the claim comes to here. A table may be hours out of date: after a
- * partition each side's says that the other is dead, and believing it would
- * take all homes away at once; it only makes this node probe the member
- * (MEMBER_ALIVE stands for that). A death in the news is believed when the
- * suspicion before it was known here too, so that a node which can not hear
- * the others' refutations can not declare them dead.
+ * The state that a claim leads to in this node's table. A claim from another's
+ * table may be hours out of date: after a partition each side's table says that
+ * the other side is dead, and accepting it would move all homes away at once.
+ * Such a claim only makes this node probe the member, for which MEMBER_ALIVE is
+ * returned. A gossiped death is accepted only if this node knew of the
+ * suspicion before it, and else starts a suspicion, so that a node which cannot
+ * hear the others' refutations cannot declare them dead.
  */
 static enum member_state claim_weigh(const struct member *member,
 				     const struct claim *c,
@@ -261,7 +267,7 @@
 		tell_changed(m, member);
 }
 
-/* Takes one claim in; `from` is the name hash of who sent it. */
+/* Handles one claim; sender_hash is the hash of the sender's name. */
 void member_claim_take(struct members *m, const struct claim *c,
 		       enum claim_source source, uint32_t from, uint64_t now_us)
 {
@@ -301,8 +307,8 @@
 }
 
 /*
- * An own probe of the member failed. A leaving member gets no work in any
- * case, so that nobody else needs to hear of it.
+ * Suspects a member after this node's own probe of it failed. The suspicion of
+ * a leaving member is not passed on, as it is given no work in any case.
  */
 void member_suspect(struct members *m, struct member *member, uint64_t now_us)
 {
@@ -328,9 +334,9 @@
 }
 
 /*
- * The time from suspicion to dead: grows with the size, as news takes longer
- * to go round, and is shorter the more nodes have the same suspicion by their
- * own probes. One node alone may be the one that is cut off.
+ * The time from suspicion to dead. It grows with the number of members, as
+ * gossip takes longer to reach them all, and is shorter the more nodes suspect
+ * the member by their own probes, as a single one may itself be cut off.
  */
 static uint64_t suspicion_timeout(const struct members *m,
 				  const struct member *member)
@@ -350,7 +356,7 @@
 	return member_stretch(m, (uint64_t)most);
 }
 
-/* Declares those dead whose time to refute is over. */
+/* Declares suspects dead whose time to refute is over, leaving ones left. */
 void member_suspicion_tick(struct members *m, uint64_t now_us)
 {
 	unsigned i = m->suspects->len;
@@ -359,7 +365,7 @@
 		struct member *member = g_ptr_array_index(m->suspects, i);
 		bool leaving = member->info.state == MEMBER_LEAVING;
 
-		/* Heard of since: it refutes as soon as it is told. */
+		/* Heard from since: it can refute once it is told. */
 		if (member->heard_us > member->suspect_us)
 			member->suspect_us = member->heard_us;
 		if (now_us - member->suspect_us < suspicion_timeout(m, member))
@@ -371,7 +377,7 @@
 	}
 }
 
-/* Gives all suspects the time again in which nothing could be heard. */
+/* Extends all suspicions by a pause in which nothing could be heard. */
 void member_suspicion_shift(struct members *m, uint64_t gap_us, uint64_t now_us)
 {
 	unsigned i;
--- a/packages/core/src/member_internal.h
+++ b/packages/core/src/member_internal.h
@@ -2,12 +2,12 @@
 #define CELERYQUAY_CORE_MEMBER_INTERNAL_H
 
 /*
- * What the files of the members module share. member.c holds the public calls;
- * member_table.c the table; member_ring.c whom a
- * node keeps in touch with; member_claim.c what is believed of a member and
- * when it changes; member_news.c what is passed on; member_probe.c the probes;
- * member_seek.c the search for those out of touch; member_sync.c the comparison
- * of whole tables; member_message.c the codec.
+ * Internal interface of the membership module. member.c has the public calls;
+ * member_table.c the table of members; member_ring.c the choice of neighbours;
+ * member_claim.c the rules by which claims change a member's state;
+ * member_gossip.c the queue of changes to pass on; member_probe.c the probes;
+ * member_reconnect.c the pings to dead members and seeds; member_sync.c the
+ * comparison of whole tables; member_message.c the codec.
  */
 
 #include <celeryquay/core/member.h>
@@ -19,49 +19,56 @@
 #define MEMBER_PLACE_MAX (sizeof(((struct member_info *)NULL)->region) - 1)
 #define MEMBER_CURVE_LEN 40
 
-/* A table never grows beyond this, whatever peers say. */
+/* Rows of the table, so that peers cannot make it grow without bound. */
 #define MEMBER_TABLE_MAX 16384
-/* Independent suspicions that are told apart, the first one included. */
+/* Distinct nodes counted as suspecting a member, the first one included. */
 #define MEMBER_BY_MAX 4
-/* Parts of the table whose hashes are compared. */
+/* Parts of the table, by name hash, whose digests are compared. */
 #define MEMBER_BUCKETS 64
-/* Levels of the news queue: one for each time that news was passed on. */
+/* Levels of the gossip queue, by how often an entry has been sent. */
 #define MEMBER_NEWS_LEVELS 32
-/* Rings of all members, and further ones of the own region. */
+/* Rings of all members; the rings after them hold the own region only. */
 #define MEMBER_RINGS_OF_ALL 4
 #define MEMBER_RINGS 6
 #define MEMBER_PROBES_MAX 64
 #define MEMBER_RELAYS_MAX 64
 #define MEMBER_SEEDS_MAX 256
 #define MEMBER_VERIFY_MAX 64
-/* Own probes that failed of late stretch all timeouts by up to 1 + this. */
+/*
+ * Failed probes by this node raise health_penalty up to this, and timeouts are
+ * multiplied by 1 + health_penalty.
+ */
 #define MEMBER_HEALTH_MAX 3
 
 struct member {
 	struct member_info info;
 	uint32_t hash; /* of the name */
-	uint32_t meta; /* of what a process never changes, by its owner */
-	uint64_t since_us; /* in this state */
-	uint64_t heard_us; /* last sign of life seen by this node itself */
-	uint64_t contradicted_us; /* last told that it is held for dead */
-	/* Suspicion; for a leaving member it does not show as the state. */
+	/* Hash of what a process never changes, computed by the process. */
+	uint32_t meta;
+	uint64_t since_us; /* when the state last changed */
+	uint64_t heard_us; /* last sign of life that this node received */
+	uint64_t contradicted_us; /* when last sent a claim to refute */
+	/* Also set for a leaving member, whose state stays MEMBER_LEAVING. */
 	bool suspected;
-	unsigned suspect_index;
-	uint64_t suspect_us;
+	unsigned suspect_index; /* in members.suspects */
+	uint64_t suspect_us; /* start of the suspicion's timeout */
 	unsigned n_by;
-	uint32_t by[MEMBER_BY_MAX]; /* name hashes of those who suspect */
-	/* News about it that is being passed on. */
+	uint32_t by[MEMBER_BY_MAX]; /* name hashes of those suspecting it */
+	/* Its entry in the gossip queue. */
 	struct member *news_prev;
 	struct member *news_next;
 	bool news_queued;
-	bool news_full;
-	unsigned news_sent;
-	bool verifying;
+	bool news_full; /* sent as a full claim */
+	unsigned news_sent; /* times sent, the level of the queue */
+	bool verifying; /* in prober.verify */
 	bool in_rings;
-	uint32_t ring[MEMBER_RINGS]; /* places */
+	uint32_t ring[MEMBER_RINGS]; /* position on each ring */
 };
 
-/* One statement about a member, as a message carries it. */
+/*
+ * One statement about a member in a message. A short claim has the fields up to
+ * the suspecters, a full claim all of them.
+ */
 struct claim {
 	struct str name;
 	uint64_t incarnation;
@@ -69,7 +76,7 @@
 	uint32_t meta;
 	unsigned n_by;
 	uint32_t by[MEMBER_BY_MAX];
-	bool full; /* the rest is there */
+	bool full; /* the fields below are set */
 	struct str host;
 	uint16_t port;
 	struct str data_centre;
@@ -81,44 +88,46 @@
 
 enum message_type {
 	MESSAGE_PING = 1, /* seq, target: answer with an ack */
-	MESSAGE_ACK = 2, /* seq, target if in another's place */
-	MESSAGE_PING_REQ = 3, /* seq, target: ping it for me */
-	MESSAGE_NEWS = 4, /* claims alone */
-	MESSAGE_JOIN_ASK = 5, /* cursor: full claims behind this name */
-	MESSAGE_JOIN_PART = 6, /* claims, cursor of the last one, last */
-	MESSAGE_DIGEST = 7, /* hashes of the buckets */
+	MESSAGE_ACK = 2, /* seq; target if sent on behalf of another */
+	MESSAGE_PING_REQ = 3, /* seq, target: ping it for the sender */
+	MESSAGE_NEWS = 4, /* claims only */
+	MESSAGE_JOIN_ASK = 5, /* cursor: send full claims after it */
+	MESSAGE_JOIN_PART = 6, /* claims, cursor, last */
+	MESSAGE_DIGEST = 7, /* digests of the buckets */
 	MESSAGE_DIFF = 8, /* claims of differing buckets, covered */
-	MESSAGE_RECORD_ASK = 9, /* names: full claims of these */
-	MESSAGE_RECORDS = 10, /* claims, asked for or found missing */
+	MESSAGE_RECORD_ASK = 9, /* names: send their full claims */
+	MESSAGE_RECORDS = 10, /* claims requested or found missing */
 };
 
 struct message {
 	uint64_t type;
-	struct claim sender; /* short; host and port are there as well */
-	uint64_t seq;
+	struct claim sender; /* short, with host and port as well */
+	uint64_t seq; /* of the ping that is sent, relayed or answered */
 	struct str target;
 	struct str target_host;
 	uint16_t target_port;
-	bool want_full; /* the sender's ack shall carry its full claim */
-	struct str cursor;
-	bool last;
-	bool partial; /* the sender is itself still fetching */
+	bool want_full; /* the ack to this ping shall carry a full claim */
+	struct str cursor; /* last name of the table sent so far */
+	bool last; /* the table ends with this part */
+	bool partial; /* the sender is still fetching the table itself */
 	bool has_buckets;
 	uint32_t buckets[MEMBER_BUCKETS];
-	uint64_t covered;
+	uint64_t covered; /* bit set of the buckets sent whole */
 	GArray *claims; /* struct claim */
 	GArray *names; /* struct str */
 };
 
+/* A claim in a message that is being built. */
 struct claim_out {
 	const struct member *member;
 	bool full;
 };
 
+/* A message that is being built; the fields are as in struct message. */
 struct outgoing {
 	enum message_type type;
 	uint64_t seq;
-	const char *target; /* NULL: none, as all below */
+	const char *target; /* NULL or 0 leaves a field out, here and below */
 	const char *target_host;
 	uint16_t target_port;
 	bool want_full;
@@ -129,21 +138,21 @@
 	uint64_t covered;
 	GArray *claims; /* struct claim_out */
 	GArray *names; /* struct str */
-	size_t size; /* estimate, not below the packed size */
+	size_t size; /* upper bound of the packed size */
 };
 
 struct member_probe {
 	struct member *member; /* NULL: the slot is free */
 	uint32_t seq;
-	bool was_suspected;
+	bool was_suspected; /* when the probe started */
 	bool asked_others;
-	uint64_t ask_us;
-	uint64_t verdict_us;
+	uint64_t ask_us; /* when others are asked to ping it */
+	uint64_t verdict_us; /* when the probe fails */
 };
 
 /* A ping on behalf of another member. */
 struct member_relay {
-	uint32_t seq;
+	uint32_t seq; /* 0: the slot is free */
 	uint64_t origin_seq;
 	char origin[MEMBER_NAME_MAX + 1];
 	char target[MEMBER_NAME_MAX + 1];
@@ -156,10 +165,10 @@
 };
 
 struct member_rings {
-	GPtrArray *targets; /* shuffled; each is probed once a round */
-	GPtrArray *neighbours; /* targets, and those who probe this node */
-	unsigned position;
-	bool stale;
+	GPtrArray *targets; /* shuffled; each is probed once per round */
+	GPtrArray *neighbours; /* targets and the members probing this node */
+	unsigned position; /* index of the next target */
+	bool stale; /* the lists must be built again */
 };
 
 struct member_prober {
@@ -170,32 +179,33 @@
 	uint32_t seq;
 	struct member_probe probes[MEMBER_PROBES_MAX];
 	struct member_relay relays[MEMBER_RELAYS_MAX];
-	unsigned next_relay;
-	GQueue verify; /* members to probe soon */
-	GArray *seeds;
+	unsigned next_relay; /* the oldest slot, used next */
+	GQueue verify; /* members to probe out of turn */
+	GArray *seeds; /* struct member_seed */
 };
 
 struct member_syncer {
-	bool joined; /* has had a whole table once */
-	bool fetching;
-	bool believe_partial; /* nobody with a whole table was found */
+	bool joined; /* has once had a complete table, or found no seed */
+	bool fetching; /* the table is being fetched from other members */
+	bool believe_partial; /* no member with a complete table was found */
 	uint64_t started_us;
-	uint64_t progress_us; /* of the cursor */
-	char cursor[MEMBER_NAME_MAX + 1];
-	char source[MEMBER_NAME_MAX + 1]; /* who is asked; empty: anybody */
-	bool asking;
+	uint64_t progress_us; /* when the cursor last advanced */
+	char cursor[MEMBER_NAME_MAX + 1]; /* last name fetched */
+	char source[MEMBER_NAME_MAX + 1]; /* asked member; empty: any */
+	bool asking; /* a part was requested and has not arrived */
 	uint64_t asked_us;
-	uint64_t next_us; /* next ask, or the end of the wait for a part */
-	unsigned digests;
+	uint64_t next_us; /* next request, or timeout of the pending one */
+	unsigned digests; /* digests sent */
 	uint64_t next_digest_us;
-	uint64_t digest_gap_us; /* short after a difference, then longer */
+	uint64_t digest_gap_us; /* short after a difference, then doubles */
 };
 
+/* Members whose changes are passed on, one list per level. */
 struct member_news {
 	struct member *head[MEMBER_NEWS_LEVELS];
 	struct member *tail[MEMBER_NEWS_LEVELS];
 	unsigned count;
-	unsigned n_full; /* of them with full claims */
+	unsigned n_full; /* entries sent as full claims */
 	uint64_t next_us;
 };
 
@@ -205,26 +215,28 @@
 	void *ctx;
 	GRand *rng;
 	struct member *self;
-	GPtrArray *table; /* by name */
+	GPtrArray *table; /* ordered by name */
 	GPtrArray *suspects;
 	unsigned n_live; /* alive, suspect or leaving; self included */
-	unsigned n_dead; /* dead, not left */
+	unsigned n_dead; /* dead, without those that left */
 	uint32_t buckets[MEMBER_BUCKETS];
-	uint64_t changes;
-	bool left;
+	uint64_t changes; /* see members_changes() */
+	bool left; /* this node announced its exit */
 	uint64_t last_tick_us;
 	uint64_t next_forget_us;
-	uint64_t doubted_us; /* last probe for what a table says */
-	uint64_t raised_us; /* last claim by a namesake was outbid */
-	int64_t tokens; /* bytes of claims that may be sent */
-	uint64_t tokens_us;
+	/* Last probe of a member that another's table says is dead. */
+	uint64_t doubted_us;
+	/* When the incarnation was last raised above another of this name. */
+	uint64_t raised_us;
+	int64_t tokens; /* bytes that may be sent; negative: debt */
+	uint64_t tokens_us; /* when the tokens were last refilled */
 	uint64_t bytes_sent;
-	unsigned health; /* 0 is well */
+	unsigned health; /* 0: own probes succeed */
 	struct member_rings rings;
 	struct member_news news;
 	struct member_prober prober;
 	struct member_syncer syncer;
-	GArray *wants; /* struct str; names whose full claims are missing */
+	GArray *wants; /* struct str; names without a full claim */
 };
 
 /* member_table.c */
@@ -232,7 +244,7 @@
 struct member *member_table_add(struct members *m, const struct claim *c);
 void member_table_describe(struct member *member, const struct claim *c);
 void member_table_forget(struct members *m, uint64_t now_us);
-/* Around each change of state, incarnation or meta. */
+/* To be called around each change of state, incarnation or process_hash. */
 void member_table_take_out(struct members *m, const struct member *member);
 void member_table_put_back(struct members *m, struct member *member);
 typedef bool (*member_filter_fn)(const struct member *member);
@@ -252,16 +264,16 @@
 
 /* member_claim.c */
 enum claim_source {
-	CLAIM_DIRECT, /* by the member itself */
+	CLAIM_DIRECT, /* sent by the member itself */
 	CLAIM_NEWS,
-	CLAIM_SYNC, /* out of a table, maybe long out of date */
+	CLAIM_SYNC, /* from another's table, possibly long out of date */
 };
 void member_claim_take(struct members *m, const struct claim *c,
 		       enum claim_source source, uint32_t from,
 		       uint64_t now_us);
 void member_suspect(struct members *m, struct member *member, uint64_t now_us);
 void member_suspicion_tick(struct members *m, uint64_t now_us);
-/* The process stood still: nothing that ran out meanwhile proves anything. */
+/* After a pause of this process, in which it could not hear of suspects. */
 void member_suspicion_shift(struct members *m, uint64_t gap_us,
 			    uint64_t now_us);
 void member_self_change(struct members *m, enum member_state state,
@@ -318,19 +330,19 @@
 void outgoing_init(struct outgoing *o, const struct members *m,
 		   enum message_type type);
 void outgoing_clear(struct outgoing *o);
-/* False when it does not fit into limit bytes any more. */
+/* False if the message would grow beyond limit bytes. */
 bool outgoing_claim(struct outgoing *o, const struct member *member, bool full,
 		    size_t limit);
 bool outgoing_name(struct outgoing *o, struct str name, size_t limit);
 GBytes *outgoing_pack(const struct outgoing *o, const struct members *m);
 
 /* member.c */
-/* Packs and sends; with news as far as there is room and budget. */
+/* Packs and sends, with queued gossip as far as size and budget allow. */
 void member_send(struct members *m, const struct member_info *to,
 		 struct outgoing *o);
 uint32_t member_meta(const struct member_info *info);
 uint32_t member_name_hash(struct str name);
-/* The time that others get, stretched while this node does poorly itself. */
+/* A timeout, lengthened while this node's own probes fail. */
 uint64_t member_stretch(const struct members *m, uint64_t us);
 
 #endif
--- a/packages/core/src/member_message.c
+++ b/packages/core/src/member_message.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* One more than this, for a refutation, must still fit. */
+/* Leaves room for the increments by refutations. */
 #define INCARNATION_MAX (1ULL << 62)
 
-/* Keys of the map; a number is never used again for another meaning. */
+/* Keys of the map; a number is never reused for another meaning. */
 enum field {
 	FIELD_TYPE = 1,
 	FIELD_FROM = 2,
@@ -28,14 +28,15 @@
 	FIELD_PARTIAL = 19,
 };
 
+/* Fields that every message has. */
 #define FIELDS_ALWAYS 7
 
-/* Elements of a claim's array; later releases append more. */
+/* Lengths of a claim's array; later releases append elements. */
 #define CLAIM_SHORT 4
 #define CLAIM_WITH_BY 5
 #define CLAIM_FULL 12
 
-/* Upper bounds of packed sizes. */
+/* Upper bounds of packed sizes, in bytes. */
 #define SIZE_NUMBER 9
 #define SIZE_FIELD_NUMBER (1 + SIZE_NUMBER)
 #define SIZE_TEXT_HEAD 2
@@ -46,7 +47,7 @@
 	return s ? 1 + SIZE_TEXT_HEAD + strlen(s) : 0;
 }
 
-/* A message without claims or names; its fields are set by the caller. */
+/* Starts a message without claims or names; the caller sets its fields. */
 void outgoing_init(struct outgoing *o, const struct members *m,
 		   enum message_type type)
 {
@@ -77,7 +78,7 @@
 	       text_size(info->region) + text_size(info->curve_public) + 10;
 }
 
-/* Adds what is believed of a member; once only. */
+/* Adds a claim about a member, at most once per message. */
 bool outgoing_claim(struct outgoing *o, const struct member *member, bool full,
 		    size_t limit)
 {
@@ -97,7 +98,7 @@
 	return true;
 }
 
-/* Adds a name to ask for. */
+/* Adds a name whose full claim is requested. */
 bool outgoing_name(struct outgoing *o, struct str name, size_t limit)
 {
 	size_t size = SIZE_TEXT_HEAD + name.len;
@@ -174,7 +175,7 @@
 	       (o->buckets != NULL) + (o->covered != 0);
 }
 
-/* The message as bytes, one reference. */
+/* The packed message; the caller owns the reference. */
 GBytes *outgoing_pack(const struct outgoing *o, const struct members *m)
 {
 	const struct member_info *self = &m->self->info;
@@ -213,7 +214,7 @@
 	return pack_end(&p);
 }
 
-/* A name is printable ASCII without blanks, as it goes into logs and keys. */
+/* Names are printable ASCII without spaces, as they go into logs and keys. */
 static bool valid_name(struct str s)
 {
 	size_t i;
@@ -261,8 +262,8 @@
 }
 
 /*
- * Reads one claim. A state that a later release added makes the claim unusable
- * but not malformed: *known says so.
+ * Reads one claim. A state added by a later release makes the claim unusable
+ * but not malformed: *known is then false.
  */
 static bool parse_claim(const msgpack_object *o, struct claim *c, bool *known)
 {
@@ -391,9 +392,9 @@
 }
 
 /*
- * Reads the whole message before anything of it is used. The views point into
- * the received bytes. BAD_MESSAGE when any part of it is malformed; a type or
- * field that is not known is no fault.
+ * Reads the whole message before anything of it is used. Its strings point into
+ * the received bytes. Fails with BAD_MESSAGE if any part is malformed; unknown
+ * types and fields are accepted.
  */
 bool message_parse(struct message *msg, struct unpack *u, struct err *err)
 {
@@ -418,7 +419,7 @@
 	if (!what)
 		return true;
 	message_clear(msg);
-	err_set(err, ERR_BAD_MESSAGE, "gossip: the %s are malformed", what);
+	err_set(err, ERR_BAD_MESSAGE, "gossip: malformed %s", what);
 	return false;
 }
 
--- a/packages/core/src/member_news.c
+++ b/packages/core/src/member_news.c
@@ -3,25 +3,27 @@
 #include <math.h>
 
 /*
- * News is queued by how often it was passed on, so that what few have seen
- * goes first. After about 4 * log10(n) times nearly everybody has it; the
- * comparison of tables finds the rest.
+ * The gossip queue: members whose changes are passed on, ordered by how often
+ * they were sent, so that what few nodes have seen goes first. After about
+ * 4 * log10(n) sends nearly all nodes have a change; the comparison of tables
+ * repairs the rest.
  */
 
+/* Sends per change, and as many again for each tenfold number of members. */
 #define NEWS_FACTOR 4
-/* Passed on so often at least, however much news there is. */
+/* Fewest sends per change, however long the queue is. */
 #define NEWS_SENT_LEAST 2
-/* All that waits should be passed on within this time. */
+/* The queue should be drained within this time. */
 #define NEWS_WAIT_S 5
-/* Rough sizes of short and full claims. */
+/* Approximate packed sizes of short and full claims. */
 #define NEWS_SHORT_BYTES 30
 #define NEWS_FULL_BYTES 110
 
 /*
- * How often each piece is passed on. When regions find each other again, or a
- * whole fleet starts, all members are news at once, and to pass on each as
- * often as usual would use up the bytes for minutes. Then a few times must do;
- * the comparison of tables carries the bulk at a fraction of the bytes.
+ * How often each change is sent. When a partition between regions heals, or a
+ * whole fleet starts, all members change at once, and sending each as often as
+ * usual would use up the byte budget for minutes. Then each is sent only a few
+ * times; the comparison of tables carries the bulk at a fraction of the bytes.
  */
 static unsigned news_limit(const struct members *m)
 {
@@ -71,7 +73,7 @@
 	news->n_full += member->news_full;
 }
 
-/* What is believed of the member now shall be passed on, from the start. */
+/* Queues the member's current state to be passed on, with no sends yet. */
 void member_news_add(struct members *m, struct member *member, bool full)
 {
 	if (member->news_queued)
@@ -80,14 +82,14 @@
 	news_link(&m->news, member, 0);
 }
 
-/* Nothing about the member is passed on any more. */
+/* Removes the member from the gossip queue. */
 void member_news_drop(struct members *m, struct member *member)
 {
 	if (member->news_queued)
 		news_unlink(&m->news, member);
 }
 
-/* Adds news, least seen first, as far as the message and the budget go. */
+/* Adds queued claims, least sent first, as far as size and budget allow. */
 void member_news_fill(struct members *m, struct outgoing *o)
 {
 	unsigned limit = news_limit(m);
@@ -120,7 +122,7 @@
 	g_ptr_array_free(taken, TRUE);
 }
 
-/* While there is news, sends it to a few neighbours. */
+/* Sends queued claims to a few neighbours. */
 void member_news_tick(struct members *m, uint64_t now_us)
 {
 	unsigned i;
--- a/packages/core/src/member_pack.c
+++ b/packages/core/src/member_pack.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* Deeper nesting than any message has; the check below recurses so far. */
+/* More than any message needs; bounds the recursion of check_object(). */
 #define PACK_MAX_DEPTH 8
 #define PACK_ZONE_CHUNK 4096
 
-/* Starts a message: a map of so many fields. */
+/* Starts a message: a map with this number of fields. */
 void pack_begin(struct pack *p, unsigned fields)
 {
 	msgpack_sbuffer_init(&p->buffer);
@@ -14,53 +14,53 @@
 	msgpack_pack_map(&p->packer, fields);
 }
 
-/* The key of the next value. */
+/* Packs the key of the next value. */
 void pack_key(struct pack *p, unsigned key)
 {
 	msgpack_pack_uint64(&p->packer, key);
 }
 
-/* An unsigned number in its shortest form. */
+/* Packs an unsigned number in its shortest form. */
 void pack_u64(struct pack *p, uint64_t value)
 {
 	msgpack_pack_uint64(&p->packer, value);
 }
 
-/* A string with its length. */
+/* Packs a string with its length. */
 void pack_str(struct pack *p, struct str value)
 {
 	msgpack_pack_str(&p->packer, value.len);
 	msgpack_pack_str_body(&p->packer, value.data, value.len);
 }
 
-/* Bytes that are no text. */
+/* Packs binary data. */
 void pack_bin(struct pack *p, const void *data, size_t len)
 {
 	msgpack_pack_bin(&p->packer, len);
 	msgpack_pack_bin_body(&p->packer, data, len);
 }
 
-/* The head of an array; its elements follow. */
+/* Packs the header of an array; the caller packs its n elements next. */
 void pack_array(struct pack *p, size_t n)
 {
 	msgpack_pack_array(&p->packer, n);
 }
 
-/* A key and a number. */
+/* Packs a key and a number. */
 void pack_field_u64(struct pack *p, unsigned key, uint64_t value)
 {
 	pack_key(p, key);
 	pack_u64(p, value);
 }
 
-/* A key and a string. */
+/* Packs a key and a string. */
 void pack_field_str(struct pack *p, unsigned key, struct str value)
 {
 	pack_key(p, key);
 	pack_str(p, value);
 }
 
-/* The whole message, copied: the packer's buffer is mostly empty. */
+/* Ends the message; copies it, as the packer's buffer is mostly unused. */
 GBytes *pack_end(struct pack *p)
 {
 	GBytes *bytes = g_bytes_new(p->buffer.data, p->buffer.size);
@@ -79,14 +79,14 @@
 }
 
 /*
- * What one object's head says: its length with the head, without elements,
- * and how many objects follow as its elements. False for the one byte that
- * MessagePack never uses, and for a head that is cut off.
+ * Reads the header of one object: its size in bytes, header included but
+ * elements excluded, and the number of objects that follow as its elements.
+ * False for 0xc1, which MessagePack never uses, and for a truncated header.
  */
 static bool read_head(const uint8_t *p, size_t left, uint64_t *size,
 		      uint64_t *elements)
 {
-	/* From 0xc0 on: bytes of the length field, bytes beside it. */
+	/* By type byte from 0xc0 on: bytes of the length field, other bytes. */
 	static const uint8_t length_bytes[32] = {
 		[0x04] = 1, [0x05] = 2, [0x06] = 4, [0x07] = 1, [0x08] = 2,
 		[0x09] = 4, [0x19] = 1, [0x1a] = 2, [0x1b] = 4, [0x1c] = 2,
@@ -104,7 +104,7 @@
 	*size = 1;
 	*elements = 0;
 	if (*p < 0x80 || *p >= 0xe0)
-		return true; /* a small number */
+		return true; /* fixint, the byte is its value */
 	if (*p < 0x90)
 		*elements = 2ULL * (*p & 0x0f);
 	else if (*p < 0xa0)
@@ -127,10 +127,11 @@
 }
 
 /*
- * The length of one whole object, 0 when it is cut off or nested too deep.
- * Guards against a short message that claims an array of billions: msgpack-c
- * would allocate it before it finds the message too short. Here each element
- * must be there, and takes at least one byte.
+ * The size of one complete object in bytes, 0 if it is truncated or nested too
+ * deep. For a short message that announces an array of billions, msgpack-c
+ * would allocate the array before it finds the message too short. This check
+ * rejects such a message, as each element takes at least one byte and must be
+ * present.
  */
 static size_t check_object(const uint8_t *p, size_t left, unsigned depth)
 {
@@ -152,7 +153,7 @@
 	return used;
 }
 
-/* Parses one map that fills the data. BAD_MESSAGE otherwise. */
+/* Parses data that is exactly one map; fails with BAD_MESSAGE otherwise. */
 bool unpack_open(struct unpack *u, struct str data, struct err *err)
 {
 	size_t used = check_object((const uint8_t *)data.data, data.len,
@@ -161,27 +162,29 @@
 	int rc;
 
 	if (!used || used != data.len) {
-		err_set(err, ERR_BAD_MESSAGE, "not one whole object");
+		err_set(err, ERR_BAD_MESSAGE,
+			"not exactly one complete MessagePack object");
 		return false;
 	}
 	msgpack_zone_init(&u->zone, PACK_ZONE_CHUNK);
 	rc = msgpack_unpack(data.data, data.len, &off, &u->zone, &u->root);
 	if (rc != MSGPACK_UNPACK_SUCCESS ||
 	    u->root.type != MSGPACK_OBJECT_MAP) {
-		err_set(err, ERR_BAD_MESSAGE, "not a map");
+		err_set(err, ERR_BAD_MESSAGE,
+			"MessagePack object is not a map");
 		msgpack_zone_destroy(&u->zone);
 		return false;
 	}
 	return true;
 }
 
-/* Frees the parsed objects; strings that were read stay with the data. */
+/* Frees the parsed objects; strings that were read remain in the data. */
 void unpack_close(struct unpack *u)
 {
 	msgpack_zone_destroy(&u->zone);
 }
 
-/* The value of a key; the first one if a sender repeats it. */
+/* The value of a key; the first one if the key is repeated. */
 const msgpack_object *unpack_field(const msgpack_object *map, unsigned key)
 {
 	uint32_t i;
@@ -205,7 +208,7 @@
 	return true;
 }
 
-/* msgpack-c leaves the pointer of an empty string unset. */
+/* msgpack-c leaves the pointer of an empty string uninitialized. */
 static struct str view(const char *data, uint32_t len)
 {
 	struct str s = { .data = len ? data : "", .len = len };
@@ -227,7 +230,7 @@
 	return true;
 }
 
-/* Reads bytes. */
+/* Reads binary data. */
 bool unpack_bin(const msgpack_object *o, struct str *out)
 {
 	if (o->type != MSGPACK_OBJECT_BIN)
@@ -236,7 +239,7 @@
 	return true;
 }
 
-/* Reads a number that may be absent. */
+/* Reads an optional number; if it is absent, *out is unchanged. */
 bool unpack_field_u64(const msgpack_object *map, unsigned key, uint64_t max,
 		      uint64_t *out)
 {
@@ -245,7 +248,7 @@
 	return !o || unpack_u64(o, max, out);
 }
 
-/* Reads a string that may be absent. */
+/* Reads an optional string; if it is absent, *out is unchanged. */
 bool unpack_field_str(const msgpack_object *map, unsigned key, size_t max,
 		      struct str *out)
 {
--- a/packages/core/src/member_pack.h
+++ b/packages/core/src/member_pack.h
@@ -3,8 +3,8 @@
 
 /*
  * Thin layer over msgpack-c for messages between members: maps with small
- * integer keys, read defensively. A reader skips keys that it does not know,
- * so that two releases run side by side.
+ * integer keys, validated when they are read. A reader skips unknown keys, so
+ * that two releases can run side by side.
  */
 
 #include <celeryquay/base/err.h>
@@ -26,7 +26,7 @@
 void pack_field_str(struct pack *p, unsigned key, struct str value);
 GBytes *pack_end(struct pack *p);
 
-/* The views that are read point into the data, which must outlive them. */
+/* Strings that are read point into the message, which must outlive them. */
 struct unpack {
 	msgpack_zone zone;
 	msgpack_object root; /* a map */
@@ -36,11 +36,11 @@
 void unpack_close(struct unpack *u);
 /* NULL when the map has no such key. */
 const msgpack_object *unpack_field(const msgpack_object *map, unsigned key);
-/* False when the object is not of that type or larger than max. */
+/* False if the object has another type or exceeds max. */
 bool unpack_u64(const msgpack_object *o, uint64_t max, uint64_t *out);
 bool unpack_str(const msgpack_object *o, size_t max, struct str *out);
 bool unpack_bin(const msgpack_object *o, struct str *out);
-/* A field that may be absent: then true, and *out as it was. */
+/* Optional field: if it is absent, true and *out is unchanged. */
 bool unpack_field_u64(const msgpack_object *map, unsigned key, uint64_t max,
 		      uint64_t *out);
 bool unpack_field_str(const msgpack_object *map, unsigned key, size_t max,
--- a/packages/core/src/member_probe.c
+++ b/packages/core/src/member_probe.c
@@ -3,13 +3,17 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Those who are asked get longer than the member itself: two more ways. */
+/*
+ * Timeout of indirect pings over that of the direct one, as they take two more
+ * one-way trips.
+ */
 #define OTHERS_SHARE 1.5
+/* Between probes that are started out of turn. */
 #define VERIFY_GAP_US (100 * USEC_PER_MSEC)
-/* Longer than any prober waits. */
+/* How long an ack is relayed; longer than any prober waits for it. */
 #define RELAY_US (5 * USEC_PER_SEC)
 
-/* An empty prober; the first probe comes within one interval. */
+/* Initializes the prober; the first probe starts within one interval. */
 void member_probe_init(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
@@ -25,14 +29,14 @@
 	p->next_seed_us = now_us;
 }
 
-/* Frees what the prober holds. */
+/* Frees the prober's lists. */
 void member_probe_clear(struct members *m)
 {
 	g_array_free(m->prober.seeds, TRUE);
 	g_queue_clear(&m->prober.verify);
 }
 
-/* The member goes out of the table. */
+/* Drops all references to a member that is removed from the table. */
 void member_probe_forget(struct members *m, struct member *member)
 {
 	struct member_prober *p = &m->prober;
@@ -46,7 +50,7 @@
 		g_queue_remove(&p->verify, member);
 }
 
-/* Probes the member soon, out of its turn. */
+/* Queues the member to be probed out of turn. */
 void member_probe_verify(struct members *m, struct member *member)
 {
 	struct member_prober *p = &m->prober;
@@ -57,7 +61,7 @@
 	g_queue_push_tail(&p->verify, member);
 }
 
-/* No verdict on what runs: this node itself stood still. */
+/* Drops running probes without a result, after a pause of this process. */
 void member_probe_abandon(struct members *m)
 {
 	unsigned i;
@@ -66,7 +70,7 @@
 		m->prober.probes[i].member = NULL;
 }
 
-/* Numbers for pings, never 0. */
+/* A sequence number for a ping, never 0. */
 uint32_t member_next_seq(struct members *m)
 {
 	m->prober.seq++;
@@ -75,7 +79,10 @@
 	return m->prober.seq;
 }
 
-/* A ping; if the other is not well in the table it is told, to refute. */
+/*
+ * Sends a ping. If member is not alive in the table, the ping carries that
+ * claim, so that the member can refute it. member is NULL for a seed.
+ */
 void member_ping(struct members *m, const struct member_info *to,
 		 const struct member *member, uint32_t seq)
 {
@@ -139,7 +146,7 @@
 	member_send(m, &to->info, &o);
 }
 
-/* Neighbours that could reach the member on another way. */
+/* Asks neighbours, which may reach the member by another route, to ping it. */
 static void ask_others(struct members *m, struct member_probe *probe)
 {
 	GPtrArray *list = m->rings.neighbours;
@@ -159,9 +166,9 @@
 }
 
 /*
- * Neither the member nor anybody in its place answered. When many probes fail
- * of members that nobody else suspects, this node is likely the one that is
- * cut off or overloaded: its timeouts grow, so that it holds back.
+ * Neither the member answered nor one of the nodes asked to ping it. When many
+ * probes of members fail that nobody else suspects, this node itself is likely
+ * cut off or overloaded. Its timeouts grow, so that it suspects fewer members.
  */
 static void probe_failed(struct members *m, struct member_probe *probe,
 			 uint64_t now_us)
@@ -191,7 +198,7 @@
 	}
 }
 
-/* A sign of life: probes of the member have succeeded. */
+/* Ends running probes of the member as successful. */
 void member_probe_alive(struct members *m, struct member *member)
 {
 	unsigned i;
@@ -208,8 +215,8 @@
 }
 
 /*
- * The next member in its turn; without any, a dead one: a node that was cut
- * off alone holds all others for dead and must find them quickly.
+ * Probes the next target. Without any target it pings a dead member: a node
+ * that was cut off alone regards all others as dead and must find them quickly.
  */
 static void probe_in_turn(struct members *m, uint64_t now_us)
 {
@@ -245,7 +252,7 @@
 		member_ping(m, &member->info, member, member_next_seq(m));
 }
 
-/* Runs and starts probes. */
+/* Advances running probes and starts those that are due. */
 void member_probe_tick(struct members *m, uint64_t now_us)
 {
 	probes_advance(m, now_us);
@@ -254,7 +261,7 @@
 	member_seek_tick(m, now_us);
 }
 
-/* Answers, unless the ping was for an earlier owner of this address. */
+/* Answers a ping, unless it is for an earlier owner of this address. */
 void member_on_ping(struct members *m, const struct message *msg,
 		    const struct member_info *from)
 {
@@ -284,7 +291,7 @@
 	g_snprintf(to, size, "%.*s", (int)from.len, from.data);
 }
 
-/* Pings the target in the sender's place and remembers for whom. */
+/* Pings the target on behalf of the sender, to which the ack is relayed. */
 void member_on_ping_req(struct members *m, const struct message *msg,
 			const struct member_info *from, uint64_t now_us)
 {
@@ -339,7 +346,7 @@
 	}
 }
 
-/* An answer to an own probe, straight or through another, or to a relayed. */
+/* Handles an ack to a probe, direct or relayed, or to a ping for another. */
 void member_on_ack(struct members *m, const struct message *msg,
 		   uint64_t now_us)
 {
--- a/packages/core/src/member_ring.c
+++ b/packages/core/src/member_ring.c
@@ -4,20 +4,21 @@
 #include <xxhash.h>
 
 /*
- * Whom a node keeps in touch with. All members stand on some rings, each in
- * the order of another hash of their names; two rings hold the own region
- * only. A node probes those that come next after it and passes news to its
- * neighbours on both sides. So each member has a few that watch it, links
- * between nodes last, and the graph has short ways between all. With partners
- * at random each probe would open a link of its own, which takes ten times as
- * many bytes as the probe.
+ * The choice of neighbours. All members are placed on several rings, each
+ * ordered by another hash of their names; two rings hold only the own region. A
+ * node probes its successors on the rings and sends gossip to its successors
+ * and predecessors. So each member is watched by a few others, connections
+ * between nodes last, and the graph of neighbours has short paths between all
+ * nodes. With random partners each probe would open a connection of its own,
+ * which takes ten times as many bytes as the probe.
  */
 
-/* Up to so many members all are neighbours of all. */
+/* Up to this number of members, all are neighbours of each other. */
 #define RINGS_FROM 13
+/* Tries to find a random neighbour that is present. */
 #define RANDOM_TRIES 8
 
-/* The closest on either side of one ring so far. */
+/* Successor and predecessor of this node on one ring, as found so far. */
 struct ring_sides {
 	struct member *next;
 	struct member *previous;
@@ -25,7 +26,7 @@
 	uint32_t previous_distance;
 };
 
-/* Empty lists, filled in the next tick. */
+/* Initializes empty lists, filled in the next tick. */
 void member_ring_init(struct members *m)
 {
 	m->rings.targets = g_ptr_array_new();
@@ -40,7 +41,7 @@
 	g_ptr_array_free(m->rings.neighbours, TRUE);
 }
 
-/* The member's places, which only its name decides. */
+/* Sets the member's positions on the rings, which depend only on its name. */
 void member_ring_place(struct member *member)
 {
 	size_t len = strlen(member->info.name);
@@ -56,7 +57,10 @@
 		g_ptr_array_add(list, member);
 }
 
-/* Distances run in one direction, so the farthest is the one just before. */
+/*
+ * Distances are measured in one direction around the ring, so the farthest
+ * member is the predecessor.
+ */
 static void look_at(struct ring_sides *sides, struct member *member,
 		    uint32_t distance)
 {
@@ -118,7 +122,7 @@
 	}
 }
 
-/* Finds the neighbours anew if members came or went. */
+/* Builds the lists again if the set of present members changed. */
 void member_ring_update(struct members *m)
 {
 	struct member_rings *r = &m->rings;
@@ -150,7 +154,10 @@
 	m->rings.position = 0;
 }
 
-/* The next to probe, each once before any twice. NULL: nobody is there. */
+/*
+ * The next member to probe; all targets are probed once before one is probed
+ * again. NULL if none is present.
+ */
 struct member *member_ring_target(struct members *m)
 {
 	struct member_rings *r = &m->rings;
@@ -174,7 +181,10 @@
 	return g_ptr_array_find(m->rings.targets, member, NULL);
 }
 
-/* A neighbour at random; anybody when none of them is there. */
+/*
+ * A random neighbour; any present member if no neighbour is found that is
+ * present. NULL if there is none.
+ */
 struct member *member_ring_random(struct members *m)
 {
 	GPtrArray *list = m->rings.neighbours;
--- a/packages/core/src/member_seek.c
+++ b/packages/core/src/member_seek.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/* Pings that a dead member gets from the whole fleet in a second. */
+/* Pings per second that a dead member gets from the whole fleet. */
 #define DEAD_PINGS_PER_S 0.5
+/* Seeds that a node without other members pings at a time. */
 #define SEEDS_AT_ONCE 3
 
 static bool is_dead(const struct member *member)
@@ -11,7 +12,7 @@
 	return member->info.state == MEMBER_DEAD;
 }
 
-/* Pings a dead member at random, with the claim that it has to refute. */
+/* Pings a random dead member, with the claim of its death to refute. */
 void member_seek_dead(struct members *m)
 {
 	struct member *member = member_table_random(m, is_dead);
@@ -21,10 +22,10 @@
 }
 
 /*
- * Tries a dead member now and then. When regions lose each other for an hour
- * each side holds the other for dead, and nobody would ever speak to the other
- * side again. With few dead members only some of the nodes try in each
- * interval, so that a dead one is not pinged by the whole fleet.
+ * Pings a dead member from time to time. After a partition of an hour between
+ * regions each side regards the other as dead and, without these pings, would
+ * never contact it again. With few dead members only some of the nodes send one
+ * in each interval, so that a dead member is not pinged by the whole fleet.
  */
 static void try_dead(struct members *m, uint64_t now_us)
 {
@@ -65,7 +66,11 @@
 	member_ping(m, &to, NULL, member_next_seq(m));
 }
 
-/* A node alone tries some seeds each interval, others one now and then. */
+/*
+ * Pings seeds that no present member has as its address: some per probe
+ * interval while this node knows no other member, else one per two dead-probe
+ * intervals.
+ */
 static void try_seeds(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
@@ -86,7 +91,7 @@
 	}
 }
 
-/* Remembers an address to try; a full list loses a random other one. */
+/* Adds an address to ping; in a full list it replaces a random one. */
 void member_seek_seed(struct members *m, const char *host, uint16_t port)
 {
 	GArray *seeds = m->prober.seeds;
@@ -109,7 +114,7 @@
 	g_array_index(seeds, struct member_seed, i) = seed;
 }
 
-/* Looks for those that are not in touch: the dead, and seeds. */
+/* Pings dead members and seeds that are due. */
 void member_seek_tick(struct members *m, uint64_t now_us)
 {
 	try_dead(m, now_us);
--- a/packages/core/src/member_sync.c
+++ b/packages/core/src/member_sync.c
@@ -2,28 +2,33 @@
 
 #include <string.h>
 
-/* A node that starts asks another member when a part has not come by then. */
+/* A starting node asks another member if a part has not arrived by then. */
 #define PART_TIMEOUT_US USEC_PER_SEC
-/* Nodes that start together know little; they are believed after this. */
+/*
+ * How long a node looks for a complete table before it accepts parts of a table
+ * that is itself still being fetched, as when all nodes start together.
+ */
 #define PARTIAL_WAIT_US (1500 * USEC_PER_MSEC)
+/* Tries to find a random member of the own region. */
 #define NEAR_TRIES 4
-/* With so many unknown names the whole table is fetched again. */
+/* From this number of unknown names on, the whole table is fetched again. */
 #define FETCH_AGAIN 8
-/* A node with seeds that do not answer takes itself for the first one. */
+/* A node whose seeds do not answer by then takes itself for the first one. */
 #define ALONE_US (5 * USEC_PER_SEC)
-/* Tables that differed are compared again so many times sooner. */
+/* After a difference the interval between comparisons is divided by this. */
 #define HURRY 20
-/* One comparison of so many is with any member. */
+/* Every n-th comparison is with any member instead of a neighbour. */
 #define FAR_DIGESTS 4
-/* Members that a node which starts is told of, to ask them on. */
+/* Random members sent to a starting node, which can then ask them. */
 #define INTRODUCED 2
 /*
- * News is sent from what the budget has, tables may run into debt by this
- * many seconds' worth, introductions by some more: whatever is needed in bulk
- * takes a fraction of the bytes this way, and news has to wait for it.
+ * Gossip is sent only from available tokens. Tables may go into debt by this
+ * many seconds of max_bytes_per_s, and referrals by some more: sending changes
+ * in bulk this way takes a fraction of the bytes, so gossip has to wait for it.
  */
 #define TABLE_DEBT_S 1
 #define INTRODUCE_DEBT_S 2
+/* Delay of the next request after a part that did not advance the cursor. */
 #define ASK_AGAIN_US (300 * USEC_PER_MSEC)
 
 static bool spent(const struct members *m)
@@ -32,7 +37,7 @@
 	       -(int64_t)TABLE_DEBT_S * m->settings.max_bytes_per_s;
 }
 
-/* A node starts without a table; the first comparison is at a random time. */
+/* Starts fetching the table; the first comparison is at a random time. */
 void member_sync_init(struct members *m, uint64_t now_us)
 {
 	double share = g_rand_double(m->rng);
@@ -46,8 +51,9 @@
 }
 
 /*
- * The same member for as long as it answers, as each link that is opened costs
- * more than a part; else somebody near, if the table has anybody near yet.
+ * The member to request the next part from: the same one for as long as it
+ * answers, as opening a connection costs more than a part; else a random
+ * member, preferably of the own region.
  */
 static struct member *join_from(struct members *m)
 {
@@ -101,9 +107,9 @@
 }
 
 /*
- * Compares tables with a neighbour, now and then with any member. News is lost
- * sometimes, and after a partition each side has plenty that the other lacks;
- * with the comparison the tables become equal whatever was lost.
+ * Compares tables with a neighbour, and at times with any member. Gossip may be
+ * lost, and after a partition each side has much that the other lacks; the
+ * comparison makes the tables equal whatever was lost.
  */
 static void digest_tick(struct members *m, uint64_t now_us)
 {
@@ -127,7 +133,7 @@
 	member_send(m, &to->info, &o);
 }
 
-/* Takes the whole table when the node starts, then compares now and then. */
+/* Fetches the whole table at the start, then compares it periodically. */
 void member_sync_tick(struct members *m, uint64_t now_us)
 {
 	if (m->syncer.fetching)
@@ -137,9 +143,9 @@
 }
 
 /*
- * Tells of a few members at random. A node that starts knows its seeds alone;
- * when many start together the seeds could not give all of them the table, but
- * they can send them on to each other.
+ * Adds full claims of a few random members. A starting node knows only its
+ * seeds; when many start together, the seeds cannot send the table to all of
+ * them, but can refer them to each other.
  */
 void member_introduce(struct members *m, struct outgoing *o)
 {
@@ -157,8 +163,8 @@
 }
 
 /*
- * Answers with the members whose names come behind the cursor; when the bytes
- * are used up, with whom to ask.
+ * Answers with the members whose names come after the cursor; if the byte
+ * budget is used up, with members to ask instead.
  */
 void member_on_join_ask(struct members *m, const struct message *msg,
 			const struct member_info *from)
@@ -190,9 +196,11 @@
 }
 
 /*
- * The claims were taken in; goes on behind them, not faster than allowed. A
- * sender that is still fetching has gaps, and to go on behind them would leave
- * them open here; unless there is nobody else, as when a whole fleet starts.
+ * Requests the next part once the claims of this one were handled, not faster
+ * than max_join_bytes_per_s allows. The table of a sender that is still
+ * fetching has gaps, and advancing the cursor past them would leave them open
+ * here; such a part is accepted only if no member with a complete table was
+ * found, as when a whole fleet starts.
  */
 void member_on_join_part(struct members *m, const struct message *msg,
 			 size_t len, uint64_t now_us)
@@ -204,7 +212,7 @@
 	s->asking = false;
 	s->next_us = now_us + ASK_AGAIN_US;
 	if (!msg->last && str_cmp(msg->cursor, str_from_c(s->cursor)) <= 0) {
-		s->source[0] = '\0'; /* has no bytes left */
+		s->source[0] = '\0'; /* out of budget */
 		return;
 	}
 	s->next_us = s->asked_us +
@@ -228,7 +236,7 @@
 	hurry(m, now_us);
 }
 
-/* Too much is missing to ask for it name by name. */
+/* Fetches the whole table if too much is missing to request it by name. */
 static void fetch_again(struct members *m, uint64_t now_us)
 {
 	struct member_syncer *s = &m->syncer;
@@ -241,7 +249,7 @@
 	s->progress_us = s->next_us = now_us;
 }
 
-/* Adds what is believed of all members of a bucket, or nothing. */
+/* Adds the claims of all members of a bucket, or none if they do not fit. */
 static bool add_bucket(struct members *m, struct outgoing *o, unsigned bucket)
 {
 	unsigned claims = o->claims->len;
@@ -255,7 +263,7 @@
 		    outgoing_claim(o, member, false,
 				   m->settings.max_message_bytes))
 			continue;
-		/* A bucket that is too long even alone goes in part. */
+		/* A bucket too long for an empty message is sent in part. */
 		if (!claims)
 			return false;
 		g_array_set_size(o->claims, claims);
@@ -266,7 +274,7 @@
 	return true;
 }
 
-/* Answers with what is in buckets that differ, from a random one on. */
+/* Answers with the claims of differing buckets, from a random one on. */
 void member_on_digest(struct members *m, const struct message *msg,
 		      const struct member_info *from, uint64_t now_us)
 {
@@ -305,7 +313,7 @@
 	return NULL;
 }
 
-/* Whether this node knows better than the claim, which may be absent. */
+/* Whether this node's row is newer than the claim, which may be NULL. */
 static bool is_ahead(const struct member *member, const struct claim *c)
 {
 	if (!c)
@@ -316,8 +324,8 @@
 }
 
 /*
- * The other's claims were taken in; gives back what it lacks. A claim of death
- * goes with the rest: the other takes it as a hint to probe.
+ * Sends back what the sender lacks, after its claims were handled. Claims of
+ * death are included; the receiver only takes them as a reason to probe.
  */
 void member_on_diff(struct members *m, const struct message *msg,
 		    const struct member_info *from, uint64_t now_us)
@@ -349,7 +357,7 @@
 		outgoing_clear(&o);
 }
 
-/* Asks for the full claims of names that came without. */
+/* Requests the full claims of names that came in short claims. */
 void member_sync_ask_records(struct members *m, const struct member_info *to)
 {
 	struct outgoing o;
@@ -364,7 +372,7 @@
 	member_send(m, to, &o);
 }
 
-/* Answers with full claims, as many as fit. */
+/* Answers with the requested full claims, as many as fit. */
 void member_on_record_ask(struct members *m, const struct message *msg,
 			  const struct member_info *from)
 {
--- a/packages/core/src/member_table.c
+++ b/packages/core/src/member_table.c
@@ -3,9 +3,10 @@
 #include <string.h>
 #include <xxhash.h>
 
+/* Random rows tried before the table is searched in order. */
 #define RANDOM_TRIES 8
 
-/* Whether this state is the end of a process: it takes no part any more. */
+/* Whether the state means that the process no longer runs. */
 bool member_is_gone(enum member_state state)
 {
 	return state == MEMBER_DEAD || state == MEMBER_LEFT;
@@ -17,13 +18,13 @@
 	return !member_is_gone(member->info.state);
 }
 
-/* The part of the table whose hash it goes into. */
+/* The part of the table whose digest includes the member. */
 unsigned member_bucket(const struct member *member)
 {
 	return member->hash % MEMBER_BUCKETS;
 }
 
-/* The index of the name, or where it would go. */
+/* The index of the name, or where it would be inserted. */
 static unsigned table_search(struct members *m, struct str name, bool *found)
 {
 	unsigned low = 0;
@@ -64,7 +65,7 @@
 	to[len] = '\0';
 }
 
-/* Takes over what a full claim says of the process. */
+/* Copies the properties of the process from a full claim. */
 void member_table_describe(struct member *member, const struct claim *c)
 {
 	struct member_info *info = &member->info;
@@ -80,7 +81,7 @@
 	member->meta = c->meta;
 }
 
-/* A new row from a full claim, NULL when the table is full. */
+/* Adds a row from a full claim; NULL if it exists or the table is full. */
 struct member *member_table_add(struct members *m, const struct claim *c)
 {
 	struct member *member;
@@ -102,7 +103,7 @@
 	return member;
 }
 
-/* What a member adds to its bucket; the dead are not compared. */
+/* The member's part of its bucket's digest; 0 if it is dead or has left. */
 static uint32_t table_digest(const struct member *member)
 {
 	uint64_t words[2] = { member->info.incarnation, 0 };
@@ -114,7 +115,7 @@
 	return (uint32_t)XXH64(words, sizeof(words), member->hash);
 }
 
-/* Takes the member out of counts and hashes, before it is changed. */
+/* Subtracts the member from counts and digests, before it is changed. */
 void member_table_take_out(struct members *m, const struct member *member)
 {
 	m->n_live -= !member_is_gone(member->info.state);
@@ -122,7 +123,7 @@
 	m->buckets[member_bucket(member)] ^= table_digest(member);
 }
 
-/* Counts it again, after the change. */
+/* Adds the member to counts and digests again, after the change. */
 void member_table_put_back(struct members *m, struct member *member)
 {
 	bool takes_part = member_takes_part(member);
@@ -134,12 +135,12 @@
 	m->buckets[member_bucket(member)] ^= table_digest(member);
 }
 
-/* Removes those that have been gone for long. */
+/* Removes members that have been dead or left for forget_dead_us. */
 void member_table_forget(struct members *m, uint64_t now_us)
 {
 	unsigned i = m->table->len;
 
-	/* So that no list has a member that goes. */
+	/* So that no list refers to a member that is removed. */
 	member_ring_update(m);
 	while (i--) {
 		struct member *member = g_ptr_array_index(m->table, i);
@@ -154,7 +155,7 @@
 	}
 }
 
-/* One of the others that passes the filter, NULL if none was found. */
+/* A random other member that passes the filter; NULL if there is none. */
 struct member *member_table_random(struct members *m, member_filter_fn filter)
 {
 	unsigned n = m->table->len;
