--- a/packages/core/include/celeryquay/core/member.h
+++ b/packages/core/include/celeryquay/core/member.h
@@ -60,11 +60,11 @@
 	 * Shortest time from suspicion to dead for up to 10 members; grows with
 	 * the logarithm of their number.
 	 */
-	uint64_t suspect_us;
+	uint64_t suspect_timeout_us;
 	/* Members that are dead or have left are removed after this time. */
 	uint64_t forget_dead_us;
 	/* Between pings to a dead member; twice that between pings to seeds. */
-	uint64_t dead_probe_us;
+	uint64_t dead_probe_interval_us;
 	/* Between rounds of gossip messages while changes are queued. */
 	uint64_t gossip_interval_us;
 	uint64_t sync_interval_us; /* between comparisons of whole tables */
--- a/packages/core/src/member.c
+++ b/packages/core/src/member.c
@@ -11,12 +11,12 @@
 /* Capacity of the token bucket, and its largest debt: max_bytes_per_s times. */
 #define BURST_S 2
 /* Bytes of each message that cost no tokens: a probe or ack without claims. */
-#define BARE_BYTES 100
+#define UNCHARGED_BYTES 100
 /* Longer than regions are expected to be partitioned from each other. */
 #define FORGET_DEAD_S 10800ULL
 #define FORGET_INTERVAL_US (10 * USEC_PER_SEC)
 /* Shortest time between contradictions sent to one member. */
-#define CONTRADICT_US (500 * USEC_PER_MSEC)
+#define CONTRADICT_INTERVAL_US (500 * USEC_PER_MSEC)
 
 /*
  * Defaults for up to some thousands of members. A node sends two probes and
@@ -29,9 +29,9 @@
 	*s = (struct member_settings){
 		.probe_interval_us = 500 * USEC_PER_MSEC,
 		.probe_timeout_us = 400 * USEC_PER_MSEC,
-		.suspect_us = USEC_PER_SEC,
+		.suspect_timeout_us = USEC_PER_SEC,
 		.forget_dead_us = FORGET_DEAD_S * USEC_PER_SEC,
-		.dead_probe_us = 5 * USEC_PER_SEC,
+		.dead_probe_interval_us = 5 * USEC_PER_SEC,
 		.gossip_interval_us = 200 * USEC_PER_MSEC,
 		.sync_interval_us = 5 * USEC_PER_SEC,
 		.indirect_probes = 3,
@@ -53,7 +53,7 @@
  * incarnation, so that a restart differs from a refutation, and a claim that
  * carries only the hash is applied to the record of the right process.
  */
-uint32_t member_meta(const struct member_info *info)
+uint32_t member_process_hash(const struct member_info *info)
 {
 	uint64_t words[4] = { info->peer_port, info->incarnation,
 			      info->version_min, info->version_max };
@@ -69,9 +69,9 @@
  * Timeouts grow up to fourfold while this node's probes of members that nobody
  * else suspects fail.
  */
-uint64_t member_stretch(const struct members *m, uint64_t us)
+uint64_t member_scale_timeout(const struct members *m, uint64_t us)
 {
-	return us * (1 + m->health);
+	return us * (1 + m->health_penalty);
 }
 
 static void add_self(struct members *m, const struct member_info *info,
@@ -81,7 +81,7 @@
 		.name = str_from_c(info->name),
 		.incarnation = info->incarnation,
 		.state = MEMBER_ALIVE,
-		.meta = member_meta(info),
+		.process_hash = member_process_hash(info),
 		.full = true,
 		.host = str_from_c(info->host),
 		.port = info->peer_port,
@@ -93,8 +93,8 @@
 	};
 
 	m->self = member_table_add(m, &claim);
-	m->self->since_us = now_us;
-	member_news_add(m, m->self, true);
+	m->self->state_since_us = now_us;
+	member_gossip_add(m, m->self, true);
 }
 
 /*
@@ -115,10 +115,10 @@
 	m->rng = rng;
 	m->table = g_ptr_array_new_with_free_func(g_free);
 	m->suspects = g_ptr_array_new();
-	m->wants = g_array_new(FALSE, FALSE, sizeof(struct str));
-	m->last_tick_us = m->tokens_us = now_us;
+	m->missing_names = g_array_new(FALSE, FALSE, sizeof(struct str));
+	m->last_tick_at_us = m->refilled_at_us = now_us;
 	m->tokens = (int64_t)BURST_S * settings->max_bytes_per_s;
-	m->next_forget_us = now_us + FORGET_INTERVAL_US;
+	m->next_forget_at_us = now_us + FORGET_INTERVAL_US;
 	member_ring_init(m);
 	add_self(m, self, now_us);
 	member_probe_init(m, now_us);
@@ -133,7 +133,7 @@
 		return;
 	member_probe_clear(m);
 	member_ring_clear(m);
-	g_array_free(m->wants, TRUE);
+	g_array_free(m->missing_names, TRUE);
 	g_ptr_array_free(m->suspects, TRUE);
 	g_ptr_array_free(m->table, TRUE);
 	g_free(m);
@@ -150,21 +150,24 @@
 
 	if (peer_port == self->peer_port && !strcmp(host, self->host))
 		return;
-	member_seek_seed(m, host, peer_port);
+	member_reconnect_add_seed(m, host, peer_port);
 	if (m->n_live == 1)
-		m->prober.next_seed_us = MIN(m->prober.next_seed_us, now_us);
+		m->prober.next_seed_at_us =
+			MIN(m->prober.next_seed_at_us, now_us);
 }
 
 static void refill(struct members *m, uint64_t now_us)
 {
-	int64_t most = (int64_t)BURST_S * m->settings.max_bytes_per_s;
-	uint64_t elapsed = MIN(now_us - m->tokens_us, BURST_S * USEC_PER_SEC);
-	uint64_t bytes = elapsed * m->settings.max_bytes_per_s / USEC_PER_SEC;
+	int64_t max_tokens = (int64_t)BURST_S * m->settings.max_bytes_per_s;
+	uint64_t elapsed_us =
+		MIN(now_us - m->refilled_at_us, BURST_S * USEC_PER_SEC);
+	uint64_t bytes =
+		elapsed_us * m->settings.max_bytes_per_s / USEC_PER_SEC;
 
 	if (!bytes)
 		return;
-	m->tokens = MIN(m->tokens + (int64_t)bytes, most);
-	m->tokens_us = now_us;
+	m->tokens = MIN(m->tokens + (int64_t)bytes, max_tokens);
+	m->refilled_at_us = now_us;
 }
 
 /*
@@ -175,16 +178,16 @@
 void member_send(struct members *m, const struct member_info *to,
 		 struct outgoing *o)
 {
-	int64_t most = (int64_t)BURST_S * m->settings.max_bytes_per_s;
+	int64_t max_tokens = (int64_t)BURST_S * m->settings.max_bytes_per_s;
 	GBytes *bytes;
 	size_t len;
 
-	member_news_fill(m, o);
+	member_gossip_fill(m, o);
 	bytes = outgoing_pack(o, m);
 	len = g_bytes_get_size(bytes);
-	if (len > BARE_BYTES)
-		m->tokens -= (int64_t)(len - BARE_BYTES);
-	m->tokens = MAX(m->tokens, -most);
+	if (len > UNCHARGED_BYTES)
+		m->tokens -= (int64_t)(len - UNCHARGED_BYTES);
+	m->tokens = MAX(m->tokens, -max_tokens);
 	m->bytes_sent += len;
 	m->ops->send(m->ctx, to, bytes);
 	g_bytes_unref(bytes);
@@ -199,16 +202,16 @@
  */
 static void check_pause(struct members *m, uint64_t now_us)
 {
-	uint64_t gap_us = now_us - m->last_tick_us;
+	uint64_t gap_us = now_us - m->last_tick_at_us;
 
-	m->last_tick_us = now_us;
+	m->last_tick_at_us = now_us;
 	if (gap_us <= m->settings.probe_timeout_us)
 		return;
-	LOG_INFO("not running for %u ms, holding back suspicions",
+	LOG_INFO("did not execute for %u ms, holding back suspicions",
 		 (unsigned)(gap_us / USEC_PER_MSEC));
 	member_probe_abandon(m);
 	member_suspicion_shift(m, gap_us, now_us);
-	m->health = MEMBER_HEALTH_MAX;
+	m->health_penalty = MEMBER_HEALTH_PENALTY_MAX;
 }
 
 /*
@@ -224,11 +227,11 @@
 	member_ring_update(m);
 	member_probe_tick(m, now_us);
 	member_suspicion_tick(m, now_us);
-	member_news_tick(m, now_us);
+	member_gossip_tick(m, now_us);
 	member_sync_tick(m, now_us);
-	if (now_us < m->next_forget_us)
+	if (now_us < m->next_forget_at_us)
 		return;
-	m->next_forget_us = now_us + FORGET_INTERVAL_US;
+	m->next_forget_at_us = now_us + FORGET_INTERVAL_US;
 	member_table_forget(m, now_us);
 }
 
@@ -240,7 +243,7 @@
 	case MESSAGE_RECORDS:
 		return CLAIM_SYNC;
 	default:
-		return CLAIM_NEWS;
+		return CLAIM_GOSSIP;
 	}
 }
 
@@ -262,11 +265,11 @@
 	out->peer_port = c->port;
 }
 
-static void take_claims(struct members *m, const struct message *msg,
-			uint64_t now_us)
+static void handle_claims(struct members *m, const struct message *msg,
+			  uint64_t now_us)
 {
 	enum claim_source source = claims_source(msg);
-	uint32_t from = member_name_hash(msg->sender.name);
+	uint32_t sender_hash = member_name_hash(msg->sender.name);
 	unsigned i;
 
 	for (i = 0; i < msg->claims->len; i++) {
@@ -274,10 +277,10 @@
 			&g_array_index(msg->claims, struct claim, i);
 		bool own = str_eq(c->name, msg->sender.name);
 
-		member_claim_take(m, c, own ? CLAIM_DIRECT : source, from,
-				  now_us);
+		member_on_claim(m, c, own ? CLAIM_DIRECT : source, sender_hash,
+				now_us);
 	}
-	member_claim_take(m, &msg->sender, CLAIM_DIRECT, from, now_us);
+	member_on_claim(m, &msg->sender, CLAIM_DIRECT, sender_hash, now_us);
 }
 
 /*
@@ -296,16 +299,17 @@
 		return;
 	if (!higher && state != MEMBER_DEAD && state != MEMBER_SUSPECT)
 		return;
-	if (now_us - sender->contradicted_us < CONTRADICT_US)
+	if (now_us - sender->contradicted_at_us < CONTRADICT_INTERVAL_US)
 		return;
-	sender->contradicted_us = now_us;
-	outgoing_init(&o, m, MESSAGE_NEWS);
+	sender->contradicted_at_us = now_us;
+	outgoing_init(&o, m, MESSAGE_GOSSIP);
 	outgoing_claim(&o, sender, false, m->settings.max_message_bytes);
 	member_send(m, &sender->info, &o);
 }
 
-static void handle(struct members *m, const struct message *msg, size_t len,
-		   const struct member_info *from, uint64_t now_us)
+static void dispatch_message(struct members *m, const struct message *msg,
+			     size_t len, const struct member_info *from,
+			     uint64_t now_us)
 {
 	switch (msg->type) {
 	case MESSAGE_PING:
@@ -317,8 +321,8 @@
 	case MESSAGE_PING_REQ:
 		member_on_ping_req(m, msg, from, now_us);
 		break;
-	case MESSAGE_JOIN_ASK:
-		member_on_join_ask(m, msg, from);
+	case MESSAGE_JOIN_REQUEST:
+		member_on_join_request(m, msg, from);
 		break;
 	case MESSAGE_JOIN_PART:
 		member_on_join_part(m, msg, len, now_us);
@@ -329,30 +333,30 @@
 	case MESSAGE_DIFF:
 		member_on_diff(m, msg, from, now_us);
 		break;
-	case MESSAGE_RECORD_ASK:
-		member_on_record_ask(m, msg, from);
+	case MESSAGE_RECORD_REQUEST:
+		member_on_record_request(m, msg, from);
 		break;
 	default: /* only claims, or a type from a later release */
 		break;
 	}
 }
 
-static void take_message(struct members *m, const struct message *msg,
-			 size_t len, uint64_t now_us)
+static void process_message(struct members *m, const struct message *msg,
+			    size_t len, uint64_t now_us)
 {
 	struct member_info from;
 	struct member *sender;
 
-	g_array_set_size(m->wants, 0);
-	take_claims(m, msg, now_us);
+	g_array_set_size(m->missing_names, 0);
+	handle_claims(m, msg, now_us);
 	sender = member_table_find(m, msg->sender.name);
 	sender_info(m, msg, &from);
 	if (sender) {
-		sender->heard_us = now_us;
+		sender->heard_at_us = now_us;
 		contradict(m, sender, msg, now_us);
 	}
-	handle(m, msg, len, &from, now_us);
-	member_sync_ask_records(m, &from);
+	dispatch_message(m, msg, len, &from, now_us);
+	member_sync_request_records(m, &from);
 }
 
 /*
@@ -376,7 +380,7 @@
 	ok = message_parse(&msg, &unpack, err);
 	if (ok && !m->left &&
 	    !str_eq(msg.sender.name, str_from_c(m->self->info.name)))
-		take_message(m, &msg, message.len, now_us);
+		process_message(m, &msg, message.len, now_us);
 	if (ok)
 		message_clear(&msg);
 	unpack_close(&unpack);
@@ -393,7 +397,7 @@
 
 	if (!member || member == m->self)
 		return;
-	member->heard_us = now_us;
+	member->heard_at_us = now_us;
 	member_probe_alive(m, member);
 	if (member->info.state == MEMBER_SUSPECT ||
 	    member->info.state == MEMBER_DEAD)
@@ -422,7 +426,7 @@
 		return;
 	member_self_change(m, MEMBER_LEFT, m->self->info.incarnation + 1,
 			   now_us);
-	member_news_tick(m, now_us);
+	member_gossip_tick(m, now_us);
 	m->left = true;
 }
 
--- a/packages/core/src/member_claim.c
+++ b/packages/core/src/member_claim.c
@@ -15,14 +15,14 @@
  */
 
 /* A suspicion that no other node confirms lasts this many times longer. */
-#define SUSPICION_SPREAD 4
+#define SUSPICION_MAX_FACTOR 4
 /* Share by which the timeout grows for each tenfold number of members. */
 #define SUSPICION_PER_DECADE 0.5
 /* Expected number of nodes that verify, besides the member's watchers. */
 #define SUSPICION_VERIFIERS 2
 /* Names noted per message whose full claims are requested. */
-#define WANTS_MAX 32
-#define DOUBT_GAP_US USEC_PER_SEC
+#define MISSING_NAMES_MAX 32
+#define DEATH_CHECK_INTERVAL_US USEC_PER_SEC
 /* Shortest time between raises above another process of the same name. */
 #define OUTBID_INTERVAL_US USEC_PER_SEC
 
@@ -32,13 +32,13 @@
 	return (unsigned)state;
 }
 
-static void want_full(struct members *m, struct str name)
+static void note_missing(struct members *m, struct str name)
 {
-	if (m->wants->len < WANTS_MAX)
-		g_array_append_val(m->wants, name);
+	if (m->missing_names->len < MISSING_NAMES_MAX)
+		g_array_append_val(m->missing_names, name);
 }
 
-static void tell_changed(struct members *m, const struct member *member)
+static void notify_changed(struct members *m, const struct member *member)
 {
 	m->changes++;
 	if (m->ops->changed)
@@ -52,15 +52,15 @@
 	struct member *self = m->self;
 	bool full = incarnation > self->info.incarnation + 1;
 
-	member_table_take_out(m, self);
+	member_table_before_change(m, self);
 	if (self->info.state != state)
 		m->changes++;
 	self->info.state = state;
 	self->info.incarnation = incarnation;
-	self->since_us = now_us;
-	member_table_put_back(m, self);
-	member_news_add(m, self, full);
-	m->news.next_us = now_us;
+	self->state_since_us = now_us;
+	member_table_after_change(m, self);
+	member_gossip_add(m, self, full);
+	m->gossip.next_send_at_us = now_us;
 }
 
 /*
@@ -72,8 +72,8 @@
  * without end, so the incarnation is raised at most once a second, and this is
  * logged.
  */
-static void claim_of_self(struct members *m, const struct claim *c,
-			  uint64_t now_us)
+static void claim_about_self(struct members *m, const struct claim *c,
+			     uint64_t now_us)
 {
 	const struct member_info *self = &m->self->info;
 
@@ -82,12 +82,13 @@
 	if (c->incarnation == self->incarnation) {
 		if (rank(c->state) <= rank(self->state))
 			return;
-		LOG_INFO("held to be %s by others, refuting",
+		LOG_INFO("held as %s elsewhere, refuting",
 			 c->state == MEMBER_SUSPECT ? "suspect" : "dead");
 	} else {
-		if (m->raised_us && now_us - m->raised_us < OUTBID_INTERVAL_US)
+		if (m->outbid_at_us &&
+		    now_us - m->outbid_at_us < OUTBID_INTERVAL_US)
 			return;
-		m->raised_us = now_us;
+		m->outbid_at_us = now_us;
 		LOG_WARN("a node of the same name has incarnation %" PRIu64
 			 ", this one %" PRIu64,
 			 c->incarnation, self->incarnation);
@@ -115,48 +116,48 @@
 		member->suspect_index = m->suspects->len;
 		g_ptr_array_add(m->suspects, member);
 	}
-	member->suspect_us = now_us;
+	member->suspected_at_us = now_us;
 }
 
 /* Counts a node suspecting the member; false if counted before or full. */
-static bool add_by(struct member *member, uint32_t by)
+static bool add_suspecter(struct member *member, uint32_t suspecter)
 {
 	unsigned i;
 
-	for (i = 0; i < member->n_by; i++) {
-		if (member->by[i] == by)
+	for (i = 0; i < member->n_suspecters; i++) {
+		if (member->suspecters[i] == suspecter)
 			return false;
 	}
-	if (member->n_by == MEMBER_BY_MAX)
+	if (member->n_suspecters == MEMBER_SUSPECTERS_MAX)
 		return false;
-	member->by[member->n_by++] = by;
+	member->suspecters[member->n_suspecters++] = suspecter;
 	return true;
 }
 
-static bool merge_by(struct member *member, const struct claim *c)
+static bool merge_suspecters(struct member *member, const struct claim *c)
 {
-	bool news = false;
+	bool added = false;
 	unsigned i;
 
-	for (i = 0; i < c->n_by; i++)
-		news |= add_by(member, c->by[i]);
-	return news;
+	for (i = 0; i < c->n_suspecters; i++)
+		added |= add_suspecter(member, c->suspecters[i]);
+	return added;
 }
 
 static void set_state(struct members *m, struct member *member,
 		      enum member_state state, uint64_t incarnation,
 		      uint64_t now_us)
 {
-	member_table_take_out(m, member);
+	member_table_before_change(m, member);
 	if (member->info.state != state)
-		member->since_us = now_us;
+		member->state_since_us = now_us;
 	member->info.state = state;
 	member->info.incarnation = incarnation;
-	member_table_put_back(m, member);
+	member_table_after_change(m, member);
 	if (state != MEMBER_SUSPECT)
 		suspicion_end(m, member);
 	if (state != MEMBER_SUSPECT && state != MEMBER_DEAD)
-		member->n_by = 0;
+		member->n_suspecters = 0;
 }
 
 /*
@@ -178,38 +179,39 @@
  * partition all tables say so of hundreds, and each probe may open a
  * connection.
  */
-static void doubt(struct members *m, struct member *member, uint64_t now_us)
+static void check_reported_death(struct members *m, struct member *member,
+				 uint64_t now_us)
 {
 	if (!member_ring_watches(m, member)) {
-		if (now_us - m->doubted_us < DOUBT_GAP_US)
+		if (now_us - m->death_check_at_us < DEATH_CHECK_INTERVAL_US)
 			return;
-		m->doubted_us = now_us;
+		m->death_check_at_us = now_us;
 	}
 	member_probe_verify(m, member);
 }
 
-static void claim_new(struct members *m, const struct claim *c,
-		      enum claim_source source, uint64_t now_us)
+static void claim_add_member(struct members *m, const struct claim *c,
+			     enum claim_source source, uint64_t now_us)
 {
 	struct member *member;
 
 	if (member_is_gone(c->state))
 		return;
 	if (!c->full) {
-		want_full(m, c->name);
+		note_missing(m, c->name);
 		return;
 	}
 	member = member_table_add(m, c);
 	if (!member)
 		return;
-	member->since_us = now_us;
+	member->state_since_us = now_us;
 	if (c->state == MEMBER_SUSPECT) {
-		merge_by(member, c);
+		merge_suspecters(member, c);
 		suspicion_begin(m, member, now_us);
 	}
 	if (source != CLAIM_SYNC)
-		member_news_add(m, member, true);
-	tell_changed(m, member);
+		member_gossip_add(m, member, true);
+	notify_changed(m, member);
 }
 
 /*
@@ -221,16 +223,16 @@
  * suspicion before it, and else starts a suspicion, so that a node which cannot
  * hear the others' refutations cannot declare them dead.
  */
-static enum member_state claim_weigh(const struct member *member,
-				     const struct claim *c,
-				     enum claim_source source)
+static enum member_state claim_effective_state(const struct member *member,
+					       const struct claim *c,
+					       enum claim_source source)
 {
 	bool known = member->suspected &&
 		     member->info.incarnation == c->incarnation;
 
-	if (!member_takes_part(member))
+	if (!member_is_present(member))
 		return c->state;
-	if (source == CLAIM_SYNC && member->meta == c->meta &&
+	if (source == CLAIM_SYNC && member->process_hash == c->process_hash &&
 	    (c->state == MEMBER_SUSPECT || c->state == MEMBER_DEAD))
 		return MEMBER_ALIVE;
 	if (c->state == MEMBER_DEAD && !known)
@@ -240,47 +242,48 @@
 
 static void claim_apply(struct members *m, struct member *member,
 			const struct claim *c, enum member_state state,
-			enum claim_source source, uint32_t from,
+			enum claim_source source, uint32_t sender_hash,
 			uint64_t now_us)
 {
-	bool replaced = member->meta != c->meta;
+	bool replaced = member->process_hash != c->process_hash;
 	bool changed = replaced || member->info.state != state;
 
 	if (c->incarnation > member->info.incarnation)
-		member->n_by = 0;
+		member->n_suspecters = 0;
 	set_state(m, member, state, c->incarnation, now_us);
 	if (replaced) {
-		member_table_take_out(m, member);
-		member_table_describe(member, c);
-		member_table_put_back(m, member);
+		member_table_before_change(m, member);
+		member_table_copy_details(member, c);
+		member_table_after_change(m, member);
 	}
 	if (state == MEMBER_SUSPECT) {
-		merge_by(member, c);
-		if (!c->n_by)
-			add_by(member, from);
+		merge_suspecters(member, c);
+		if (!c->n_suspecters)
+			add_suspecter(member, sender_hash);
 		suspicion_begin(m, member, now_us);
 		maybe_verify(m, member);
 	}
 	if (source != CLAIM_SYNC)
-		member_news_add(m, member, replaced);
+		member_gossip_add(m, member, replaced);
 	if (changed)
-		tell_changed(m, member);
+		notify_changed(m, member);
 }
 
 /* Handles one claim; sender_hash is the hash of the sender's name. */
-void member_claim_take(struct members *m, const struct claim *c,
-		       enum claim_source source, uint32_t from, uint64_t now_us)
+void member_on_claim(struct members *m, const struct claim *c,
+		     enum claim_source source, uint32_t sender_hash,
+		     uint64_t now_us)
 {
 	struct member *member;
 	enum member_state state;
 
 	if (str_eq(c->name, str_from_c(m->self->info.name))) {
-		claim_of_self(m, c, now_us);
+		claim_about_self(m, c, now_us);
 		return;
 	}
 	member = member_table_find(m, c->name);
 	if (!member) {
-		claim_new(m, c, source, now_us);
+		claim_add_member(m, c, source, now_us);
 		return;
 	}
 	if (c->incarnation < member->info.incarnation)
@@ -288,22 +291,22 @@
 	if (c->incarnation == member->info.incarnation &&
 	    rank(c->state) <= rank(member->info.state)) {
 		if (c->state == MEMBER_SUSPECT && member->suspected &&
-		    merge_by(member, c))
-			member_news_add(m, member, false);
+		    merge_suspecters(member, c))
+			member_gossip_add(m, member, false);
 		return;
 	}
-	if (c->meta != member->meta && !c->full) {
-		want_full(m, c->name);
+	if (c->process_hash != member->process_hash && !c->full) {
+		note_missing(m, c->name);
 		return;
 	}
-	state = claim_weigh(member, c, source);
+	state = claim_effective_state(member, c, source);
 	if (state == MEMBER_ALIVE && c->state != MEMBER_ALIVE)
-		doubt(m, member, now_us);
+		check_reported_death(m, member, now_us);
 	else if (state == MEMBER_SUSPECT &&
 		 member->info.state == MEMBER_LEAVING)
 		member_suspect(m, member, now_us);
 	else
-		claim_apply(m, member, c, state, source, from, now_us);
+		claim_apply(m, member, c, state, source, sender_hash, now_us);
 }
 
 /*
@@ -322,15 +325,15 @@
 	if (state != MEMBER_ALIVE && state != MEMBER_SUSPECT)
 		return;
 	if (state == MEMBER_ALIVE) {
-		member->n_by = 0;
+		member->n_suspecters = 0;
 		set_state(m, member, MEMBER_SUSPECT, member->info.incarnation,
 			  now_us);
 		suspicion_begin(m, member, now_us);
 	}
-	if (add_by(member, m->self->hash))
-		member_news_add(m, member, false);
+	if (add_suspecter(member, m->self->hash))
+		member_gossip_add(m, member, false);
 	if (state == MEMBER_ALIVE)
-		tell_changed(m, member);
+		notify_changed(m, member);
 }
 
 /*
@@ -343,17 +346,20 @@
 {
 	double n = (double)m->n_live;
 	double decades = MAX(0.0, log10(n) - 1.0);
-	double least = (double)m->settings.suspect_us *
-		       (1.0 + SUSPICION_PER_DECADE * decades);
-	double most = SUSPICION_SPREAD * least;
-	unsigned expected, shared;
+	double min_us = (double)m->settings.suspect_timeout_us *
+			(1.0 + SUSPICION_PER_DECADE * decades);
+	double max_us = SUSPICION_MAX_FACTOR * min_us;
+	unsigned expected, confirmed;
 
 	if (member->info.state == MEMBER_LEAVING || m->n_live < 3)
-		return member_stretch(m, (uint64_t)least);
-	expected = MIN(MEMBER_BY_MAX - 1, m->n_live - 2);
-	shared = member->n_by ? MIN(member->n_by - 1, expected) : 0;
-	most -= (most - least) * log(shared + 1.0) / log(expected + 1.0);
-	return member_stretch(m, (uint64_t)most);
+		return member_scale_timeout(m, (uint64_t)min_us);
+	expected = MIN(MEMBER_SUSPECTERS_MAX - 1, m->n_live - 2);
+	confirmed = member->n_suspecters ?
+			    MIN(member->n_suspecters - 1, expected) :
+			    0;
+	max_us -=
+		(max_us - min_us) * log(confirmed + 1.0) / log(expected + 1.0);
+	return member_scale_timeout(m, (uint64_t)max_us);
 }
 
 /* Declares suspects dead whose time to refute is over, leaving ones left. */
@@ -366,14 +372,15 @@
 		bool leaving = member->info.state == MEMBER_LEAVING;
 
 		/* Heard from since: it can refute once it is told. */
-		if (member->heard_us > member->suspect_us)
-			member->suspect_us = member->heard_us;
-		if (now_us - member->suspect_us < suspicion_timeout(m, member))
+		if (member->heard_at_us > member->suspected_at_us)
+			member->suspected_at_us = member->heard_at_us;
+		if (now_us - member->suspected_at_us <
+		    suspicion_timeout(m, member))
 			continue;
 		set_state(m, member, leaving ? MEMBER_LEFT : MEMBER_DEAD,
 			  member->info.incarnation, now_us);
-		member_news_add(m, member, false);
-		tell_changed(m, member);
+		member_gossip_add(m, member, false);
+		notify_changed(m, member);
 	}
 }
 
@@ -385,6 +392,7 @@
 	for (i = 0; i < m->suspects->len; i++) {
 		struct member *member = g_ptr_array_index(m->suspects, i);
 
-		member->suspect_us = MIN(now_us, member->suspect_us + gap_us);
+		member->suspected_at_us =
+			MIN(now_us, member->suspected_at_us + gap_us);
 	}
 }
--- a/packages/core/src/member_internal.h
+++ b/packages/core/src/member_internal.h
@@ -5,7 +5,7 @@
  * Internal interface of the membership module. member.c has the public calls;
  * member_table.c the table of members; member_ring.c the choice of neighbours;
  * member_claim.c the rules by which claims change a member's state;
- * member_gossip.c the queue of changes to pass on; member_probe.c the probes;
+ * member_news.c the queue of changes to pass on; member_probe.c the probes;
  * member_reconnect.c the pings to dead members and seeds; member_sync.c the
  * comparison of whole tables; member_message.c the codec.
  */
@@ -16,19 +16,19 @@
 
 #define MEMBER_NAME_MAX (sizeof(((struct member_info *)NULL)->name) - 1)
 #define MEMBER_HOST_MAX (sizeof(((struct member_info *)NULL)->host) - 1)
-#define MEMBER_PLACE_MAX (sizeof(((struct member_info *)NULL)->region) - 1)
+#define MEMBER_LOCATION_MAX (sizeof(((struct member_info *)NULL)->region) - 1)
 #define MEMBER_CURVE_LEN 40
 
 /* Rows of the table, so that peers cannot make it grow without bound. */
 #define MEMBER_TABLE_MAX 16384
 /* Distinct nodes counted as suspecting a member, the first one included. */
-#define MEMBER_BY_MAX 4
+#define MEMBER_SUSPECTERS_MAX 4
 /* Parts of the table, by name hash, whose digests are compared. */
 #define MEMBER_BUCKETS 64
 /* Levels of the gossip queue, by how often an entry has been sent. */
-#define MEMBER_NEWS_LEVELS 32
+#define MEMBER_GOSSIP_LEVELS 32
 /* Rings of all members; the rings after them hold the own region only. */
-#define MEMBER_RINGS_OF_ALL 4
+#define MEMBER_GLOBAL_RINGS 4
 #define MEMBER_RINGS 6
 #define MEMBER_PROBES_MAX 64
 #define MEMBER_RELAYS_MAX 64
@@ -38,31 +38,32 @@
  * Failed probes by this node raise health_penalty up to this, and timeouts are
  * multiplied by 1 + health_penalty.
  */
-#define MEMBER_HEALTH_MAX 3
+#define MEMBER_HEALTH_PENALTY_MAX 3
 
 struct member {
 	struct member_info info;
 	uint32_t hash; /* of the name */
 	/* Hash of what a process never changes, computed by the process. */
-	uint32_t meta;
-	uint64_t since_us; /* when the state last changed */
-	uint64_t heard_us; /* last sign of life that this node received */
-	uint64_t contradicted_us; /* when last sent a claim to refute */
+	uint32_t process_hash;
+	uint64_t state_since_us; /* when the state last changed */
+	uint64_t heard_at_us; /* last sign of life that this node received */
+	uint64_t contradicted_at_us; /* when last sent a claim to refute */
 	/* Also set for a leaving member, whose state stays MEMBER_LEAVING. */
 	bool suspected;
 	unsigned suspect_index; /* in members.suspects */
-	uint64_t suspect_us; /* start of the suspicion's timeout */
-	unsigned n_by;
-	uint32_t by[MEMBER_BY_MAX]; /* name hashes of those suspecting it */
+	uint64_t suspected_at_us; /* start of the suspicion's timeout */
+	/* Name hashes of the nodes suspecting it. */
+	unsigned n_suspecters;
+	uint32_t suspecters[MEMBER_SUSPECTERS_MAX];
 	/* Its entry in the gossip queue. */
-	struct member *news_prev;
-	struct member *news_next;
-	bool news_queued;
-	bool news_full; /* sent as a full claim */
-	unsigned news_sent; /* times sent, the level of the queue */
+	struct member *gossip_prev;
+	struct member *gossip_next;
+	bool gossip_queued;
+	bool gossip_full; /* sent as a full claim */
+	unsigned gossip_sends; /* times sent, the level of the queue */
 	bool verifying; /* in prober.verify */
 	bool in_rings;
-	uint32_t ring[MEMBER_RINGS]; /* position on each ring */
+	uint32_t ring_pos[MEMBER_RINGS]; /* position on each ring */
 };
 
 /*
@@ -73,9 +74,9 @@
 	struct str name;
 	uint64_t incarnation;
 	enum member_state state;
-	uint32_t meta;
-	unsigned n_by;
-	uint32_t by[MEMBER_BY_MAX];
+	uint32_t process_hash;
+	unsigned n_suspecters;
+	uint32_t suspecters[MEMBER_SUSPECTERS_MAX];
 	bool full; /* the fields below are set */
 	struct str host;
 	uint16_t port;
@@ -90,12 +91,12 @@
 	MESSAGE_PING = 1, /* seq, target: answer with an ack */
 	MESSAGE_ACK = 2, /* seq; target if sent on behalf of another */
 	MESSAGE_PING_REQ = 3, /* seq, target: ping it for the sender */
-	MESSAGE_NEWS = 4, /* claims only */
-	MESSAGE_JOIN_ASK = 5, /* cursor: send full claims after it */
+	MESSAGE_GOSSIP = 4, /* claims only */
+	MESSAGE_JOIN_REQUEST = 5, /* cursor: send full claims after it */
 	MESSAGE_JOIN_PART = 6, /* claims, cursor, last */
 	MESSAGE_DIGEST = 7, /* digests of the buckets */
 	MESSAGE_DIFF = 8, /* claims of differing buckets, covered */
-	MESSAGE_RECORD_ASK = 9, /* names: send their full claims */
+	MESSAGE_RECORD_REQUEST = 9, /* names: send their full claims */
 	MESSAGE_RECORDS = 10, /* claims requested or found missing */
 };
 
@@ -145,9 +146,9 @@
 	struct member *member; /* NULL: the slot is free */
 	uint32_t seq;
 	bool was_suspected; /* when the probe started */
-	bool asked_others;
-	uint64_t ask_us; /* when others are asked to ping it */
-	uint64_t verdict_us; /* when the probe fails */
+	bool indirect_sent;
+	uint64_t indirect_at_us; /* when others are asked to ping it */
+	uint64_t fails_at_us; /* when the probe fails */
 };
 
 /* A ping on behalf of another member. */
@@ -156,7 +157,7 @@
 	uint64_t origin_seq;
 	char origin[MEMBER_NAME_MAX + 1];
 	char target[MEMBER_NAME_MAX + 1];
-	uint64_t until_us;
+	uint64_t expires_at_us;
 };
 
 struct member_seed {
@@ -167,15 +168,15 @@
 struct member_rings {
 	GPtrArray *targets; /* shuffled; each is probed once per round */
 	GPtrArray *neighbours; /* targets and the members probing this node */
-	unsigned position; /* index of the next target */
+	unsigned next_target; /* index of the next target */
 	bool stale; /* the lists must be built again */
 };
 
 struct member_prober {
-	uint64_t next_us;
-	uint64_t next_verify_us;
-	uint64_t next_dead_us;
-	uint64_t next_seed_us;
+	uint64_t next_probe_at_us;
+	uint64_t next_verify_at_us;
+	uint64_t next_dead_at_us;
+	uint64_t next_seed_at_us;
 	uint32_t seq;
 	struct member_probe probes[MEMBER_PROBES_MAX];
 	struct member_relay relays[MEMBER_RELAYS_MAX];
@@ -187,26 +188,27 @@
 struct member_syncer {
 	bool joined; /* has once had a complete table, or found no seed */
 	bool fetching; /* the table is being fetched from other members */
-	bool believe_partial; /* no member with a complete table was found */
-	uint64_t started_us;
-	uint64_t progress_us; /* when the cursor last advanced */
+	bool accept_partial; /* no member with a complete table was found */
+	uint64_t started_at_us;
+	uint64_t progress_at_us; /* when the cursor last advanced */
 	char cursor[MEMBER_NAME_MAX + 1]; /* last name fetched */
 	char source[MEMBER_NAME_MAX + 1]; /* asked member; empty: any */
-	bool asking; /* a part was requested and has not arrived */
-	uint64_t asked_us;
-	uint64_t next_us; /* next request, or timeout of the pending one */
+	bool awaiting_part; /* a part was requested and has not arrived */
+	uint64_t requested_at_us;
+	/* Time of the next request, or timeout of the pending one. */
+	uint64_t next_request_at_us;
 	unsigned digests; /* digests sent */
-	uint64_t next_digest_us;
-	uint64_t digest_gap_us; /* short after a difference, then doubles */
+	uint64_t next_digest_at_us;
+	uint64_t digest_delay_us; /* short after a difference, then doubles */
 };
 
 /* Members whose changes are passed on, one list per level. */
-struct member_news {
-	struct member *head[MEMBER_NEWS_LEVELS];
-	struct member *tail[MEMBER_NEWS_LEVELS];
+struct member_gossip {
+	struct member *head[MEMBER_GOSSIP_LEVELS];
+	struct member *tail[MEMBER_GOSSIP_LEVELS];
 	unsigned count;
 	unsigned n_full; /* entries sent as full claims */
-	uint64_t next_us;
+	uint64_t next_send_at_us;
 };
 
 struct members {
@@ -222,33 +224,33 @@
 	uint32_t buckets[MEMBER_BUCKETS];
 	uint64_t changes; /* see members_changes() */
 	bool left; /* this node announced its exit */
-	uint64_t last_tick_us;
-	uint64_t next_forget_us;
+	uint64_t last_tick_at_us;
+	uint64_t next_forget_at_us;
 	/* Last probe of a member that another's table says is dead. */
-	uint64_t doubted_us;
+	uint64_t death_check_at_us;
 	/* When the incarnation was last raised above another of this name. */
-	uint64_t raised_us;
+	uint64_t outbid_at_us;
 	int64_t tokens; /* bytes that may be sent; negative: debt */
-	uint64_t tokens_us; /* when the tokens were last refilled */
+	uint64_t refilled_at_us; /* when the tokens were last refilled */
 	uint64_t bytes_sent;
-	unsigned health; /* 0: own probes succeed */
+	unsigned health_penalty; /* 0: own probes succeed */
 	struct member_rings rings;
-	struct member_news news;
+	struct member_gossip gossip;
 	struct member_prober prober;
 	struct member_syncer syncer;
-	GArray *wants; /* struct str; names without a full claim */
+	GArray *missing_names; /* struct str; names without a full claim */
 };
 
 /* member_table.c */
 struct member *member_table_find(struct members *m, struct str name);
 struct member *member_table_add(struct members *m, const struct claim *c);
-void member_table_describe(struct member *member, const struct claim *c);
+void member_table_copy_details(struct member *member, const struct claim *c);
 void member_table_forget(struct members *m, uint64_t now_us);
 /* To be called around each change of state, incarnation or process_hash. */
-void member_table_take_out(struct members *m, const struct member *member);
-void member_table_put_back(struct members *m, struct member *member);
+void member_table_before_change(struct members *m, const struct member *member);
+void member_table_after_change(struct members *m, struct member *member);
 typedef bool (*member_filter_fn)(const struct member *member);
-bool member_takes_part(const struct member *member);
+bool member_is_present(const struct member *member);
 struct member *member_table_random(struct members *m, member_filter_fn filter);
 unsigned member_bucket(const struct member *member);
 bool member_is_gone(enum member_state state);
@@ -256,21 +258,21 @@
 /* member_ring.c */
 void member_ring_init(struct members *m);
 void member_ring_clear(struct members *m);
-void member_ring_place(struct member *member);
+void member_ring_set_positions(struct member *member);
 void member_ring_update(struct members *m);
-struct member *member_ring_target(struct members *m);
+struct member *member_ring_next_target(struct members *m);
 bool member_ring_watches(const struct members *m, struct member *member);
 struct member *member_ring_random(struct members *m);
 
 /* member_claim.c */
 enum claim_source {
 	CLAIM_DIRECT, /* sent by the member itself */
-	CLAIM_NEWS,
+	CLAIM_GOSSIP,
 	CLAIM_SYNC, /* from another's table, possibly long out of date */
 };
-void member_claim_take(struct members *m, const struct claim *c,
-		       enum claim_source source, uint32_t from,
-		       uint64_t now_us);
+void member_on_claim(struct members *m, const struct claim *c,
+		     enum claim_source source, uint32_t sender_hash,
+		     uint64_t now_us);
 void member_suspect(struct members *m, struct member *member, uint64_t now_us);
 void member_suspicion_tick(struct members *m, uint64_t now_us);
 /* After a pause of this process, in which it could not hear of suspects. */
@@ -280,10 +282,10 @@
 			uint64_t incarnation, uint64_t now_us);
 
 /* member_news.c */
-void member_news_add(struct members *m, struct member *member, bool full);
-void member_news_drop(struct members *m, struct member *member);
-void member_news_fill(struct members *m, struct outgoing *o);
-void member_news_tick(struct members *m, uint64_t now_us);
+void member_gossip_add(struct members *m, struct member *member, bool full);
+void member_gossip_drop(struct members *m, struct member *member);
+void member_gossip_fill(struct members *m, struct outgoing *o);
+void member_gossip_tick(struct members *m, uint64_t now_us);
 
 /* member_probe.c */
 void member_probe_init(struct members *m, uint64_t now_us);
@@ -303,26 +305,28 @@
 void member_on_ack(struct members *m, const struct message *msg,
 		   uint64_t now_us);
 
-/* member_seek.c */
-void member_seek_tick(struct members *m, uint64_t now_us);
-void member_seek_dead(struct members *m);
-void member_seek_seed(struct members *m, const char *host, uint16_t port);
+/* member_reconnect.c */
+void member_reconnect_tick(struct members *m, uint64_t now_us);
+void member_reconnect_dead(struct members *m);
+void member_reconnect_add_seed(struct members *m, const char *host,
+			       uint16_t port);
 
 /* member_sync.c */
 void member_sync_init(struct members *m, uint64_t now_us);
 void member_sync_tick(struct members *m, uint64_t now_us);
-void member_sync_ask_records(struct members *m, const struct member_info *to);
-void member_introduce(struct members *m, struct outgoing *o);
-void member_on_join_ask(struct members *m, const struct message *msg,
-			const struct member_info *from);
+void member_sync_request_records(struct members *m,
+				 const struct member_info *to);
+void member_sync_add_referrals(struct members *m, struct outgoing *o);
+void member_on_join_request(struct members *m, const struct message *msg,
+			    const struct member_info *from);
 void member_on_join_part(struct members *m, const struct message *msg,
 			 size_t len, uint64_t now_us);
 void member_on_digest(struct members *m, const struct message *msg,
 		      const struct member_info *from, uint64_t now_us);
 void member_on_diff(struct members *m, const struct message *msg,
 		    const struct member_info *from, uint64_t now_us);
-void member_on_record_ask(struct members *m, const struct message *msg,
-			  const struct member_info *from);
+void member_on_record_request(struct members *m, const struct message *msg,
+			      const struct member_info *from);
 
 /* member_message.c */
 bool message_parse(struct message *msg, struct unpack *u, struct err *err);
@@ -340,9 +344,9 @@
 /* Packs and sends, with queued gossip as far as size and budget allow. */
 void member_send(struct members *m, const struct member_info *to,
 		 struct outgoing *o);
-uint32_t member_meta(const struct member_info *info);
+uint32_t member_process_hash(const struct member_info *info);
 uint32_t member_name_hash(struct str name);
 /* A timeout, lengthened while this node's own probes fail. */
-uint64_t member_stretch(const struct members *m, uint64_t us);
+uint64_t member_scale_timeout(const struct members *m, uint64_t us);
 
 #endif
--- a/packages/core/src/member_message.c
+++ b/packages/core/src/member_message.c
@@ -11,7 +11,7 @@
 	FIELD_FROM = 2,
 	FIELD_INCARNATION = 3,
 	FIELD_STATE = 4,
-	FIELD_META = 5,
+	FIELD_PROCESS_HASH = 5,
 	FIELD_HOST = 6,
 	FIELD_PORT = 7,
 	FIELD_SEQ = 8,
@@ -33,18 +33,18 @@
 
 /* Lengths of a claim's array; later releases append elements. */
 #define CLAIM_SHORT 4
-#define CLAIM_WITH_BY 5
+#define CLAIM_WITH_SUSPECTERS 5
 #define CLAIM_FULL 12
 
 /* Upper bounds of packed sizes, in bytes. */
 #define SIZE_NUMBER 9
 #define SIZE_FIELD_NUMBER (1 + SIZE_NUMBER)
-#define SIZE_TEXT_HEAD 2
+#define SIZE_STR_HEADER 2
 #define SIZE_FIXED (9 * SIZE_FIELD_NUMBER + 32)
 
-static size_t text_size(const char *s)
+static size_t str_size(const char *s)
 {
-	return s ? 1 + SIZE_TEXT_HEAD + strlen(s) : 0;
+	return s ? 1 + SIZE_STR_HEADER + strlen(s) : 0;
 }
 
 /* Starts a message without claims or names; the caller sets its fields. */
@@ -55,8 +55,8 @@
 	o->type = type;
 	o->claims = g_array_new(FALSE, FALSE, sizeof(struct claim_out));
 	o->names = g_array_new(FALSE, FALSE, sizeof(struct str));
-	o->size = SIZE_FIXED + text_size(m->self->info.name) +
-		  text_size(m->self->info.host);
+	o->size = SIZE_FIXED + str_size(m->self->info.name) +
+		  str_size(m->self->info.host);
 }
 
 /* Frees the lists. */
@@ -69,13 +69,13 @@
 static size_t claim_size(const struct member *member, bool full)
 {
 	const struct member_info *info = &member->info;
-	size_t size = 1 + text_size(info->name) + SIZE_NUMBER + 1 + 5 + 1;
+	size_t size = 1 + str_size(info->name) + SIZE_NUMBER + 1 + 5 + 1;
 
-	size += member->n_by * 5ULL;
+	size += member->n_suspecters * 5ULL;
 	if (!full)
 		return size;
-	return size + text_size(info->host) + 3 + text_size(info->data_centre) +
-	       text_size(info->region) + text_size(info->curve_public) + 10;
+	return size + str_size(info->host) + 3 + str_size(info->data_centre) +
+	       str_size(info->region) + str_size(info->curve_public) + 10;
 }
 
 /* Adds a claim about a member, at most once per message. */
@@ -101,7 +101,7 @@
 /* Adds a name whose full claim is requested. */
 bool outgoing_name(struct outgoing *o, struct str name, size_t limit)
 {
-	size_t size = SIZE_TEXT_HEAD + name.len;
+	size_t size = SIZE_STR_HEADER + name.len;
 
 	if (o->size + size > limit)
 		return false;
@@ -114,18 +114,19 @@
 {
 	const struct member *member = c->member;
 	const struct member_info *info = &member->info;
-	unsigned i, n = member->n_by ? CLAIM_WITH_BY : CLAIM_SHORT;
+	unsigned i,
+		n = member->n_suspecters ? CLAIM_WITH_SUSPECTERS : CLAIM_SHORT;
 
 	pack_array(p, c->full ? CLAIM_FULL : n);
 	pack_str(p, str_from_c(info->name));
 	pack_u64(p, info->incarnation);
 	pack_u64(p, info->state);
-	pack_u64(p, member->meta);
-	if (!c->full && !member->n_by)
+	pack_u64(p, member->process_hash);
+	if (!c->full && !member->n_suspecters)
 		return;
-	pack_array(p, member->n_by);
-	for (i = 0; i < member->n_by; i++)
-		pack_u64(p, member->by[i]);
+	pack_array(p, member->n_suspecters);
+	for (i = 0; i < member->n_suspecters; i++)
+		pack_u64(p, member->suspecters[i]);
 	if (!c->full)
 		return;
 	pack_str(p, str_from_c(info->host));
@@ -186,7 +187,7 @@
 	pack_field_str(&p, FIELD_FROM, str_from_c(self->name));
 	pack_field_u64(&p, FIELD_INCARNATION, self->incarnation);
 	pack_field_u64(&p, FIELD_STATE, self->state);
-	pack_field_u64(&p, FIELD_META, m->self->meta);
+	pack_field_u64(&p, FIELD_PROCESS_HASH, m->self->process_hash);
 	pack_field_str(&p, FIELD_HOST, str_from_c(self->host));
 	pack_field_u64(&p, FIELD_PORT, self->peer_port);
 	if (o->seq)
@@ -226,18 +227,18 @@
 	return s.len > 0;
 }
 
-static bool parse_by(const msgpack_object *o, struct claim *c)
+static bool parse_suspecters(const msgpack_object *o, struct claim *c)
 {
 	uint32_t i;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY)
 		return false;
-	for (i = 0; i < o->via.array.size && i < MEMBER_BY_MAX; i++) {
-		uint64_t by;
+	for (i = 0; i < o->via.array.size && i < MEMBER_SUSPECTERS_MAX; i++) {
+		uint64_t suspecter;
 
-		if (!unpack_u64(&o->via.array.ptr[i], UINT32_MAX, &by))
+		if (!unpack_u64(&o->via.array.ptr[i], UINT32_MAX, &suspecter))
 			return false;
-		c->by[c->n_by++] = (uint32_t)by;
+		c->suspecters[c->n_suspecters++] = (uint32_t)suspecter;
 	}
 	return true;
 }
@@ -248,8 +249,8 @@
 
 	if (!unpack_str(&e[5], MEMBER_HOST_MAX, &c->host) ||
 	    !unpack_u64(&e[6], UINT16_MAX, &port) ||
-	    !unpack_str(&e[7], MEMBER_PLACE_MAX, &c->data_centre) ||
-	    !unpack_str(&e[8], MEMBER_PLACE_MAX, &c->region) ||
+	    !unpack_str(&e[7], MEMBER_LOCATION_MAX, &c->data_centre) ||
+	    !unpack_str(&e[8], MEMBER_LOCATION_MAX, &c->region) ||
 	    !unpack_str(&e[9], MEMBER_CURVE_LEN, &c->curve_public) ||
 	    !unpack_u64(&e[10], UINT32_MAX, &version_min) ||
 	    !unpack_u64(&e[11], UINT32_MAX, &version_max))
@@ -268,7 +269,7 @@
 static bool parse_claim(const msgpack_object *o, struct claim *c, bool *known)
 {
 	const msgpack_object *e;
-	uint64_t state, meta;
+	uint64_t state, process_hash;
 	uint32_t n;
 
 	memset(c, 0, sizeof(*c));
@@ -280,12 +281,12 @@
 	    !valid_name(c->name) ||
 	    !unpack_u64(&e[1], INCARNATION_MAX, &c->incarnation) ||
 	    !unpack_u64(&e[2], UINT32_MAX, &state) ||
-	    !unpack_u64(&e[3], UINT32_MAX, &meta))
+	    !unpack_u64(&e[3], UINT32_MAX, &process_hash))
 		return false;
-	c->meta = (uint32_t)meta;
+	c->process_hash = (uint32_t)process_hash;
 	*known = state <= MEMBER_DEAD;
 	c->state = *known ? (enum member_state)state : MEMBER_DEAD;
-	if (n >= CLAIM_WITH_BY && !parse_by(&e[4], c))
+	if (n >= CLAIM_WITH_SUSPECTERS && !parse_suspecters(&e[4], c))
 		return false;
 	return n < CLAIM_FULL || parse_full(e, c);
 }
@@ -347,7 +348,7 @@
 
 static bool parse_sender(const msgpack_object *map, struct claim *c)
 {
-	uint64_t state = MEMBER_ALIVE, meta = 0, port = 0;
+	uint64_t state = MEMBER_ALIVE, process_hash = 0, port = 0;
 
 	c->name = STR("");
 	c->host = STR("");
@@ -355,18 +356,19 @@
 	    !unpack_field_u64(map, FIELD_INCARNATION, INCARNATION_MAX,
 			      &c->incarnation) ||
 	    !unpack_field_u64(map, FIELD_STATE, UINT32_MAX, &state) ||
-	    !unpack_field_u64(map, FIELD_META, UINT32_MAX, &meta) ||
+	    !unpack_field_u64(map, FIELD_PROCESS_HASH, UINT32_MAX,
+			      &process_hash) ||
 	    !unpack_field_str(map, FIELD_HOST, MEMBER_HOST_MAX, &c->host) ||
 	    !unpack_field_u64(map, FIELD_PORT, UINT16_MAX, &port))
 		return false;
 	c->state = state <= MEMBER_DEAD ? (enum member_state)state :
 					  MEMBER_ALIVE;
-	c->meta = (uint32_t)meta;
+	c->process_hash = (uint32_t)process_hash;
 	c->port = (uint16_t)port;
 	return valid_name(c->name) && valid_name(c->host) && c->port;
 }
 
-static bool parse_rest(const msgpack_object *map, struct message *msg)
+static bool parse_optional(const msgpack_object *map, struct message *msg)
 {
 	uint64_t want_full = 0, last = 0, partial = 0, port = 0;
 
@@ -408,7 +410,7 @@
 		what = "type";
 	else if (!parse_sender(map, &msg->sender))
 		what = "sender";
-	else if (!parse_rest(map, msg))
+	else if (!parse_optional(map, msg))
 		what = "fields";
 	else if (!parse_claims(unpack_field(map, FIELD_CLAIMS), msg))
 		what = "claims";
--- a/packages/core/src/member_news.c
+++ b/packages/core/src/member_news.c
@@ -10,14 +10,14 @@
  */
 
 /* Sends per change, and as many again for each tenfold number of members. */
-#define NEWS_FACTOR 4
+#define SENDS_FACTOR 4
 /* Fewest sends per change, however long the queue is. */
-#define NEWS_SENT_LEAST 2
+#define SENDS_MIN 2
 /* The queue should be drained within this time. */
-#define NEWS_WAIT_S 5
+#define QUEUE_DRAIN_S 5
 /* Approximate packed sizes of short and full claims. */
-#define NEWS_SHORT_BYTES 30
-#define NEWS_FULL_BYTES 110
+#define SHORT_CLAIM_BYTES 30
+#define FULL_CLAIM_BYTES 110
 
 /*
  * How often each change is sent. When a partition between regions heals, or a
@@ -25,118 +25,119 @@
  * usual would use up the byte budget for minutes. Then each is sent only a few
  * times; the comparison of tables carries the bulk at a fraction of the bytes.
  */
-static unsigned news_limit(const struct members *m)
+static unsigned sends_limit(const struct members *m)
 {
-	const struct member_news *news = &m->news;
+	const struct member_gossip *gossip = &m->gossip;
 	double n = m->n_live > 1 ? (double)m->n_live : 1;
-	unsigned limit = NEWS_FACTOR + (unsigned)(NEWS_FACTOR * log10(n));
-	unsigned bytes = news->count * NEWS_SHORT_BYTES +
-			 news->n_full * (NEWS_FULL_BYTES - NEWS_SHORT_BYTES);
+	unsigned limit = SENDS_FACTOR + (unsigned)(SENDS_FACTOR * log10(n));
+	unsigned bytes =
+		gossip->count * SHORT_CLAIM_BYTES +
+		gossip->n_full * (FULL_CLAIM_BYTES - SHORT_CLAIM_BYTES);
 	unsigned fits =
-		NEWS_WAIT_S * m->settings.max_bytes_per_s / MAX(bytes, 1);
+		QUEUE_DRAIN_S * m->settings.max_bytes_per_s / MAX(bytes, 1);
 
-	limit = MIN(limit, MEMBER_NEWS_LEVELS - 1);
-	return CLAMP(fits, MIN(NEWS_SENT_LEAST, limit), limit);
+	limit = MIN(limit, MEMBER_GOSSIP_LEVELS - 1);
+	return CLAMP(fits, MIN(SENDS_MIN, limit), limit);
 }
 
-static void news_unlink(struct member_news *news, struct member *member)
+static void queue_unlink(struct member_gossip *gossip, struct member *member)
 {
-	unsigned level = member->news_sent;
+	unsigned level = member->gossip_sends;
 
-	if (member->news_prev)
-		member->news_prev->news_next = member->news_next;
+	if (member->gossip_prev)
+		member->gossip_prev->gossip_next = member->gossip_next;
 	else
-		news->head[level] = member->news_next;
-	if (member->news_next)
-		member->news_next->news_prev = member->news_prev;
+		gossip->head[level] = member->gossip_next;
+	if (member->gossip_next)
+		member->gossip_next->gossip_prev = member->gossip_prev;
 	else
-		news->tail[level] = member->news_prev;
-	member->news_prev = member->news_next = NULL;
-	member->news_queued = false;
-	news->count--;
-	news->n_full -= member->news_full;
+		gossip->tail[level] = member->gossip_prev;
+	member->gossip_prev = member->gossip_next = NULL;
+	member->gossip_queued = false;
+	gossip->count--;
+	gossip->n_full -= member->gossip_full;
 }
 
-static void news_link(struct member_news *news, struct member *member,
-		      unsigned level)
+static void queue_link(struct member_gossip *gossip, struct member *member,
+		       unsigned level)
 {
-	member->news_sent = level;
-	member->news_next = NULL;
-	member->news_prev = news->tail[level];
-	if (member->news_prev)
-		member->news_prev->news_next = member;
+	member->gossip_sends = level;
+	member->gossip_next = NULL;
+	member->gossip_prev = gossip->tail[level];
+	if (member->gossip_prev)
+		member->gossip_prev->gossip_next = member;
 	else
-		news->head[level] = member;
-	news->tail[level] = member;
-	member->news_queued = true;
-	news->count++;
-	news->n_full += member->news_full;
+		gossip->head[level] = member;
+	gossip->tail[level] = member;
+	member->gossip_queued = true;
+	gossip->count++;
+	gossip->n_full += member->gossip_full;
 }
 
 /* Queues the member's current state to be passed on, with no sends yet. */
-void member_news_add(struct members *m, struct member *member, bool full)
+void member_gossip_add(struct members *m, struct member *member, bool full)
 {
-	if (member->news_queued)
-		news_unlink(&m->news, member);
-	member->news_full = full;
-	news_link(&m->news, member, 0);
+	if (member->gossip_queued)
+		queue_unlink(&m->gossip, member);
+	member->gossip_full = full;
+	queue_link(&m->gossip, member, 0);
 }
 
 /* Removes the member from the gossip queue. */
-void member_news_drop(struct members *m, struct member *member)
+void member_gossip_drop(struct members *m, struct member *member)
 {
-	if (member->news_queued)
-		news_unlink(&m->news, member);
+	if (member->gossip_queued)
+		queue_unlink(&m->gossip, member);
 }
 
 /* Adds queued claims, least sent first, as far as size and budget allow. */
-void member_news_fill(struct members *m, struct outgoing *o)
+void member_gossip_fill(struct members *m, struct outgoing *o)
 {
-	unsigned limit = news_limit(m);
+	unsigned limit = sends_limit(m);
 	size_t room = m->settings.max_message_bytes;
 	GPtrArray *taken;
 	unsigned level, i;
 
-	if (!m->news.count || m->tokens <= 0)
+	if (!m->gossip.count || m->tokens <= 0)
 		return;
 	taken = g_ptr_array_new();
-	for (level = 0; level < MEMBER_NEWS_LEVELS; level++) {
-		struct member *member = m->news.head[level];
+	for (level = 0; level < MEMBER_GOSSIP_LEVELS; level++) {
+		struct member *member = m->gossip.head[level];
 
 		while (member &&
-		       outgoing_claim(o, member, member->news_full, room)) {
+		       outgoing_claim(o, member, member->gossip_full, room)) {
 			g_ptr_array_add(taken, member);
-			member = member->news_next;
+			member = member->gossip_next;
 		}
 		if (member)
 			break;
 	}
 	for (i = 0; i < taken->len; i++) {
 		struct member *member = g_ptr_array_index(taken, i);
-		unsigned next = member->news_sent + 1;
+		unsigned next = member->gossip_sends + 1;
 
-		news_unlink(&m->news, member);
+		queue_unlink(&m->gossip, member);
 		if (next < limit)
-			news_link(&m->news, member, next);
+			queue_link(&m->gossip, member, next);
 	}
 	g_ptr_array_free(taken, TRUE);
 }
 
 /* Sends queued claims to a few neighbours. */
-void member_news_tick(struct members *m, uint64_t now_us)
+void member_gossip_tick(struct members *m, uint64_t now_us)
 {
 	unsigned i;
 
-	if (!m->news.count || now_us < m->news.next_us)
+	if (!m->gossip.count || now_us < m->gossip.next_send_at_us)
 		return;
-	m->news.next_us = now_us + m->settings.gossip_interval_us;
+	m->gossip.next_send_at_us = now_us + m->settings.gossip_interval_us;
 	for (i = 0; i < m->settings.gossip_fanout; i++) {
 		struct member *to = member_ring_random(m);
 		struct outgoing o;
 
-		if (!to || !m->news.count || m->tokens <= 0)
+		if (!to || !m->gossip.count || m->tokens <= 0)
 			return;
-		outgoing_init(&o, m, MESSAGE_NEWS);
+		outgoing_init(&o, m, MESSAGE_GOSSIP);
 		member_send(m, &to->info, &o);
 	}
 }
--- a/packages/core/src/member_probe.c
+++ b/packages/core/src/member_probe.c
@@ -7,11 +7,11 @@
  * Timeout of indirect pings over that of the direct one, as they take two more
  * one-way trips.
  */
-#define OTHERS_SHARE 1.5
+#define INDIRECT_TIMEOUT_FACTOR 1.5
 /* Between probes that are started out of turn. */
-#define VERIFY_GAP_US (100 * USEC_PER_MSEC)
+#define VERIFY_INTERVAL_US (100 * USEC_PER_MSEC)
 /* How long an ack is relayed; longer than any prober waits for it. */
-#define RELAY_US (5 * USEC_PER_SEC)
+#define RELAY_TIMEOUT_US (5 * USEC_PER_SEC)
 
 /* Initializes the prober; the first probe starts within one interval. */
 void member_probe_init(struct members *m, uint64_t now_us)
@@ -22,11 +22,13 @@
 	p->seeds = g_array_new(FALSE, TRUE, sizeof(struct member_seed));
 	g_queue_init(&p->verify);
 	p->seq = g_rand_int(m->rng) | 1;
-	p->next_us = now_us +
-		     (uint64_t)(share * (double)m->settings.probe_interval_us);
-	p->next_dead_us =
-		now_us + (uint64_t)(share * (double)m->settings.dead_probe_us);
-	p->next_seed_us = now_us;
+	p->next_probe_at_us =
+		now_us +
+		(uint64_t)(share * (double)m->settings.probe_interval_us);
+	p->next_dead_at_us =
+		now_us +
+		(uint64_t)(share * (double)m->settings.dead_probe_interval_us);
+	p->next_seed_at_us = now_us;
 }
 
 /* Frees the prober's lists. */
@@ -118,22 +120,24 @@
 			uint64_t now_us)
 {
 	struct member_probe *probe = free_slot(m);
-	uint64_t timeout_us = member_stretch(m, m->settings.probe_timeout_us);
+	uint64_t timeout_us =
+		member_scale_timeout(m, m->settings.probe_timeout_us);
 
 	if (!probe)
 		return;
 	probe->member = member;
 	probe->seq = member_next_seq(m);
 	probe->was_suspected = member->suspected;
-	probe->asked_others = false;
-	probe->ask_us = now_us + timeout_us;
-	probe->verdict_us =
-		probe->ask_us + (uint64_t)(OTHERS_SHARE * (double)timeout_us);
+	probe->indirect_sent = false;
+	probe->indirect_at_us = now_us + timeout_us;
+	probe->fails_at_us =
+		probe->indirect_at_us +
+		(uint64_t)(INDIRECT_TIMEOUT_FACTOR * (double)timeout_us);
 	member_ping(m, &member->info, member, probe->seq);
 }
 
-static void ask_one(struct members *m, struct member_probe *probe,
-		    struct member *to)
+static void send_ping_req(struct members *m, struct member_probe *probe,
+			  struct member *to)
 {
 	const struct member_info *target = &probe->member->info;
 	struct outgoing o;
@@ -147,20 +151,20 @@
 }
 
 /* Asks neighbours, which may reach the member by another route, to ping it. */
-static void ask_others(struct members *m, struct member_probe *probe)
+static void send_ping_reqs(struct members *m, struct member_probe *probe)
 {
 	GPtrArray *list = m->rings.neighbours;
 	unsigned left = m->settings.indirect_probes;
 	unsigned i, start = g_rand_int(m->rng) % MAX(list->len, 1);
 
-	probe->asked_others = true;
+	probe->indirect_sent = true;
 	for (i = 0; i < list->len && left; i++) {
 		struct member *to =
 			g_ptr_array_index(list, (start + i) % list->len);
 
-		if (to == probe->member || !member_takes_part(to))
+		if (to == probe->member || !member_is_present(to))
 			continue;
-		ask_one(m, probe, to);
+		send_ping_req(m, probe, to);
 		left--;
 	}
 }
@@ -177,8 +181,8 @@
 
 	probe->member = NULL;
 	if (!probe->was_suspected && !member->suspected &&
-	    m->health < MEMBER_HEALTH_MAX)
-		m->health++;
+	    m->health_penalty < MEMBER_HEALTH_PENALTY_MAX)
+		m->health_penalty++;
 	member_suspect(m, member, now_us);
 }
 
@@ -191,9 +195,9 @@
 
 		if (!probe->member)
 			continue;
-		if (!probe->asked_others && now_us >= probe->ask_us)
-			ask_others(m, probe);
-		if (now_us >= probe->verdict_us)
+		if (!probe->indirect_sent && now_us >= probe->indirect_at_us)
+			send_ping_reqs(m, probe);
+		if (now_us >= probe->fails_at_us)
 			probe_failed(m, probe, now_us);
 	}
 }
@@ -209,8 +213,8 @@
 		if (probe->member != member)
 			continue;
 		probe->member = NULL;
-		if (m->health)
-			m->health--;
+		if (m->health_penalty)
+			m->health_penalty--;
 	}
 }
 
@@ -218,22 +222,22 @@
  * Probes the next target. Without any target it pings a dead member: a node
  * that was cut off alone regards all others as dead and must find them quickly.
  */
-static void probe_in_turn(struct members *m, uint64_t now_us)
+static void probe_next_target(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
 	struct member *member;
 
-	if (now_us < p->next_us)
+	if (now_us < p->next_probe_at_us)
 		return;
-	p->next_us += m->settings.probe_interval_us;
-	if (p->next_us <= now_us)
-		p->next_us = now_us + m->settings.probe_interval_us;
-	member = member_ring_target(m);
+	p->next_probe_at_us += m->settings.probe_interval_us;
+	if (p->next_probe_at_us <= now_us)
+		p->next_probe_at_us = now_us + m->settings.probe_interval_us;
+	member = member_ring_next_target(m);
 	if (member) {
 		probe_start(m, member, now_us);
 		return;
 	}
-	member_seek_dead(m);
+	member_reconnect_dead(m);
 }
 
 static void verify_next(struct members *m, uint64_t now_us)
@@ -241,12 +245,12 @@
 	struct member_prober *p = &m->prober;
 	struct member *member;
 
-	if (now_us < p->next_verify_us || !p->verify.length)
+	if (now_us < p->next_verify_at_us || !p->verify.length)
 		return;
-	p->next_verify_us = now_us + VERIFY_GAP_US;
+	p->next_verify_at_us = now_us + VERIFY_INTERVAL_US;
 	member = g_queue_pop_head(&p->verify);
 	member->verifying = false;
-	if (member_takes_part(member))
+	if (member_is_present(member))
 		probe_start(m, member, now_us);
 	else
 		member_ping(m, &member->info, member, member_next_seq(m));
@@ -256,9 +260,9 @@
 void member_probe_tick(struct members *m, uint64_t now_us)
 {
 	probes_advance(m, now_us);
-	probe_in_turn(m, now_us);
+	probe_next_target(m, now_us);
 	verify_next(m, now_us);
-	member_seek_tick(m, now_us);
+	member_reconnect_tick(m, now_us);
 }
 
 /* Answers a ping, unless it is for an earlier owner of this address. */
@@ -276,7 +280,7 @@
 	if (msg->want_full) {
 		outgoing_claim(&o, m->self, true,
 			       m->settings.max_message_bytes);
-		member_introduce(m, &o);
+		member_sync_add_referrals(m, &o);
 	}
 	sender = member_table_find(m, msg->sender.name);
 	if (sender && (sender->info.state != MEMBER_ALIVE ||
@@ -308,7 +312,7 @@
 	relay->origin_seq = msg->seq;
 	g_strlcpy(relay->origin, from->name, sizeof(relay->origin));
 	copy_name(relay->target, sizeof(relay->target), msg->target);
-	relay->until_us = now_us + RELAY_US;
+	relay->expires_at_us = now_us + RELAY_TIMEOUT_US;
 	copy_name(to.name, sizeof(to.name), msg->target);
 	copy_name(to.host, sizeof(to.host), msg->target_host);
 	outgoing_init(&o, m, MESSAGE_PING);
@@ -331,7 +335,7 @@
 		struct outgoing o;
 
 		if (!relay->seq || relay->seq != msg->seq ||
-		    now_us > relay->until_us ||
+		    now_us > relay->expires_at_us ||
 		    !str_eq(msg->sender.name, str_from_c(relay->target)))
 			continue;
 		relay->seq = 0;
@@ -359,7 +363,7 @@
 		if (!probe->member || probe->seq != msg->seq ||
 		    !str_eq(name, str_from_c(probe->member->info.name)))
 			continue;
-		probe->member->heard_us = now_us;
+		probe->member->heard_at_us = now_us;
 		member_probe_alive(m, probe->member);
 		return;
 	}
--- a/packages/core/src/member_seek.c
+++ b/packages/core/src/member_reconnect.c
@@ -5,7 +5,7 @@
 /* Pings per second that a dead member gets from the whole fleet. */
 #define DEAD_PINGS_PER_S 0.5
 /* Seeds that a node without other members pings at a time. */
-#define SEEDS_AT_ONCE 3
+#define SEEDS_PER_TRY 3
 
 static bool is_dead(const struct member *member)
 {
@@ -13,7 +13,7 @@
 }
 
 /* Pings a random dead member, with the claim of its death to refute. */
-void member_seek_dead(struct members *m)
+void member_reconnect_dead(struct members *m)
 {
 	struct member *member = member_table_random(m, is_dead);
 
@@ -27,19 +27,20 @@
  * never contact it again. With few dead members only some of the nodes send one
  * in each interval, so that a dead member is not pinged by the whole fleet.
  */
-static void try_dead(struct members *m, uint64_t now_us)
+static void maybe_ping_dead(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
-	double seconds = (double)m->settings.dead_probe_us / USEC_PER_SEC;
+	double seconds =
+		(double)m->settings.dead_probe_interval_us / USEC_PER_SEC;
 	double share;
 
-	if (!m->n_dead || now_us < p->next_dead_us)
+	if (!m->n_dead || now_us < p->next_dead_at_us)
 		return;
-	p->next_dead_us = now_us + m->settings.dead_probe_us;
+	p->next_dead_at_us = now_us + m->settings.dead_probe_interval_us;
 	share = m->n_dead * DEAD_PINGS_PER_S * seconds / m->n_live;
 	if (m->n_live > 1 && g_rand_double(m->rng) >= share)
 		return;
-	member_seek_dead(m);
+	member_reconnect_dead(m);
 }
 
 static bool seed_is_live(struct members *m, const struct member_seed *seed)
@@ -50,7 +51,7 @@
 		struct member *member = g_ptr_array_index(m->table, i);
 
 		if (member->info.peer_port == seed->port &&
-		    member_takes_part(member) &&
+		    member_is_present(member) &&
 		    !strcmp(member->info.host, seed->host))
 			return true;
 	}
@@ -71,16 +72,17 @@
  * interval while this node knows no other member, else one per two dead-probe
  * intervals.
  */
-static void try_seeds(struct members *m, uint64_t now_us)
+static void ping_some_seeds(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
 	bool alone = m->n_live == 1;
-	unsigned i, tries = alone ? SEEDS_AT_ONCE : 1;
+	unsigned i, tries = alone ? SEEDS_PER_TRY : 1;
 
-	if (!p->seeds->len || now_us < p->next_seed_us)
+	if (!p->seeds->len || now_us < p->next_seed_at_us)
 		return;
-	p->next_seed_us = now_us + (alone ? m->settings.probe_interval_us :
-					    2 * m->settings.dead_probe_us);
+	p->next_seed_at_us =
+		now_us + (alone ? m->settings.probe_interval_us :
+				  2 * m->settings.dead_probe_interval_us);
 	for (i = 0; i < MIN(tries, p->seeds->len); i++) {
 		int at = g_rand_int_range(m->rng, 0, (int)p->seeds->len);
 		const struct member_seed *seed =
@@ -92,7 +94,8 @@
 }
 
 /* Adds an address to ping; in a full list it replaces a random one. */
-void member_seek_seed(struct members *m, const char *host, uint16_t port)
+void member_reconnect_add_seed(struct members *m, const char *host,
+			       uint16_t port)
 {
 	GArray *seeds = m->prober.seeds;
 	struct member_seed seed = { .port = port };
@@ -115,8 +118,8 @@
 }
 
 /* Pings dead members and seeds that are due. */
-void member_seek_tick(struct members *m, uint64_t now_us)
+void member_reconnect_tick(struct members *m, uint64_t now_us)
 {
-	try_dead(m, now_us);
-	try_seeds(m, now_us);
+	maybe_ping_dead(m, now_us);
+	ping_some_seeds(m, now_us);
 }
--- a/packages/core/src/member_ring.c
+++ b/packages/core/src/member_ring.c
@@ -14,7 +14,7 @@
  */
 
 /* Up to this number of members, all are neighbours of each other. */
-#define RINGS_FROM 13
+#define FULL_MESH_MAX 13
 /* Tries to find a random neighbour that is present. */
 #define RANDOM_TRIES 8
 
@@ -42,13 +42,13 @@
 }
 
 /* Sets the member's positions on the rings, which depend only on its name. */
-void member_ring_place(struct member *member)
+void member_ring_set_positions(struct member *member)
 {
 	size_t len = strlen(member->info.name);
 	unsigned i;
 
 	for (i = 0; i < MEMBER_RINGS; i++)
-		member->ring[i] = XXH32(member->info.name, len, i + 1);
+		member->ring_pos[i] = XXH32(member->info.name, len, i + 1);
 }
 
 static void add_once(GPtrArray *list, struct member *member)
@@ -61,8 +61,8 @@
  * Distances are measured in one direction around the ring, so the farthest
  * member is the predecessor.
  */
-static void look_at(struct ring_sides *sides, struct member *member,
-		    uint32_t distance)
+static void update_sides(struct ring_sides *sides, struct member *member,
+			 uint32_t distance)
 {
 	if (!sides->next || distance < sides->next_distance) {
 		sides->next = member;
@@ -74,47 +74,48 @@
 	}
 }
 
-static void find_sides(struct members *m, struct ring_sides *sides)
+static void find_ring_neighbours(struct members *m, struct ring_sides *sides)
 {
 	const struct member *self = m->self;
 	unsigned i, ring;
 
 	for (i = 0; i < m->table->len; i++) {
 		struct member *member = g_ptr_array_index(m->table, i);
-		bool near;
+		bool same_region;
 
-		if (member == self || !member_takes_part(member))
+		if (member == self || !member_is_present(member))
 			continue;
-		near = !strcmp(member->info.region, self->info.region);
+		same_region = !strcmp(member->info.region, self->info.region);
 		for (ring = 0; ring < MEMBER_RINGS; ring++) {
-			if (ring >= MEMBER_RINGS_OF_ALL && !near)
+			if (ring >= MEMBER_GLOBAL_RINGS && !same_region)
 				continue;
-			look_at(&sides[ring], member,
-				member->ring[ring] - self->ring[ring]);
+			update_sides(&sides[ring], member,
+				     member->ring_pos[ring] -
+					     self->ring_pos[ring]);
 		}
 	}
 }
 
-static void take_all(struct members *m)
+static void add_all_members(struct members *m)
 {
 	unsigned i;
 
 	for (i = 0; i < m->table->len; i++) {
 		struct member *member = g_ptr_array_index(m->table, i);
 
-		if (member != m->self && member_takes_part(member)) {
+		if (member != m->self && member_is_present(member)) {
 			g_ptr_array_add(m->rings.targets, member);
 			g_ptr_array_add(m->rings.neighbours, member);
 		}
 	}
 }
 
-static void take_sides(struct members *m)
+static void add_ring_neighbours(struct members *m)
 {
 	struct ring_sides sides[MEMBER_RINGS] = { 0 };
 	unsigned ring;
 
-	find_sides(m, sides);
+	find_ring_neighbours(m, sides);
 	for (ring = 0; ring < MEMBER_RINGS; ring++) {
 		add_once(m->rings.targets, sides[ring].next);
 		add_once(m->rings.neighbours, sides[ring].next);
@@ -132,11 +133,11 @@
 	r->stale = false;
 	g_ptr_array_set_size(r->targets, 0);
 	g_ptr_array_set_size(r->neighbours, 0);
-	if (m->n_live <= RINGS_FROM)
-		take_all(m);
+	if (m->n_live <= FULL_MESH_MAX)
+		add_all_members(m);
 	else
-		take_sides(m);
-	r->position = r->targets->len;
+		add_ring_neighbours(m);
+	r->next_target = r->targets->len;
 }
 
 static void shuffle(struct members *m)
@@ -151,14 +152,14 @@
 		list->pdata[i - 1] = list->pdata[j];
 		list->pdata[j] = t;
 	}
-	m->rings.position = 0;
+	m->rings.next_target = 0;
 }
 
 /*
  * The next member to probe; all targets are probed once before one is probed
  * again. NULL if none is present.
  */
-struct member *member_ring_target(struct members *m)
+struct member *member_ring_next_target(struct members *m)
 {
 	struct member_rings *r = &m->rings;
 	unsigned tries = r->targets->len;
@@ -166,10 +167,10 @@
 	while (tries--) {
 		struct member *member;
 
-		if (r->position >= r->targets->len)
+		if (r->next_target >= r->targets->len)
 			shuffle(m);
-		member = g_ptr_array_index(r->targets, r->position++);
-		if (member_takes_part(member))
+		member = g_ptr_array_index(r->targets, r->next_target++);
+		if (member_is_present(member))
 			return member;
 	}
 	return NULL;
@@ -194,8 +195,8 @@
 		int at = g_rand_int_range(m->rng, 0, (int)list->len);
 		struct member *member = g_ptr_array_index(list, at);
 
-		if (member_takes_part(member))
+		if (member_is_present(member))
 			return member;
 	}
-	return member_table_random(m, member_takes_part);
+	return member_table_random(m, member_is_present);
 }
--- a/packages/core/src/member_sync.c
+++ b/packages/core/src/member_sync.c
@@ -10,28 +10,28 @@
  */
 #define PARTIAL_WAIT_US (1500 * USEC_PER_MSEC)
 /* Tries to find a random member of the own region. */
-#define NEAR_TRIES 4
+#define SAME_REGION_TRIES 4
 /* From this number of unknown names on, the whole table is fetched again. */
-#define FETCH_AGAIN 8
+#define REFETCH_MIN_MISSING 8
 /* A node whose seeds do not answer by then takes itself for the first one. */
-#define ALONE_US (5 * USEC_PER_SEC)
+#define SEED_WAIT_US (5 * USEC_PER_SEC)
 /* After a difference the interval between comparisons is divided by this. */
-#define HURRY 20
+#define FAST_SYNC_DIVISOR 20
 /* Every n-th comparison is with any member instead of a neighbour. */
-#define FAR_DIGESTS 4
+#define RANDOM_DIGEST_PERIOD 4
 /* Random members sent to a starting node, which can then ask them. */
-#define INTRODUCED 2
+#define REFERRALS_MAX 2
 /*
  * Gossip is sent only from available tokens. Tables may go into debt by this
  * many seconds of max_bytes_per_s, and referrals by some more: sending changes
  * in bulk this way takes a fraction of the bytes, so gossip has to wait for it.
  */
 #define TABLE_DEBT_S 1
-#define INTRODUCE_DEBT_S 2
+#define REFERRAL_DEBT_S 2
 /* Delay of the next request after a part that did not advance the cursor. */
-#define ASK_AGAIN_US (300 * USEC_PER_MSEC)
+#define RETRY_DELAY_US (300 * USEC_PER_MSEC)
 
-static bool spent(const struct members *m)
+static bool over_budget(const struct members *m)
 {
 	return m->tokens <=
 	       -(int64_t)TABLE_DEBT_S * m->settings.max_bytes_per_s;
@@ -44,10 +44,10 @@
 	double interval = (double)m->settings.sync_interval_us;
 
 	m->syncer.fetching = true;
-	m->syncer.started_us = m->syncer.progress_us = now_us;
-	m->syncer.next_us = now_us;
-	m->syncer.next_digest_us = now_us + (uint64_t)(share * interval);
-	m->syncer.digest_gap_us = m->settings.sync_interval_us;
+	m->syncer.started_at_us = m->syncer.progress_at_us = now_us;
+	m->syncer.next_request_at_us = now_us;
+	m->syncer.next_digest_at_us = now_us + (uint64_t)(share * interval);
+	m->syncer.digest_delay_us = m->settings.sync_interval_us;
 }
 
 /*
@@ -55,16 +55,16 @@
  * answers, as opening a connection costs more than a part; else a random
  * member, preferably of the own region.
  */
-static struct member *join_from(struct members *m)
+static struct member *join_source(struct members *m)
 {
 	struct member *member =
 		member_table_find(m, str_from_c(m->syncer.source));
 	unsigned i;
 
-	if (member && member_takes_part(member))
+	if (member && member_is_present(member))
 		return member;
-	for (i = 0; i < NEAR_TRIES; i++) {
-		member = member_table_random(m, member_takes_part);
+	for (i = 0; i < SAME_REGION_TRIES; i++) {
+		member = member_table_random(m, member_is_present);
 		if (!member ||
 		    !strcmp(member->info.region, m->self->info.region))
 			break;
@@ -78,32 +78,33 @@
 	struct member *to;
 	struct outgoing o;
 
-	if (now_us < s->next_us)
+	if (now_us < s->next_request_at_us)
 		return;
-	if (s->asking)
+	if (s->awaiting_part)
 		s->source[0] = '\0'; /* no answer */
-	to = join_from(m);
+	to = join_source(m);
 	if (!to) {
 		s->joined |= !m->prober.seeds->len ||
-			     now_us - s->started_us >= ALONE_US;
+			     now_us - s->started_at_us >= SEED_WAIT_US;
 		return;
 	}
 	g_strlcpy(s->source, to->info.name, sizeof(s->source));
-	s->asking = true;
-	s->asked_us = now_us;
-	s->next_us = now_us + PART_TIMEOUT_US;
-	outgoing_init(&o, m, MESSAGE_JOIN_ASK);
+	s->awaiting_part = true;
+	s->requested_at_us = now_us;
+	s->next_request_at_us = now_us + PART_TIMEOUT_US;
+	outgoing_init(&o, m, MESSAGE_JOIN_REQUEST);
 	o.cursor = s->cursor;
 	outgoing_claim(&o, m->self, true, m->settings.max_message_bytes);
 	member_send(m, &to->info, &o);
 }
 
-static void hurry(struct members *m, uint64_t now_us)
+static void sync_sooner(struct members *m, uint64_t now_us)
 {
 	struct member_syncer *s = &m->syncer;
 
-	s->digest_gap_us = m->settings.sync_interval_us / HURRY;
-	s->next_digest_us = MIN(s->next_digest_us, now_us + s->digest_gap_us);
+	s->digest_delay_us = m->settings.sync_interval_us / FAST_SYNC_DIVISOR;
+	s->next_digest_at_us =
+		MIN(s->next_digest_at_us, now_us + s->digest_delay_us);
 }
 
 /*
@@ -117,15 +118,15 @@
 	struct member *to;
 	struct outgoing o;
 
-	if (now_us < s->next_digest_us)
+	if (now_us < s->next_digest_at_us)
 		return;
-	s->digest_gap_us =
-		MIN(2 * s->digest_gap_us, m->settings.sync_interval_us);
-	s->next_digest_us = now_us + s->digest_gap_us;
-	to = ++s->digests % FAR_DIGESTS ?
+	s->digest_delay_us =
+		MIN(2 * s->digest_delay_us, m->settings.sync_interval_us);
+	s->next_digest_at_us = now_us + s->digest_delay_us;
+	to = ++s->digests % RANDOM_DIGEST_PERIOD ?
 		     member_ring_random(m) :
-		     member_table_random(m, member_takes_part);
-	if (!to || spent(m))
+		     member_table_random(m, member_is_present);
+	if (!to || over_budget(m))
 		return;
 	outgoing_init(&o, m, MESSAGE_DIGEST);
 	o.buckets = m->buckets;
@@ -147,14 +148,14 @@
  * seeds; when many start together, the seeds cannot send the table to all of
  * them, but can refer them to each other.
  */
-void member_introduce(struct members *m, struct outgoing *o)
+void member_sync_add_referrals(struct members *m, struct outgoing *o)
 {
-	int64_t debt = (int64_t)INTRODUCE_DEBT_S * m->settings.max_bytes_per_s;
+	int64_t debt = (int64_t)REFERRAL_DEBT_S * m->settings.max_bytes_per_s;
 	unsigned i;
 
-	for (i = 0; i < INTRODUCED && m->tokens > -debt; i++) {
+	for (i = 0; i < REFERRALS_MAX && m->tokens > -debt; i++) {
 		struct member *other =
-			member_table_random(m, member_takes_part);
+			member_table_random(m, member_is_present);
 
 		if (other)
 			outgoing_claim(o, other, true,
@@ -166,8 +167,8 @@
  * Answers with the members whose names come after the cursor; if the byte
  * budget is used up, with members to ask instead.
  */
-void member_on_join_ask(struct members *m, const struct message *msg,
-			const struct member_info *from)
+void member_on_join_request(struct members *m, const struct message *msg,
+			    const struct member_info *from)
 {
 	struct outgoing o;
 	unsigned i;
@@ -175,8 +176,8 @@
 	outgoing_init(&o, m, MESSAGE_JOIN_PART);
 	o.partial = m->syncer.fetching;
 	o.size += MEMBER_NAME_MAX;
-	if (spent(m)) {
-		member_introduce(m, &o);
+	if (over_budget(m)) {
+		member_sync_add_referrals(m, &o);
 		member_send(m, from, &o);
 		return;
 	}
@@ -185,7 +186,7 @@
 
 		if (str_cmp(str_from_c(member->info.name), msg->cursor) <= 0)
 			continue;
-		if (member_takes_part(member) &&
+		if (member_is_present(member) &&
 		    !outgoing_claim(&o, member, true,
 				    m->settings.max_message_bytes))
 			break;
@@ -207,24 +208,25 @@
 {
 	struct member_syncer *s = &m->syncer;
 
-	if (!s->fetching || !s->asking)
+	if (!s->fetching || !s->awaiting_part)
 		return;
-	s->asking = false;
-	s->next_us = now_us + ASK_AGAIN_US;
+	s->awaiting_part = false;
+	s->next_request_at_us = now_us + RETRY_DELAY_US;
 	if (!msg->last && str_cmp(msg->cursor, str_from_c(s->cursor)) <= 0) {
 		s->source[0] = '\0'; /* out of budget */
 		return;
 	}
-	s->next_us = s->asked_us +
-		     len * USEC_PER_SEC / m->settings.max_join_bytes_per_s;
-	s->believe_partial = msg->partial &&
-			     (s->believe_partial ||
-			      now_us - s->progress_us >= PARTIAL_WAIT_US);
+	s->next_request_at_us =
+		s->requested_at_us +
+		len * USEC_PER_SEC / m->settings.max_join_bytes_per_s;
+	s->accept_partial = msg->partial &&
+			    (s->accept_partial ||
+			     now_us - s->progress_at_us >= PARTIAL_WAIT_US);
 	if (msg->partial)
 		s->source[0] = '\0';
-	if (msg->partial && !s->believe_partial)
+	if (msg->partial && !s->accept_partial)
 		return;
-	s->progress_us = now_us;
+	s->progress_at_us = now_us;
 	memcpy(s->cursor, msg->cursor.data, msg->cursor.len);
 	s->cursor[msg->cursor.len] = '\0';
 	if (!msg->last) {
@@ -233,20 +235,20 @@
 	}
 	s->fetching = false;
 	s->joined = true;
-	hurry(m, now_us);
+	sync_sooner(m, now_us);
 }
 
 /* Fetches the whole table if too much is missing to request it by name. */
-static void fetch_again(struct members *m, uint64_t now_us)
+static void refetch_table(struct members *m, uint64_t now_us)
 {
 	struct member_syncer *s = &m->syncer;
 
 	if (s->fetching)
 		return;
 	s->fetching = true;
-	s->asking = false;
+	s->awaiting_part = false;
 	s->cursor[0] = '\0';
-	s->progress_us = s->next_us = now_us;
+	s->progress_at_us = s->next_request_at_us = now_us;
 }
 
 /* Adds the claims of all members of a bucket, or none if they do not fit. */
@@ -282,10 +284,10 @@
 	struct outgoing o;
 	unsigned i;
 
-	if (!msg->has_buckets || spent(m) ||
+	if (!msg->has_buckets || over_budget(m) ||
 	    !memcmp(msg->buckets, m->buckets, sizeof(m->buckets)))
 		return;
-	hurry(m, now_us);
+	sync_sooner(m, now_us);
 	outgoing_init(&o, m, MESSAGE_DIFF);
 	for (i = 0; i < MEMBER_BUCKETS; i++) {
 		unsigned bucket = (start + i) % MEMBER_BUCKETS;
@@ -314,10 +316,10 @@
 }
 
 /* Whether this node's row is newer than the claim, which may be NULL. */
-static bool is_ahead(const struct member *member, const struct claim *c)
+static bool is_newer(const struct member *member, const struct claim *c)
 {
 	if (!c)
-		return member_takes_part(member);
+		return member_is_present(member);
 	if (c->incarnation != member->info.incarnation)
 		return c->incarnation < member->info.incarnation;
 	return member_is_gone(member->info.state) && !member_is_gone(c->state);
@@ -333,10 +335,10 @@
 	struct outgoing o;
 	unsigned i;
 
-	hurry(m, now_us);
-	if (m->wants->len >= FETCH_AGAIN)
-		fetch_again(m, now_us);
-	if (spent(m))
+	sync_sooner(m, now_us);
+	if (m->missing_names->len >= REFETCH_MIN_MISSING)
+		refetch_table(m, now_us);
+	if (over_budget(m))
 		return;
 	outgoing_init(&o, m, MESSAGE_RECORDS);
 	for (i = 0; i < m->table->len; i++) {
@@ -346,7 +348,7 @@
 		if (!(msg->covered >> member_bucket(member) & 1))
 			continue;
 		c = find_claim(msg, member);
-		if (is_ahead(member, c) &&
+		if (is_newer(member, c) &&
 		    !outgoing_claim(&o, member, !c,
 				    m->settings.max_message_bytes))
 			break;
@@ -358,28 +360,30 @@
 }
 
 /* Requests the full claims of names that came in short claims. */
-void member_sync_ask_records(struct members *m, const struct member_info *to)
+void member_sync_request_records(struct members *m,
+				 const struct member_info *to)
 {
 	struct outgoing o;
 	unsigned i;
 
-	if (!m->wants->len || spent(m))
+	if (!m->missing_names->len || over_budget(m))
 		return;
-	outgoing_init(&o, m, MESSAGE_RECORD_ASK);
-	for (i = 0; i < m->wants->len; i++)
-		outgoing_name(&o, g_array_index(m->wants, struct str, i),
+	outgoing_init(&o, m, MESSAGE_RECORD_REQUEST);
+	for (i = 0; i < m->missing_names->len; i++)
+		outgoing_name(&o,
+			      g_array_index(m->missing_names, struct str, i),
 			      m->settings.max_message_bytes);
 	member_send(m, to, &o);
 }
 
 /* Answers with the requested full claims, as many as fit. */
-void member_on_record_ask(struct members *m, const struct message *msg,
-			  const struct member_info *from)
+void member_on_record_request(struct members *m, const struct message *msg,
+			      const struct member_info *from)
 {
 	struct outgoing o;
 	unsigned i;
 
-	if (spent(m))
+	if (over_budget(m))
 		return;
 	outgoing_init(&o, m, MESSAGE_RECORDS);
 	for (i = 0; i < msg->names->len; i++) {
--- a/packages/core/src/member_table.c
+++ b/packages/core/src/member_table.c
@@ -13,7 +13,7 @@
 }
 
 /* Whether messages should be sent to the member. */
-bool member_takes_part(const struct member *member)
+bool member_is_present(const struct member *member)
 {
 	return !member_is_gone(member->info.state);
 }
@@ -66,7 +66,7 @@
 }
 
 /* Copies the properties of the process from a full claim. */
-void member_table_describe(struct member *member, const struct claim *c)
+void member_table_copy_details(struct member *member, const struct claim *c)
 {
 	struct member_info *info = &member->info;
 
@@ -78,7 +78,7 @@
 		  c->curve_public);
 	info->version_min = c->version_min;
 	info->version_max = c->version_max;
-	member->meta = c->meta;
+	member->process_hash = c->process_hash;
 }
 
 /* Adds a row from a full claim; NULL if it exists or the table is full. */
@@ -94,12 +94,12 @@
 	member = g_new0(struct member, 1);
 	copy_text(member->info.name, sizeof(member->info.name), c->name);
 	member->hash = member_name_hash(c->name);
-	member_ring_place(member);
+	member_ring_set_positions(member);
 	member->info.incarnation = c->incarnation;
 	member->info.state = c->state;
-	member_table_describe(member, c);
+	member_table_copy_details(member, c);
 	g_ptr_array_insert(m->table, (int)index, member);
-	member_table_put_back(m, member);
+	member_table_after_change(m, member);
 	return member;
 }
 
@@ -110,13 +110,13 @@
 
 	if (member_is_gone(member->info.state))
 		return 0;
-	words[1] = (uint64_t)member->meta << 1;
+	words[1] = (uint64_t)member->process_hash << 1;
 	words[1] |= member->info.state == MEMBER_LEAVING;
 	return (uint32_t)XXH64(words, sizeof(words), member->hash);
 }
 
 /* Subtracts the member from counts and digests, before it is changed. */
-void member_table_take_out(struct members *m, const struct member *member)
+void member_table_before_change(struct members *m, const struct member *member)
 {
 	m->n_live -= !member_is_gone(member->info.state);
 	m->n_dead -= member->info.state == MEMBER_DEAD;
@@ -124,12 +124,12 @@
 }
 
 /* Adds the member to counts and digests again, after the change. */
-void member_table_put_back(struct members *m, struct member *member)
+void member_table_after_change(struct members *m, struct member *member)
 {
-	bool takes_part = member_takes_part(member);
+	bool present = member_is_present(member);
 
-	m->rings.stale |= takes_part != member->in_rings;
-	member->in_rings = takes_part;
+	m->rings.stale |= present != member->in_rings;
+	member->in_rings = present;
 	m->n_live += !member_is_gone(member->info.state);
 	m->n_dead += member->info.state == MEMBER_DEAD;
 	m->buckets[member_bucket(member)] ^= table_digest(member);
@@ -146,11 +146,12 @@
 		struct member *member = g_ptr_array_index(m->table, i);
 
 		if (member == m->self || !member_is_gone(member->info.state) ||
-		    now_us - member->since_us < m->settings.forget_dead_us)
+		    now_us - member->state_since_us <
+			    m->settings.forget_dead_us)
 			continue;
-		member_news_drop(m, member);
+		member_gossip_drop(m, member);
 		member_probe_forget(m, member);
-		member_table_take_out(m, member);
+		member_table_before_change(m, member);
 		g_ptr_array_remove_index(m->table, i);
 	}
 }
