--- a/packages/core/src/member_internal.h
+++ b/packages/core/src/member_internal.h
@@ -23,7 +23,10 @@
 #define MEMBER_TABLE_MAX 16384
 /* Distinct nodes counted as suspecting a member, the first one included. */
 #define MEMBER_SUSPECTERS_MAX 4
-/* Parts of the table, by name hash, whose digests are compared. */
+/*
+ * Parts of the table, by name hash, whose digests are compared; message.covered
+ * has one bit for each.
+ */
 #define MEMBER_BUCKETS 64
 /* Levels of the gossip queue, by how often an entry has been sent. */
 #define MEMBER_GOSSIP_LEVELS 32
@@ -104,7 +107,7 @@
 	uint64_t type;
 	struct claim sender; /* short, with host and port as well */
 	uint64_t seq; /* of the ping that is sent, relayed or answered */
-	struct str target;
+	struct str target; /* name of the member to ping, may be empty */
 	struct str target_host;
 	uint16_t target_port;
 	bool want_full; /* the ack to this ping shall carry a full claim */
@@ -112,10 +115,10 @@
 	bool last; /* the table ends with this part */
 	bool partial; /* the sender is still fetching the table itself */
 	bool has_buckets;
-	uint32_t buckets[MEMBER_BUCKETS];
+	uint32_t buckets[MEMBER_BUCKETS]; /* digests of the sender's table */
 	uint64_t covered; /* bit set of the buckets sent whole */
 	GArray *claims; /* struct claim */
-	GArray *names; /* struct str */
+	GArray *names; /* struct str; full claims of these are requested */
 };
 
 /* A claim in a message that is being built. */
@@ -154,8 +157,8 @@
 /* A ping on behalf of another member. */
 struct member_relay {
 	uint32_t seq; /* 0: the slot is free */
-	uint64_t origin_seq;
-	char origin[MEMBER_NAME_MAX + 1];
+	uint64_t origin_seq; /* of the request, for the ack sent back */
+	char origin[MEMBER_NAME_MAX + 1]; /* who asked for the ping */
 	char target[MEMBER_NAME_MAX + 1];
 	uint64_t expires_at_us;
 };
@@ -221,12 +224,12 @@
 	GPtrArray *suspects;
 	unsigned n_live; /* alive, suspect or leaving; self included */
 	unsigned n_dead; /* dead, without those that left */
-	uint32_t buckets[MEMBER_BUCKETS];
+	uint32_t buckets[MEMBER_BUCKETS]; /* digests of the table's parts */
 	uint64_t changes; /* see members_changes() */
 	bool left; /* this node announced its exit */
 	uint64_t last_tick_at_us;
 	uint64_t next_forget_at_us;
-	/* Last probe of a member that another's table says is dead. */
+	/* Last probe of an unwatched member that a table says is dead. */
 	uint64_t death_check_at_us;
 	/* When the incarnation was last raised above another of this name. */
 	uint64_t outbid_at_us;
