--- a/packages/core/src/member.c
+++ b/packages/core/src/member.c
@@ -6,32 +6,32 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Larger messages are refused, whatever the settings of the sender are. */
+/* Longer messages are rejected, whatever the sender's max_message_bytes. */
 #define MESSAGE_MAX_BYTES 65536
-/* Bytes that may be saved up: so many seconds' worth. */
+/* Capacity of the token bucket, and its largest debt: max_bytes_per_s times. */
 #define BURST_S 2
-/* Of a probe or an answer without claims. */
-#define BARE_BYTES 100
-/* Longer than regions lose each other for. */
+/* Bytes of each message that cost no tokens: a probe or ack without claims. */
+#define UNCHARGED_BYTES 100
+/* Longer than regions are expected to be partitioned from each other. */
 #define FORGET_DEAD_S 10800ULL
 #define FORGET_INTERVAL_US (10 * USEC_PER_SEC)
-/* A member that is held for dead but speaks is told so this often. */
-#define CONTRADICT_US (500 * USEC_PER_MSEC)
+/* Shortest time between contradictions sent to one member. */
+#define CONTRADICT_INTERVAL_US (500 * USEC_PER_MSEC)
 
 /*
  * Defaults for up to some thousands of members. A node sends two probes and
- * answers two in a second, of some 80 bytes each; the rest is news. A round
- * trip between regions takes up to 300 ms, by way of a third 600 ms, which the
- * probe's times leave room for.
+ * answers two per second, of about 80 bytes each; the rest of the traffic is
+ * gossip. The probe timeouts allow for a round trip between regions of up to
+ * 300 ms, or 600 ms by way of a third node.
  */
 void member_settings_default(struct member_settings *s)
 {
 	*s = (struct member_settings){
 		.probe_interval_us = 500 * USEC_PER_MSEC,
 		.probe_timeout_us = 400 * USEC_PER_MSEC,
-		.suspect_us = USEC_PER_SEC,
+		.suspect_timeout_us = USEC_PER_SEC,
 		.forget_dead_us = FORGET_DEAD_S * USEC_PER_SEC,
-		.dead_probe_us = 5 * USEC_PER_SEC,
+		.dead_probe_interval_us = 5 * USEC_PER_SEC,
 		.gossip_interval_us = 200 * USEC_PER_MSEC,
 		.sync_interval_us = 5 * USEC_PER_SEC,
 		.indirect_probes = 3,
@@ -42,18 +42,18 @@
 	};
 }
 
-/* The hash by which nodes are named where a name is too long. */
+/* Short identifier of a member in lists of suspecters and bucket digests. */
 uint32_t member_name_hash(struct str name)
 {
 	return XXH32(name.data, name.len, 0);
 }
 
 /*
- * Hash of what a process never changes. The first incarnation is part of it,
- * so that a restart is told from a refutation, and a claim that carries only
- * the hash is applied to the right record.
+ * Hash of the properties that a process never changes. It covers the first
+ * incarnation, so that a restart differs from a refutation, and a claim that
+ * carries only the hash is applied to the record of the right process.
  */
-uint32_t member_meta(const struct member_info *info)
+uint32_t member_process_hash(const struct member_info *info)
 {
 	uint64_t words[4] = { info->peer_port, info->incarnation,
 			      info->version_min, info->version_max };
@@ -65,10 +65,13 @@
 	return XXH32(info->curve_public, strlen(info->curve_public), hash);
 }
 
-/* Timeouts grow up to fourfold while own probes of well members fail. */
-uint64_t member_stretch(const struct members *m, uint64_t us)
+/*
+ * Timeouts grow up to fourfold while this node's probes of members that nobody
+ * else suspects fail.
+ */
+uint64_t member_scale_timeout(const struct members *m, uint64_t us)
 {
-	return us * (1 + m->health);
+	return us * (1 + m->health_penalty);
 }
 
 static void add_self(struct members *m, const struct member_info *info,
@@ -78,7 +81,7 @@
 		.name = str_from_c(info->name),
 		.incarnation = info->incarnation,
 		.state = MEMBER_ALIVE,
-		.meta = member_meta(info),
+		.process_hash = member_process_hash(info),
 		.full = true,
 		.host = str_from_c(info->host),
 		.port = info->peer_port,
@@ -90,13 +93,14 @@
 	};
 
 	m->self = member_table_add(m, &claim);
-	m->self->since_us = now_us;
-	member_news_add(m, m->self, true);
+	m->self->state_since_us = now_us;
+	member_gossip_add(m, m->self, true);
 }
 
 /*
- * A table with this node alone. ops, ctx and rng must live as long; settings
- * and self are copied. The incarnation is the start time in ms since 1970.
+ * Creates a table with this node alone. ops, ctx and rng must outlive it;
+ * settings and self are copied. The incarnation is the start time in ms since
+ * 1970.
  */
 struct members *members_create(const struct member_settings *settings,
 			       const struct member_info *self,
@@ -111,10 +115,10 @@
 	m->rng = rng;
 	m->table = g_ptr_array_new_with_free_func(g_free);
 	m->suspects = g_ptr_array_new();
-	m->wants = g_array_new(FALSE, FALSE, sizeof(struct str));
-	m->last_tick_us = m->tokens_us = now_us;
+	m->missing_names = g_array_new(FALSE, FALSE, sizeof(struct str));
+	m->last_tick_at_us = m->refilled_at_us = now_us;
 	m->tokens = (int64_t)BURST_S * settings->max_bytes_per_s;
-	m->next_forget_us = now_us + FORGET_INTERVAL_US;
+	m->next_forget_at_us = now_us + FORGET_INTERVAL_US;
 	member_ring_init(m);
 	add_self(m, self, now_us);
 	member_probe_init(m, now_us);
@@ -122,20 +126,23 @@
 	return m;
 }
 
-/* Frees the table; says nothing to the others. */
+/* Frees the table; sends nothing to the other members. */
 void members_destroy(struct members *m)
 {
 	if (!m)
 		return;
 	member_probe_clear(m);
 	member_ring_clear(m);
-	g_array_free(m->wants, TRUE);
+	g_array_free(m->missing_names, TRUE);
 	g_ptr_array_free(m->suspects, TRUE);
 	g_ptr_array_free(m->table, TRUE);
 	g_free(m);
 }
 
-/* An address that may be pinged while nobody, or not all, are found. */
+/*
+ * Adds an address to ping for as long as no present member has it, so that this
+ * node finds the first member, or members it has lost.
+ */
 void members_seed(struct members *m, const char *host, uint16_t peer_port,
 		  uint64_t now_us)
 {
@@ -143,41 +150,44 @@
 
 	if (peer_port == self->peer_port && !strcmp(host, self->host))
 		return;
-	member_seek_seed(m, host, peer_port);
+	member_reconnect_add_seed(m, host, peer_port);
 	if (m->n_live == 1)
-		m->prober.next_seed_us = MIN(m->prober.next_seed_us, now_us);
+		m->prober.next_seed_at_us =
+			MIN(m->prober.next_seed_at_us, now_us);
 }
 
 static void refill(struct members *m, uint64_t now_us)
 {
-	int64_t most = (int64_t)BURST_S * m->settings.max_bytes_per_s;
-	uint64_t elapsed = MIN(now_us - m->tokens_us, BURST_S * USEC_PER_SEC);
-	uint64_t bytes = elapsed * m->settings.max_bytes_per_s / USEC_PER_SEC;
+	int64_t max_tokens = (int64_t)BURST_S * m->settings.max_bytes_per_s;
+	uint64_t elapsed_us =
+		MIN(now_us - m->refilled_at_us, BURST_S * USEC_PER_SEC);
+	uint64_t bytes =
+		elapsed_us * m->settings.max_bytes_per_s / USEC_PER_SEC;
 
 	if (!bytes)
 		return;
-	m->tokens = MIN(m->tokens + (int64_t)bytes, most);
-	m->tokens_us = now_us;
+	m->tokens = MIN(m->tokens + (int64_t)bytes, max_tokens);
+	m->refilled_at_us = now_us;
 }
 
 /*
- * Packs and sends; with news as far as there is room and budget. The bare
- * probes and answers are not charged: their number is bounded by the probe
- * interval, and a seed that all others ask at once must go on answering.
+ * Packs and sends, with queued gossip as far as size and budget allow. Probes
+ * and acks without claims cost no tokens: their number is bounded by the probe
+ * interval, and a seed that all others ping at once must go on answering.
  */
 void member_send(struct members *m, const struct member_info *to,
 		 struct outgoing *o)
 {
-	int64_t most = (int64_t)BURST_S * m->settings.max_bytes_per_s;
+	int64_t max_tokens = (int64_t)BURST_S * m->settings.max_bytes_per_s;
 	GBytes *bytes;
 	size_t len;
 
-	member_news_fill(m, o);
+	member_gossip_fill(m, o);
 	bytes = outgoing_pack(o, m);
 	len = g_bytes_get_size(bytes);
-	if (len > BARE_BYTES)
-		m->tokens -= (int64_t)(len - BARE_BYTES);
-	m->tokens = MAX(m->tokens, -most);
+	if (len > UNCHARGED_BYTES)
+		m->tokens -= (int64_t)(len - UNCHARGED_BYTES);
+	m->tokens = MAX(m->tokens, -max_tokens);
 	m->bytes_sent += len;
 	m->ops->send(m->ctx, to, bytes);
 	g_bytes_unref(bytes);
@@ -185,28 +195,28 @@
 }
 
 /*
- * A process that was paused (or whose loop was blocked) finds on waking that
- * all its probes are unanswered and all suspicions ran out. It was itself what
- * failed: probes end without a verdict, suspects get the lost time again, and
- * timeouts are long until own probes succeed.
+ * After a process was paused or its event loop blocked, all its probes look
+ * unanswered and all suspicions look expired, although the fault was its own.
+ * So running probes are dropped without a result, the suspicion timeouts are
+ * extended by the pause, and timeouts stay long until own probes succeed.
  */
 static void check_pause(struct members *m, uint64_t now_us)
 {
-	uint64_t gap_us = now_us - m->last_tick_us;
+	uint64_t gap_us = now_us - m->last_tick_at_us;
 
-	m->last_tick_us = now_us;
+	m->last_tick_at_us = now_us;
 	if (gap_us <= m->settings.probe_timeout_us)
 		return;
-	LOG_INFO("stood still for %u ms, holding back",
+	LOG_INFO("did not execute for %u ms, holding back suspicions",
 		 (unsigned)(gap_us / USEC_PER_MSEC));
 	member_probe_abandon(m);
 	member_suspicion_shift(m, gap_us, now_us);
-	m->health = MEMBER_HEALTH_MAX;
+	m->health_penalty = MEMBER_HEALTH_PENALTY_MAX;
 }
 
 /*
- * Runs what is due; wanted every 100 ms or more often. A gap above the probe
- * timeout counts as a pause of this process.
+ * Runs what is due; to be called at least every 100 ms. A gap between calls
+ * above the probe timeout is taken for a pause of this process.
  */
 void members_tick(struct members *m, uint64_t now_us)
 {
@@ -217,11 +227,11 @@
 	member_ring_update(m);
 	member_probe_tick(m, now_us);
 	member_suspicion_tick(m, now_us);
-	member_news_tick(m, now_us);
+	member_gossip_tick(m, now_us);
 	member_sync_tick(m, now_us);
-	if (now_us < m->next_forget_us)
+	if (now_us < m->next_forget_at_us)
 		return;
-	m->next_forget_us = now_us + FORGET_INTERVAL_US;
+	m->next_forget_at_us = now_us + FORGET_INTERVAL_US;
 	member_table_forget(m, now_us);
 }
 
@@ -233,11 +243,11 @@
 	case MESSAGE_RECORDS:
 		return CLAIM_SYNC;
 	default:
-		return CLAIM_NEWS;
+		return CLAIM_GOSSIP;
 	}
 }
 
-/* The address to answer to: from the table, else as the message says. */
+/* Whom to answer: the member from the table, else as the message says. */
 static void sender_info(struct members *m, const struct message *msg,
 			struct member_info *out)
 {
@@ -255,11 +265,11 @@
 	out->peer_port = c->port;
 }
 
-static void take_claims(struct members *m, const struct message *msg,
-			uint64_t now_us)
+static void handle_claims(struct members *m, const struct message *msg,
+			  uint64_t now_us)
 {
 	enum claim_source source = claims_source(msg);
-	uint32_t from = member_name_hash(msg->sender.name);
+	uint32_t sender_hash = member_name_hash(msg->sender.name);
 	unsigned i;
 
 	for (i = 0; i < msg->claims->len; i++) {
@@ -267,15 +277,16 @@
 			&g_array_index(msg->claims, struct claim, i);
 		bool own = str_eq(c->name, msg->sender.name);
 
-		member_claim_take(m, c, own ? CLAIM_DIRECT : source, from,
-				  now_us);
+		member_on_claim(m, c, own ? CLAIM_DIRECT : source, sender_hash,
+				now_us);
 	}
-	member_claim_take(m, &msg->sender, CLAIM_DIRECT, from, now_us);
+	member_on_claim(m, &msg->sender, CLAIM_DIRECT, sender_hash, now_us);
 }
 
 /*
- * A member that is held for dead or suspect speaks: it may not know, as after
- * a partition, and must hear of it to refute.
+ * Answers a sender that this node regards as dead or suspect, or of which it
+ * knows a higher incarnation, with that claim. The sender may not know of it,
+ * as after a partition, and has to be told before it can refute it.
  */
 static void contradict(struct members *m, struct member *sender,
 		       const struct message *msg, uint64_t now_us)
@@ -288,16 +299,17 @@
 		return;
 	if (!higher && state != MEMBER_DEAD && state != MEMBER_SUSPECT)
 		return;
-	if (now_us - sender->contradicted_us < CONTRADICT_US)
+	if (now_us - sender->contradicted_at_us < CONTRADICT_INTERVAL_US)
 		return;
-	sender->contradicted_us = now_us;
-	outgoing_init(&o, m, MESSAGE_NEWS);
+	sender->contradicted_at_us = now_us;
+	outgoing_init(&o, m, MESSAGE_GOSSIP);
 	outgoing_claim(&o, sender, false, m->settings.max_message_bytes);
 	member_send(m, &sender->info, &o);
 }
 
-static void handle(struct members *m, const struct message *msg, size_t len,
-		   const struct member_info *from, uint64_t now_us)
+static void dispatch_message(struct members *m, const struct message *msg,
+			     size_t len, const struct member_info *from,
+			     uint64_t now_us)
 {
 	switch (msg->type) {
 	case MESSAGE_PING:
@@ -309,8 +321,8 @@
 	case MESSAGE_PING_REQ:
 		member_on_ping_req(m, msg, from, now_us);
 		break;
-	case MESSAGE_JOIN_ASK:
-		member_on_join_ask(m, msg, from);
+	case MESSAGE_JOIN_REQUEST:
+		member_on_join_request(m, msg, from);
 		break;
 	case MESSAGE_JOIN_PART:
 		member_on_join_part(m, msg, len, now_us);
@@ -321,35 +333,35 @@
 	case MESSAGE_DIFF:
 		member_on_diff(m, msg, from, now_us);
 		break;
-	case MESSAGE_RECORD_ASK:
-		member_on_record_ask(m, msg, from);
+	case MESSAGE_RECORD_REQUEST:
+		member_on_record_request(m, msg, from);
 		break;
-	default: /* claims alone, or a type of a later release */
+	default: /* only claims, or a type from a later release */
 		break;
 	}
 }
 
-static void take_message(struct members *m, const struct message *msg,
-			 size_t len, uint64_t now_us)
+static void process_message(struct members *m, const struct message *msg,
+			    size_t len, uint64_t now_us)
 {
 	struct member_info from;
 	struct member *sender;
 
-	g_array_set_size(m->wants, 0);
-	take_claims(m, msg, now_us);
+	g_array_set_size(m->missing_names, 0);
+	handle_claims(m, msg, now_us);
 	sender = member_table_find(m, msg->sender.name);
 	sender_info(m, msg, &from);
 	if (sender) {
-		sender->heard_us = now_us;
+		sender->heard_at_us = now_us;
 		contradict(m, sender, msg, now_us);
 	}
-	handle(m, msg, len, &from, now_us);
-	member_sync_ask_records(m, &from);
+	dispatch_message(m, msg, len, &from, now_us);
+	member_sync_request_records(m, &from);
 }
 
 /*
- * A gossip message came in from an authenticated peer. False with BAD_MESSAGE
- * for a malformed one, of which nothing is taken.
+ * Handles a gossip message from an authenticated peer. Fails with BAD_MESSAGE
+ * if it is malformed; nothing of it is then applied.
  */
 bool members_on_message(struct members *m, struct str message, uint64_t now_us,
 			struct err *err)
@@ -359,7 +371,8 @@
 	bool ok;
 
 	if (message.len > MESSAGE_MAX_BYTES) {
-		err_set(err, ERR_BAD_MESSAGE, "gossip: %zu bytes", message.len);
+		err_set(err, ERR_BAD_MESSAGE, "gossip: too long, %zu bytes",
+			message.len);
 		return false;
 	}
 	if (!unpack_open(&unpack, message, err))
@@ -367,28 +380,34 @@
 	ok = message_parse(&msg, &unpack, err);
 	if (ok && !m->left &&
 	    !str_eq(msg.sender.name, str_from_c(m->self->info.name)))
-		take_message(m, &msg, message.len, now_us);
+		process_message(m, &msg, message.len, now_us);
 	if (ok)
 		message_clear(&msg);
 	unpack_close(&unpack);
 	return ok;
 }
 
-/* Traffic of another kind proves a member alive; it is not probed in vain. */
+/*
+ * Other traffic from the member shows that it is alive: ends running probes of
+ * it as successful, and probes it soon if it is suspect or dead here.
+ */
 void members_on_alive(struct members *m, const char *name, uint64_t now_us)
 {
 	struct member *member = member_table_find(m, str_from_c(name));
 
 	if (!member || member == m->self)
 		return;
-	member->heard_us = now_us;
+	member->heard_at_us = now_us;
 	member_probe_alive(m, member);
 	if (member->info.state == MEMBER_SUSPECT ||
 	    member->info.state == MEMBER_DEAD)
 		member_probe_verify(m, member);
 }
 
-/* From now on the node gets no new work; it still takes part in all else. */
+/*
+ * Announces that this node is leaving. It is given no new work from now on, but
+ * still sends and answers messages.
+ */
 void members_leave(struct members *m, uint64_t now_us)
 {
 	if (m->left || m->self->info.state == MEMBER_LEAVING)
@@ -398,8 +417,8 @@
 }
 
 /*
- * The process exits: a few members are told at once, the others hear of it
- * from them. Nothing is sent or taken in after this.
+ * Announces that the process exits to a few members, which pass it on. Nothing
+ * is sent or handled after this.
  */
 void members_left(struct members *m, uint64_t now_us)
 {
@@ -407,17 +426,17 @@
 		return;
 	member_self_change(m, MEMBER_LEFT, m->self->info.incarnation + 1,
 			   now_us);
-	member_news_tick(m, now_us);
+	member_gossip_tick(m, now_us);
 	m->left = true;
 }
 
-/* All in the table, those that are dead or left included. */
+/* Rows of the table, including this node and members dead or left. */
 unsigned members_count(const struct members *m)
 {
 	return m->table->len;
 }
 
-/* In the order of names; valid until the member is forgotten. */
+/* The i-th member by name; valid until it is removed from the table. */
 const struct member_info *members_at(const struct members *m, unsigned i)
 {
 	const struct member *member;
@@ -428,13 +447,13 @@
 	return &member->info;
 }
 
-/* How many members this node is always in touch with. */
+/* Number of members that this node regularly exchanges messages with. */
 unsigned members_neighbour_count(const struct members *m)
 {
 	return m->rings.neighbours->len;
 }
 
-/* One of them; it may be gone since the last tick. */
+/* One of the neighbours; it may have died or left since the last tick. */
 const struct member_info *members_neighbour(const struct members *m, unsigned i)
 {
 	const struct member *member;
@@ -455,13 +474,13 @@
 	return member ? &member->info : NULL;
 }
 
-/* This node as the others should see it. */
+/* This node's own row, as announced to the others. */
 const struct member_info *members_self(const struct members *m)
 {
 	return &m->self->info;
 }
 
-/* Whether the member may be given work. */
+/* Whether the member may be given work: it is alive or suspect. */
 bool member_is_live(const struct member_info *m)
 {
 	return m->state == MEMBER_ALIVE || m->state == MEMBER_SUSPECT;
@@ -473,13 +492,13 @@
 	return m->syncer.joined;
 }
 
-/* Rises with each change, so that a user sees whether to look again. */
+/* Rises with each change, so that a caller can tell if the table changed. */
 uint64_t members_changes(const struct members *m)
 {
 	return m->changes;
 }
 
-/* Bytes of gossip messages, without what the transport adds. */
+/* Total bytes of messages sent, without the transport's overhead. */
 uint64_t members_bytes_sent(const struct members *m)
 {
 	return m->bytes_sent;
--- a/packages/core/src/member_message.c
+++ b/packages/core/src/member_message.c
@@ -2,16 +2,16 @@
 
 #include <string.h>
 
-/* One more than this, for a refutation, must still fit. */
+/* Leaves room for the increments by refutations. */
 #define INCARNATION_MAX (1ULL << 62)
 
-/* Keys of the map; a number is never used again for another meaning. */
+/* Keys of the map; a number is never reused for another meaning. */
 enum field {
 	FIELD_TYPE = 1,
 	FIELD_FROM = 2,
 	FIELD_INCARNATION = 3,
 	FIELD_STATE = 4,
-	FIELD_META = 5,
+	FIELD_PROCESS_HASH = 5,
 	FIELD_HOST = 6,
 	FIELD_PORT = 7,
 	FIELD_SEQ = 8,
@@ -28,25 +28,26 @@
 	FIELD_PARTIAL = 19,
 };
 
+/* Fields that every message has. */
 #define FIELDS_ALWAYS 7
 
-/* Elements of a claim's array; later releases append more. */
+/* Lengths of a claim's array; later releases append elements. */
 #define CLAIM_SHORT 4
-#define CLAIM_WITH_BY 5
+#define CLAIM_WITH_SUSPECTERS 5
 #define CLAIM_FULL 12
 
-/* Upper bounds of packed sizes. */
+/* Upper bounds of packed sizes, in bytes. */
 #define SIZE_NUMBER 9
 #define SIZE_FIELD_NUMBER (1 + SIZE_NUMBER)
-#define SIZE_TEXT_HEAD 2
+#define SIZE_STR_HEADER 2
 #define SIZE_FIXED (9 * SIZE_FIELD_NUMBER + 32)
 
-static size_t text_size(const char *s)
+static size_t str_size(const char *s)
 {
-	return s ? 1 + SIZE_TEXT_HEAD + strlen(s) : 0;
+	return s ? 1 + SIZE_STR_HEADER + strlen(s) : 0;
 }
 
-/* A message without claims or names; its fields are set by the caller. */
+/* Starts a message without claims or names; the caller sets its fields. */
 void outgoing_init(struct outgoing *o, const struct members *m,
 		   enum message_type type)
 {
@@ -54,8 +55,8 @@
 	o->type = type;
 	o->claims = g_array_new(FALSE, FALSE, sizeof(struct claim_out));
 	o->names = g_array_new(FALSE, FALSE, sizeof(struct str));
-	o->size = SIZE_FIXED + text_size(m->self->info.name) +
-		  text_size(m->self->info.host);
+	o->size = SIZE_FIXED + str_size(m->self->info.name) +
+		  str_size(m->self->info.host);
 }
 
 /* Frees the lists. */
@@ -68,16 +69,16 @@
 static size_t claim_size(const struct member *member, bool full)
 {
 	const struct member_info *info = &member->info;
-	size_t size = 1 + text_size(info->name) + SIZE_NUMBER + 1 + 5 + 1;
+	size_t size = 1 + str_size(info->name) + SIZE_NUMBER + 1 + 5 + 1;
 
-	size += member->n_by * 5ULL;
+	size += member->n_suspecters * 5ULL;
 	if (!full)
 		return size;
-	return size + text_size(info->host) + 3 + text_size(info->data_centre) +
-	       text_size(info->region) + text_size(info->curve_public) + 10;
+	return size + str_size(info->host) + 3 + str_size(info->data_centre) +
+	       str_size(info->region) + str_size(info->curve_public) + 10;
 }
 
-/* Adds what is believed of a member; once only. */
+/* Adds a claim about a member, at most once per message. */
 bool outgoing_claim(struct outgoing *o, const struct member *member, bool full,
 		    size_t limit)
 {
@@ -97,10 +98,10 @@
 	return true;
 }
 
-/* Adds a name to ask for. */
+/* Adds a name whose full claim is requested. */
 bool outgoing_name(struct outgoing *o, struct str name, size_t limit)
 {
-	size_t size = SIZE_TEXT_HEAD + name.len;
+	size_t size = SIZE_STR_HEADER + name.len;
 
 	if (o->size + size > limit)
 		return false;
@@ -113,18 +114,19 @@
 {
 	const struct member *member = c->member;
 	const struct member_info *info = &member->info;
-	unsigned i, n = member->n_by ? CLAIM_WITH_BY : CLAIM_SHORT;
+	unsigned i,
+		n = member->n_suspecters ? CLAIM_WITH_SUSPECTERS : CLAIM_SHORT;
 
 	pack_array(p, c->full ? CLAIM_FULL : n);
 	pack_str(p, str_from_c(info->name));
 	pack_u64(p, info->incarnation);
 	pack_u64(p, info->state);
-	pack_u64(p, member->meta);
-	if (!c->full && !member->n_by)
+	pack_u64(p, member->process_hash);
+	if (!c->full && !member->n_suspecters)
 		return;
-	pack_array(p, member->n_by);
-	for (i = 0; i < member->n_by; i++)
-		pack_u64(p, member->by[i]);
+	pack_array(p, member->n_suspecters);
+	for (i = 0; i < member->n_suspecters; i++)
+		pack_u64(p, member->suspecters[i]);
 	if (!c->full)
 		return;
 	pack_str(p, str_from_c(info->host));
@@ -174,7 +176,7 @@
 	       (o->buckets != NULL) + (o->covered != 0);
 }
 
-/* The message as bytes, one reference. */
+/* The packed message; the caller owns the reference. */
 GBytes *outgoing_pack(const struct outgoing *o, const struct members *m)
 {
 	const struct member_info *self = &m->self->info;
@@ -185,7 +187,7 @@
 	pack_field_str(&p, FIELD_FROM, str_from_c(self->name));
 	pack_field_u64(&p, FIELD_INCARNATION, self->incarnation);
 	pack_field_u64(&p, FIELD_STATE, self->state);
-	pack_field_u64(&p, FIELD_META, m->self->meta);
+	pack_field_u64(&p, FIELD_PROCESS_HASH, m->self->process_hash);
 	pack_field_str(&p, FIELD_HOST, str_from_c(self->host));
 	pack_field_u64(&p, FIELD_PORT, self->peer_port);
 	if (o->seq)
@@ -213,7 +215,7 @@
 	return pack_end(&p);
 }
 
-/* A name is printable ASCII without blanks, as it goes into logs and keys. */
+/* Names are printable ASCII without spaces, as they go into logs and keys. */
 static bool valid_name(struct str s)
 {
 	size_t i;
@@ -225,18 +227,18 @@
 	return s.len > 0;
 }
 
-static bool parse_by(const msgpack_object *o, struct claim *c)
+static bool parse_suspecters(const msgpack_object *o, struct claim *c)
 {
 	uint32_t i;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY)
 		return false;
-	for (i = 0; i < o->via.array.size && i < MEMBER_BY_MAX; i++) {
-		uint64_t by;
+	for (i = 0; i < o->via.array.size && i < MEMBER_SUSPECTERS_MAX; i++) {
+		uint64_t suspecter;
 
-		if (!unpack_u64(&o->via.array.ptr[i], UINT32_MAX, &by))
+		if (!unpack_u64(&o->via.array.ptr[i], UINT32_MAX, &suspecter))
 			return false;
-		c->by[c->n_by++] = (uint32_t)by;
+		c->suspecters[c->n_suspecters++] = (uint32_t)suspecter;
 	}
 	return true;
 }
@@ -247,8 +249,8 @@
 
 	if (!unpack_str(&e[5], MEMBER_HOST_MAX, &c->host) ||
 	    !unpack_u64(&e[6], UINT16_MAX, &port) ||
-	    !unpack_str(&e[7], MEMBER_PLACE_MAX, &c->data_centre) ||
-	    !unpack_str(&e[8], MEMBER_PLACE_MAX, &c->region) ||
+	    !unpack_str(&e[7], MEMBER_LOCATION_MAX, &c->data_centre) ||
+	    !unpack_str(&e[8], MEMBER_LOCATION_MAX, &c->region) ||
 	    !unpack_str(&e[9], MEMBER_CURVE_LEN, &c->curve_public) ||
 	    !unpack_u64(&e[10], UINT32_MAX, &version_min) ||
 	    !unpack_u64(&e[11], UINT32_MAX, &version_max))
@@ -261,13 +263,13 @@
 }
 
 /*
- * Reads one claim. A state that a later release added makes the claim unusable
- * but not malformed: *known says so.
+ * Reads one claim. A state added by a later release makes the claim unusable
+ * but not malformed: *known is then false.
  */
 static bool parse_claim(const msgpack_object *o, struct claim *c, bool *known)
 {
 	const msgpack_object *e;
-	uint64_t state, meta;
+	uint64_t state, process_hash;
 	uint32_t n;
 
 	memset(c, 0, sizeof(*c));
@@ -279,12 +281,12 @@
 	    !valid_name(c->name) ||
 	    !unpack_u64(&e[1], INCARNATION_MAX, &c->incarnation) ||
 	    !unpack_u64(&e[2], UINT32_MAX, &state) ||
-	    !unpack_u64(&e[3], UINT32_MAX, &meta))
+	    !unpack_u64(&e[3], UINT32_MAX, &process_hash))
 		return false;
-	c->meta = (uint32_t)meta;
+	c->process_hash = (uint32_t)process_hash;
 	*known = state <= MEMBER_DEAD;
 	c->state = *known ? (enum member_state)state : MEMBER_DEAD;
-	if (n >= CLAIM_WITH_BY && !parse_by(&e[4], c))
+	if (n >= CLAIM_WITH_SUSPECTERS && !parse_suspecters(&e[4], c))
 		return false;
 	return n < CLAIM_FULL || parse_full(e, c);
 }
@@ -346,7 +348,7 @@
 
 static bool parse_sender(const msgpack_object *map, struct claim *c)
 {
-	uint64_t state = MEMBER_ALIVE, meta = 0, port = 0;
+	uint64_t state = MEMBER_ALIVE, process_hash = 0, port = 0;
 
 	c->name = STR("");
 	c->host = STR("");
@@ -354,18 +356,19 @@
 	    !unpack_field_u64(map, FIELD_INCARNATION, INCARNATION_MAX,
 			      &c->incarnation) ||
 	    !unpack_field_u64(map, FIELD_STATE, UINT32_MAX, &state) ||
-	    !unpack_field_u64(map, FIELD_META, UINT32_MAX, &meta) ||
+	    !unpack_field_u64(map, FIELD_PROCESS_HASH, UINT32_MAX,
+			      &process_hash) ||
 	    !unpack_field_str(map, FIELD_HOST, MEMBER_HOST_MAX, &c->host) ||
 	    !unpack_field_u64(map, FIELD_PORT, UINT16_MAX, &port))
 		return false;
 	c->state = state <= MEMBER_DEAD ? (enum member_state)state :
 					  MEMBER_ALIVE;
-	c->meta = (uint32_t)meta;
+	c->process_hash = (uint32_t)process_hash;
 	c->port = (uint16_t)port;
 	return valid_name(c->name) && valid_name(c->host) && c->port;
 }
 
-static bool parse_rest(const msgpack_object *map, struct message *msg)
+static bool parse_optional(const msgpack_object *map, struct message *msg)
 {
 	uint64_t want_full = 0, last = 0, partial = 0, port = 0;
 
@@ -391,9 +394,9 @@
 }
 
 /*
- * Reads the whole message before anything of it is used. The views point into
- * the received bytes. BAD_MESSAGE when any part of it is malformed; a type or
- * field that is not known is no fault.
+ * Reads the whole message before anything of it is used. Its strings point into
+ * the received bytes. Fails with BAD_MESSAGE if any part is malformed; unknown
+ * types and fields are accepted.
  */
 bool message_parse(struct message *msg, struct unpack *u, struct err *err)
 {
@@ -407,7 +410,7 @@
 		what = "type";
 	else if (!parse_sender(map, &msg->sender))
 		what = "sender";
-	else if (!parse_rest(map, msg))
+	else if (!parse_optional(map, msg))
 		what = "fields";
 	else if (!parse_claims(unpack_field(map, FIELD_CLAIMS), msg))
 		what = "claims";
@@ -418,7 +421,7 @@
 	if (!what)
 		return true;
 	message_clear(msg);
-	err_set(err, ERR_BAD_MESSAGE, "gossip: the %s are malformed", what);
+	err_set(err, ERR_BAD_MESSAGE, "gossip: malformed %s", what);
 	return false;
 }
 
--- a/packages/core/src/member_probe.c
+++ b/packages/core/src/member_probe.c
@@ -3,13 +3,17 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Those who are asked get longer than the member itself: two more ways. */
-#define OTHERS_SHARE 1.5
-#define VERIFY_GAP_US (100 * USEC_PER_MSEC)
-/* Longer than any prober waits. */
-#define RELAY_US (5 * USEC_PER_SEC)
+/*
+ * Timeout of indirect pings over that of the direct one, as they take two more
+ * one-way trips.
+ */
+#define INDIRECT_TIMEOUT_FACTOR 1.5
+/* Between probes that are started out of turn. */
+#define VERIFY_INTERVAL_US (100 * USEC_PER_MSEC)
+/* How long an ack is relayed; longer than any prober waits for it. */
+#define RELAY_TIMEOUT_US (5 * USEC_PER_SEC)
 
-/* An empty prober; the first probe comes within one interval. */
+/* Initializes the prober; the first probe starts within one interval. */
 void member_probe_init(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
@@ -18,21 +22,23 @@
 	p->seeds = g_array_new(FALSE, TRUE, sizeof(struct member_seed));
 	g_queue_init(&p->verify);
 	p->seq = g_rand_int(m->rng) | 1;
-	p->next_us = now_us +
-		     (uint64_t)(share * (double)m->settings.probe_interval_us);
-	p->next_dead_us =
-		now_us + (uint64_t)(share * (double)m->settings.dead_probe_us);
-	p->next_seed_us = now_us;
+	p->next_probe_at_us =
+		now_us +
+		(uint64_t)(share * (double)m->settings.probe_interval_us);
+	p->next_dead_at_us =
+		now_us +
+		(uint64_t)(share * (double)m->settings.dead_probe_interval_us);
+	p->next_seed_at_us = now_us;
 }
 
-/* Frees what the prober holds. */
+/* Frees the prober's lists. */
 void member_probe_clear(struct members *m)
 {
 	g_array_free(m->prober.seeds, TRUE);
 	g_queue_clear(&m->prober.verify);
 }
 
-/* The member goes out of the table. */
+/* Drops all references to a member that is removed from the table. */
 void member_probe_forget(struct members *m, struct member *member)
 {
 	struct member_prober *p = &m->prober;
@@ -46,7 +52,7 @@
 		g_queue_remove(&p->verify, member);
 }
 
-/* Probes the member soon, out of its turn. */
+/* Queues the member to be probed out of turn. */
 void member_probe_verify(struct members *m, struct member *member)
 {
 	struct member_prober *p = &m->prober;
@@ -57,7 +63,7 @@
 	g_queue_push_tail(&p->verify, member);
 }
 
-/* No verdict on what runs: this node itself stood still. */
+/* Drops running probes without a result, after a pause of this process. */
 void member_probe_abandon(struct members *m)
 {
 	unsigned i;
@@ -66,7 +72,7 @@
 		m->prober.probes[i].member = NULL;
 }
 
-/* Numbers for pings, never 0. */
+/* A sequence number for a ping, never 0. */
 uint32_t member_next_seq(struct members *m)
 {
 	m->prober.seq++;
@@ -75,7 +81,10 @@
 	return m->prober.seq;
 }
 
-/* A ping; if the other is not well in the table it is told, to refute. */
+/*
+ * Sends a ping. If member is not alive in the table, the ping carries that
+ * claim, so that the member can refute it. member is NULL for a seed.
+ */
 void member_ping(struct members *m, const struct member_info *to,
 		 const struct member *member, uint32_t seq)
 {
@@ -111,22 +120,24 @@
 			uint64_t now_us)
 {
 	struct member_probe *probe = free_slot(m);
-	uint64_t timeout_us = member_stretch(m, m->settings.probe_timeout_us);
+	uint64_t timeout_us =
+		member_scale_timeout(m, m->settings.probe_timeout_us);
 
 	if (!probe)
 		return;
 	probe->member = member;
 	probe->seq = member_next_seq(m);
 	probe->was_suspected = member->suspected;
-	probe->asked_others = false;
-	probe->ask_us = now_us + timeout_us;
-	probe->verdict_us =
-		probe->ask_us + (uint64_t)(OTHERS_SHARE * (double)timeout_us);
+	probe->indirect_sent = false;
+	probe->indirect_at_us = now_us + timeout_us;
+	probe->fails_at_us =
+		probe->indirect_at_us +
+		(uint64_t)(INDIRECT_TIMEOUT_FACTOR * (double)timeout_us);
 	member_ping(m, &member->info, member, probe->seq);
 }
 
-static void ask_one(struct members *m, struct member_probe *probe,
-		    struct member *to)
+static void send_ping_req(struct members *m, struct member_probe *probe,
+			  struct member *to)
 {
 	const struct member_info *target = &probe->member->info;
 	struct outgoing o;
@@ -139,29 +150,29 @@
 	member_send(m, &to->info, &o);
 }
 
-/* Neighbours that could reach the member on another way. */
-static void ask_others(struct members *m, struct member_probe *probe)
+/* Asks neighbours, which may reach the member by another route, to ping it. */
+static void send_ping_reqs(struct members *m, struct member_probe *probe)
 {
 	GPtrArray *list = m->rings.neighbours;
 	unsigned left = m->settings.indirect_probes;
 	unsigned i, start = g_rand_int(m->rng) % MAX(list->len, 1);
 
-	probe->asked_others = true;
+	probe->indirect_sent = true;
 	for (i = 0; i < list->len && left; i++) {
 		struct member *to =
 			g_ptr_array_index(list, (start + i) % list->len);
 
-		if (to == probe->member || !member_takes_part(to))
+		if (to == probe->member || !member_is_present(to))
 			continue;
-		ask_one(m, probe, to);
+		send_ping_req(m, probe, to);
 		left--;
 	}
 }
 
 /*
- * Neither the member nor anybody in its place answered. When many probes fail
- * of members that nobody else suspects, this node is likely the one that is
- * cut off or overloaded: its timeouts grow, so that it holds back.
+ * Neither the member answered nor one of the nodes asked to ping it. When many
+ * probes of members fail that nobody else suspects, this node itself is likely
+ * cut off or overloaded. Its timeouts grow, so that it suspects fewer members.
  */
 static void probe_failed(struct members *m, struct member_probe *probe,
 			 uint64_t now_us)
@@ -170,8 +181,8 @@
 
 	probe->member = NULL;
 	if (!probe->was_suspected && !member->suspected &&
-	    m->health < MEMBER_HEALTH_MAX)
-		m->health++;
+	    m->health_penalty < MEMBER_HEALTH_PENALTY_MAX)
+		m->health_penalty++;
 	member_suspect(m, member, now_us);
 }
 
@@ -184,14 +195,14 @@
 
 		if (!probe->member)
 			continue;
-		if (!probe->asked_others && now_us >= probe->ask_us)
-			ask_others(m, probe);
-		if (now_us >= probe->verdict_us)
+		if (!probe->indirect_sent && now_us >= probe->indirect_at_us)
+			send_ping_reqs(m, probe);
+		if (now_us >= probe->fails_at_us)
 			probe_failed(m, probe, now_us);
 	}
 }
 
-/* A sign of life: probes of the member have succeeded. */
+/* Ends running probes of the member as successful. */
 void member_probe_alive(struct members *m, struct member *member)
 {
 	unsigned i;
@@ -202,31 +213,31 @@
 		if (probe->member != member)
 			continue;
 		probe->member = NULL;
-		if (m->health)
-			m->health--;
+		if (m->health_penalty)
+			m->health_penalty--;
 	}
 }
 
 /*
- * The next member in its turn; without any, a dead one: a node that was cut
- * off alone holds all others for dead and must find them quickly.
+ * Probes the next target. Without any target it pings a dead member: a node
+ * that was cut off alone regards all others as dead and must find them quickly.
  */
-static void probe_in_turn(struct members *m, uint64_t now_us)
+static void probe_next_target(struct members *m, uint64_t now_us)
 {
 	struct member_prober *p = &m->prober;
 	struct member *member;
 
-	if (now_us < p->next_us)
+	if (now_us < p->next_probe_at_us)
 		return;
-	p->next_us += m->settings.probe_interval_us;
-	if (p->next_us <= now_us)
-		p->next_us = now_us + m->settings.probe_interval_us;
-	member = member_ring_target(m);
+	p->next_probe_at_us += m->settings.probe_interval_us;
+	if (p->next_probe_at_us <= now_us)
+		p->next_probe_at_us = now_us + m->settings.probe_interval_us;
+	member = member_ring_next_target(m);
 	if (member) {
 		probe_start(m, member, now_us);
 		return;
 	}
-	member_seek_dead(m);
+	member_reconnect_dead(m);
 }
 
 static void verify_next(struct members *m, uint64_t now_us)
@@ -234,27 +245,27 @@
 	struct member_prober *p = &m->prober;
 	struct member *member;
 
-	if (now_us < p->next_verify_us || !p->verify.length)
+	if (now_us < p->next_verify_at_us || !p->verify.length)
 		return;
-	p->next_verify_us = now_us + VERIFY_GAP_US;
+	p->next_verify_at_us = now_us + VERIFY_INTERVAL_US;
 	member = g_queue_pop_head(&p->verify);
 	member->verifying = false;
-	if (member_takes_part(member))
+	if (member_is_present(member))
 		probe_start(m, member, now_us);
 	else
 		member_ping(m, &member->info, member, member_next_seq(m));
 }
 
-/* Runs and starts probes. */
+/* Advances running probes and starts those that are due. */
 void member_probe_tick(struct members *m, uint64_t now_us)
 {
 	probes_advance(m, now_us);
-	probe_in_turn(m, now_us);
+	probe_next_target(m, now_us);
 	verify_next(m, now_us);
-	member_seek_tick(m, now_us);
+	member_reconnect_tick(m, now_us);
 }
 
-/* Answers, unless the ping was for an earlier owner of this address. */
+/* Answers a ping, unless it is for an earlier owner of this address. */
 void member_on_ping(struct members *m, const struct message *msg,
 		    const struct member_info *from)
 {
@@ -269,7 +280,7 @@
 	if (msg->want_full) {
 		outgoing_claim(&o, m->self, true,
 			       m->settings.max_message_bytes);
-		member_introduce(m, &o);
+		member_sync_add_referrals(m, &o);
 	}
 	sender = member_table_find(m, msg->sender.name);
 	if (sender && (sender->info.state != MEMBER_ALIVE ||
@@ -284,7 +295,7 @@
 	g_snprintf(to, size, "%.*s", (int)from.len, from.data);
 }
 
-/* Pings the target in the sender's place and remembers for whom. */
+/* Pings the target on behalf of the sender, to which the ack is relayed. */
 void member_on_ping_req(struct members *m, const struct message *msg,
 			const struct member_info *from, uint64_t now_us)
 {
@@ -301,7 +312,7 @@
 	relay->origin_seq = msg->seq;
 	g_strlcpy(relay->origin, from->name, sizeof(relay->origin));
 	copy_name(relay->target, sizeof(relay->target), msg->target);
-	relay->until_us = now_us + RELAY_US;
+	relay->expires_at_us = now_us + RELAY_TIMEOUT_US;
 	copy_name(to.name, sizeof(to.name), msg->target);
 	copy_name(to.host, sizeof(to.host), msg->target_host);
 	outgoing_init(&o, m, MESSAGE_PING);
@@ -324,7 +335,7 @@
 		struct outgoing o;
 
 		if (!relay->seq || relay->seq != msg->seq ||
-		    now_us > relay->until_us ||
+		    now_us > relay->expires_at_us ||
 		    !str_eq(msg->sender.name, str_from_c(relay->target)))
 			continue;
 		relay->seq = 0;
@@ -339,7 +350,7 @@
 	}
 }
 
-/* An answer to an own probe, straight or through another, or to a relayed. */
+/* Handles an ack to a probe, direct or relayed, or to a ping for another. */
 void member_on_ack(struct members *m, const struct message *msg,
 		   uint64_t now_us)
 {
@@ -352,7 +363,7 @@
 		if (!probe->member || probe->seq != msg->seq ||
 		    !str_eq(name, str_from_c(probe->member->info.name)))
 			continue;
-		probe->member->heard_us = now_us;
+		probe->member->heard_at_us = now_us;
 		member_probe_alive(m, probe->member);
 		return;
 	}
--- a/packages/core/src/member_ring.c
+++ b/packages/core/src/member_ring.c
@@ -4,20 +4,21 @@
 #include <xxhash.h>
 
 /*
- * Whom a node keeps in touch with. All members stand on some rings, each in
- * the order of another hash of their names; two rings hold the own region
- * only. A node probes those that come next after it and passes news to its
- * neighbours on both sides. So each member has a few that watch it, links
- * between nodes last, and the graph has short ways between all. With partners
- * at random each probe would open a link of its own, which takes ten times as
- * many bytes as the probe.
+ * The choice of neighbours. All members are placed on several rings, each
+ * ordered by another hash of their names; two rings hold only the own region. A
+ * node probes its successors on the rings and sends gossip to its successors
+ * and predecessors. So each member is watched by a few others, connections
+ * between nodes last, and the graph of neighbours has short paths between all
+ * nodes. With random partners each probe would open a connection of its own,
+ * which takes ten times as many bytes as the probe.
  */
 
-/* Up to so many members all are neighbours of all. */
-#define RINGS_FROM 13
+/* Up to this number of members, all are neighbours of each other. */
+#define FULL_MESH_MAX 13
+/* Tries to find a random neighbour that is present. */
 #define RANDOM_TRIES 8
 
-/* The closest on either side of one ring so far. */
+/* Successor and predecessor of this node on one ring, as found so far. */
 struct ring_sides {
 	struct member *next;
 	struct member *previous;
@@ -25,7 +26,7 @@
 	uint32_t previous_distance;
 };
 
-/* Empty lists, filled in the next tick. */
+/* Initializes empty lists, filled in the next tick. */
 void member_ring_init(struct members *m)
 {
 	m->rings.targets = g_ptr_array_new();
@@ -40,14 +41,14 @@
 	g_ptr_array_free(m->rings.neighbours, TRUE);
 }
 
-/* The member's places, which only its name decides. */
-void member_ring_place(struct member *member)
+/* Sets the member's positions on the rings, which depend only on its name. */
+void member_ring_set_positions(struct member *member)
 {
 	size_t len = strlen(member->info.name);
 	unsigned i;
 
 	for (i = 0; i < MEMBER_RINGS; i++)
-		member->ring[i] = XXH32(member->info.name, len, i + 1);
+		member->ring_pos[i] = XXH32(member->info.name, len, i + 1);
 }
 
 static void add_once(GPtrArray *list, struct member *member)
@@ -56,9 +57,12 @@
 		g_ptr_array_add(list, member);
 }
 
-/* Distances run in one direction, so the farthest is the one just before. */
-static void look_at(struct ring_sides *sides, struct member *member,
-		    uint32_t distance)
+/*
+ * Distances are measured in one direction around the ring, so the farthest
+ * member is the predecessor.
+ */
+static void update_sides(struct ring_sides *sides, struct member *member,
+			 uint32_t distance)
 {
 	if (!sides->next || distance < sides->next_distance) {
 		sides->next = member;
@@ -70,47 +74,48 @@
 	}
 }
 
-static void find_sides(struct members *m, struct ring_sides *sides)
+static void find_ring_neighbours(struct members *m, struct ring_sides *sides)
 {
 	const struct member *self = m->self;
 	unsigned i, ring;
 
 	for (i = 0; i < m->table->len; i++) {
 		struct member *member = g_ptr_array_index(m->table, i);
-		bool near;
+		bool same_region;
 
-		if (member == self || !member_takes_part(member))
+		if (member == self || !member_is_present(member))
 			continue;
-		near = !strcmp(member->info.region, self->info.region);
+		same_region = !strcmp(member->info.region, self->info.region);
 		for (ring = 0; ring < MEMBER_RINGS; ring++) {
-			if (ring >= MEMBER_RINGS_OF_ALL && !near)
+			if (ring >= MEMBER_GLOBAL_RINGS && !same_region)
 				continue;
-			look_at(&sides[ring], member,
-				member->ring[ring] - self->ring[ring]);
+			update_sides(&sides[ring], member,
+				     member->ring_pos[ring] -
+					     self->ring_pos[ring]);
 		}
 	}
 }
 
-static void take_all(struct members *m)
+static void add_all_members(struct members *m)
 {
 	unsigned i;
 
 	for (i = 0; i < m->table->len; i++) {
 		struct member *member = g_ptr_array_index(m->table, i);
 
-		if (member != m->self && member_takes_part(member)) {
+		if (member != m->self && member_is_present(member)) {
 			g_ptr_array_add(m->rings.targets, member);
 			g_ptr_array_add(m->rings.neighbours, member);
 		}
 	}
 }
 
-static void take_sides(struct members *m)
+static void add_ring_neighbours(struct members *m)
 {
 	struct ring_sides sides[MEMBER_RINGS] = { 0 };
 	unsigned ring;
 
-	find_sides(m, sides);
+	find_ring_neighbours(m, sides);
 	for (ring = 0; ring < MEMBER_RINGS; ring++) {
 		add_once(m->rings.targets, sides[ring].next);
 		add_once(m->rings.neighbours, sides[ring].next);
@@ -118,7 +123,7 @@
 	}
 }
 
-/* Finds the neighbours anew if members came or went. */
+/* Builds the lists again if the set of present members changed. */
 void member_ring_update(struct members *m)
 {
 	struct member_rings *r = &m->rings;
@@ -128,11 +133,11 @@
 	r->stale = false;
 	g_ptr_array_set_size(r->targets, 0);
 	g_ptr_array_set_size(r->neighbours, 0);
-	if (m->n_live <= RINGS_FROM)
-		take_all(m);
+	if (m->n_live <= FULL_MESH_MAX)
+		add_all_members(m);
 	else
-		take_sides(m);
-	r->position = r->targets->len;
+		add_ring_neighbours(m);
+	r->next_target = r->targets->len;
 }
 
 static void shuffle(struct members *m)
@@ -147,11 +152,14 @@
 		list->pdata[i - 1] = list->pdata[j];
 		list->pdata[j] = t;
 	}
-	m->rings.position = 0;
+	m->rings.next_target = 0;
 }
 
-/* The next to probe, each once before any twice. NULL: nobody is there. */
-struct member *member_ring_target(struct members *m)
+/*
+ * The next member to probe; all targets are probed once before one is probed
+ * again. NULL if none is present.
+ */
+struct member *member_ring_next_target(struct members *m)
 {
 	struct member_rings *r = &m->rings;
 	unsigned tries = r->targets->len;
@@ -159,10 +167,10 @@
 	while (tries--) {
 		struct member *member;
 
-		if (r->position >= r->targets->len)
+		if (r->next_target >= r->targets->len)
 			shuffle(m);
-		member = g_ptr_array_index(r->targets, r->position++);
-		if (member_takes_part(member))
+		member = g_ptr_array_index(r->targets, r->next_target++);
+		if (member_is_present(member))
 			return member;
 	}
 	return NULL;
@@ -174,7 +182,10 @@
 	return g_ptr_array_find(m->rings.targets, member, NULL);
 }
 
-/* A neighbour at random; anybody when none of them is there. */
+/*
+ * A random neighbour; any present member if no neighbour is found that is
+ * present. NULL if there is none.
+ */
 struct member *member_ring_random(struct members *m)
 {
 	GPtrArray *list = m->rings.neighbours;
@@ -184,8 +195,8 @@
 		int at = g_rand_int_range(m->rng, 0, (int)list->len);
 		struct member *member = g_ptr_array_index(list, at);
 
-		if (member_takes_part(member))
+		if (member_is_present(member))
 			return member;
 	}
-	return member_table_random(m, member_takes_part);
+	return member_table_random(m, member_is_present);
 }
--- a/packages/core/src/member_sync.c
+++ b/packages/core/src/member_sync.c
@@ -2,63 +2,69 @@
 
 #include <string.h>
 
-/* A node that starts asks another member when a part has not come by then. */
+/* A starting node asks another member if a part has not arrived by then. */
 #define PART_TIMEOUT_US USEC_PER_SEC
-/* Nodes that start together know little; they are believed after this. */
+/*
+ * How long a node looks for a complete table before it accepts parts of a table
+ * that is itself still being fetched, as when all nodes start together.
+ */
 #define PARTIAL_WAIT_US (1500 * USEC_PER_MSEC)
-#define NEAR_TRIES 4
-/* With so many unknown names the whole table is fetched again. */
-#define FETCH_AGAIN 8
-/* A node with seeds that do not answer takes itself for the first one. */
-#define ALONE_US (5 * USEC_PER_SEC)
-/* Tables that differed are compared again so many times sooner. */
-#define HURRY 20
-/* One comparison of so many is with any member. */
-#define FAR_DIGESTS 4
-/* Members that a node which starts is told of, to ask them on. */
-#define INTRODUCED 2
+/* Tries to find a random member of the own region. */
+#define SAME_REGION_TRIES 4
+/* From this number of unknown names on, the whole table is fetched again. */
+#define REFETCH_MIN_MISSING 8
+/* A node whose seeds do not answer by then takes itself for the first one. */
+#define SEED_WAIT_US (5 * USEC_PER_SEC)
+/* After a difference the interval between comparisons is divided by this. */
+#define FAST_SYNC_DIVISOR 20
+/* Every n-th comparison is with any member instead of a neighbour. */
+#define RANDOM_DIGEST_PERIOD 4
+/* Random members sent to a starting node, which can then ask them. */
+#define REFERRALS_MAX 2
 /*
- * News is sent from what the budget has, tables may run into debt by this
- * many seconds' worth, introductions by some more: whatever is needed in bulk
- * takes a fraction of the bytes this way, and news has to wait for it.
+ * Gossip is sent only from available tokens. Tables may go into debt by this
+ * many seconds of max_bytes_per_s, and referrals by some more: sending changes
+ * in bulk this way takes a fraction of the bytes, so gossip has to wait for it.
  */
 #define TABLE_DEBT_S 1
-#define INTRODUCE_DEBT_S 2
-#define ASK_AGAIN_US (300 * USEC_PER_MSEC)
+#define REFERRAL_DEBT_S 2
+/* Delay of the next request after a part that did not advance the cursor. */
+#define RETRY_DELAY_US (300 * USEC_PER_MSEC)
 
-static bool spent(const struct members *m)
+static bool over_budget(const struct members *m)
 {
 	return m->tokens <=
 	       -(int64_t)TABLE_DEBT_S * m->settings.max_bytes_per_s;
 }
 
-/* A node starts without a table; the first comparison is at a random time. */
+/* Starts fetching the table; the first comparison is at a random time. */
 void member_sync_init(struct members *m, uint64_t now_us)
 {
 	double share = g_rand_double(m->rng);
 	double interval = (double)m->settings.sync_interval_us;
 
 	m->syncer.fetching = true;
-	m->syncer.started_us = m->syncer.progress_us = now_us;
-	m->syncer.next_us = now_us;
-	m->syncer.next_digest_us = now_us + (uint64_t)(share * interval);
-	m->syncer.digest_gap_us = m->settings.sync_interval_us;
+	m->syncer.started_at_us = m->syncer.progress_at_us = now_us;
+	m->syncer.next_request_at_us = now_us;
+	m->syncer.next_digest_at_us = now_us + (uint64_t)(share * interval);
+	m->syncer.digest_delay_us = m->settings.sync_interval_us;
 }
 
 /*
- * The same member for as long as it answers, as each link that is opened costs
- * more than a part; else somebody near, if the table has anybody near yet.
+ * The member to request the next part from: the same one for as long as it
+ * answers, as opening a connection costs more than a part; else a random
+ * member, preferably of the own region.
  */
-static struct member *join_from(struct members *m)
+static struct member *join_source(struct members *m)
 {
 	struct member *member =
 		member_table_find(m, str_from_c(m->syncer.source));
 	unsigned i;
 
-	if (member && member_takes_part(member))
+	if (member && member_is_present(member))
 		return member;
-	for (i = 0; i < NEAR_TRIES; i++) {
-		member = member_table_random(m, member_takes_part);
+	for (i = 0; i < SAME_REGION_TRIES; i++) {
+		member = member_table_random(m, member_is_present);
 		if (!member ||
 		    !strcmp(member->info.region, m->self->info.region))
 			break;
@@ -72,38 +78,39 @@
 	struct member *to;
 	struct outgoing o;
 
-	if (now_us < s->next_us)
+	if (now_us < s->next_request_at_us)
 		return;
-	if (s->asking)
+	if (s->awaiting_part)
 		s->source[0] = '\0'; /* no answer */
-	to = join_from(m);
+	to = join_source(m);
 	if (!to) {
 		s->joined |= !m->prober.seeds->len ||
-			     now_us - s->started_us >= ALONE_US;
+			     now_us - s->started_at_us >= SEED_WAIT_US;
 		return;
 	}
 	g_strlcpy(s->source, to->info.name, sizeof(s->source));
-	s->asking = true;
-	s->asked_us = now_us;
-	s->next_us = now_us + PART_TIMEOUT_US;
-	outgoing_init(&o, m, MESSAGE_JOIN_ASK);
+	s->awaiting_part = true;
+	s->requested_at_us = now_us;
+	s->next_request_at_us = now_us + PART_TIMEOUT_US;
+	outgoing_init(&o, m, MESSAGE_JOIN_REQUEST);
 	o.cursor = s->cursor;
 	outgoing_claim(&o, m->self, true, m->settings.max_message_bytes);
 	member_send(m, &to->info, &o);
 }
 
-static void hurry(struct members *m, uint64_t now_us)
+static void sync_sooner(struct members *m, uint64_t now_us)
 {
 	struct member_syncer *s = &m->syncer;
 
-	s->digest_gap_us = m->settings.sync_interval_us / HURRY;
-	s->next_digest_us = MIN(s->next_digest_us, now_us + s->digest_gap_us);
+	s->digest_delay_us = m->settings.sync_interval_us / FAST_SYNC_DIVISOR;
+	s->next_digest_at_us =
+		MIN(s->next_digest_at_us, now_us + s->digest_delay_us);
 }
 
 /*
- * Compares tables with a neighbour, now and then with any member. News is lost
- * sometimes, and after a partition each side has plenty that the other lacks;
- * with the comparison the tables become equal whatever was lost.
+ * Compares tables with a neighbour, and at times with any member. Gossip may be
+ * lost, and after a partition each side has much that the other lacks; the
+ * comparison makes the tables equal whatever was lost.
  */
 static void digest_tick(struct members *m, uint64_t now_us)
 {
@@ -111,15 +118,15 @@
 	struct member *to;
 	struct outgoing o;
 
-	if (now_us < s->next_digest_us)
+	if (now_us < s->next_digest_at_us)
 		return;
-	s->digest_gap_us =
-		MIN(2 * s->digest_gap_us, m->settings.sync_interval_us);
-	s->next_digest_us = now_us + s->digest_gap_us;
-	to = ++s->digests % FAR_DIGESTS ?
+	s->digest_delay_us =
+		MIN(2 * s->digest_delay_us, m->settings.sync_interval_us);
+	s->next_digest_at_us = now_us + s->digest_delay_us;
+	to = ++s->digests % RANDOM_DIGEST_PERIOD ?
 		     member_ring_random(m) :
-		     member_table_random(m, member_takes_part);
-	if (!to || spent(m))
+		     member_table_random(m, member_is_present);
+	if (!to || over_budget(m))
 		return;
 	outgoing_init(&o, m, MESSAGE_DIGEST);
 	o.buckets = m->buckets;
@@ -127,7 +134,7 @@
 	member_send(m, &to->info, &o);
 }
 
-/* Takes the whole table when the node starts, then compares now and then. */
+/* Fetches the whole table at the start, then compares it periodically. */
 void member_sync_tick(struct members *m, uint64_t now_us)
 {
 	if (m->syncer.fetching)
@@ -137,18 +144,18 @@
 }
 
 /*
- * Tells of a few members at random. A node that starts knows its seeds alone;
- * when many start together the seeds could not give all of them the table, but
- * they can send them on to each other.
+ * Adds full claims of a few random members. A starting node knows only its
+ * seeds; when many start together, the seeds cannot send the table to all of
+ * them, but can refer them to each other.
  */
-void member_introduce(struct members *m, struct outgoing *o)
+void member_sync_add_referrals(struct members *m, struct outgoing *o)
 {
-	int64_t debt = (int64_t)INTRODUCE_DEBT_S * m->settings.max_bytes_per_s;
+	int64_t debt = (int64_t)REFERRAL_DEBT_S * m->settings.max_bytes_per_s;
 	unsigned i;
 
-	for (i = 0; i < INTRODUCED && m->tokens > -debt; i++) {
+	for (i = 0; i < REFERRALS_MAX && m->tokens > -debt; i++) {
 		struct member *other =
-			member_table_random(m, member_takes_part);
+			member_table_random(m, member_is_present);
 
 		if (other)
 			outgoing_claim(o, other, true,
@@ -157,11 +164,11 @@
 }
 
 /*
- * Answers with the members whose names come behind the cursor; when the bytes
- * are used up, with whom to ask.
+ * Answers with the members whose names come after the cursor; if the byte
+ * budget is used up, with members to ask instead.
  */
-void member_on_join_ask(struct members *m, const struct message *msg,
-			const struct member_info *from)
+void member_on_join_request(struct members *m, const struct message *msg,
+			    const struct member_info *from)
 {
 	struct outgoing o;
 	unsigned i;
@@ -169,8 +176,8 @@
 	outgoing_init(&o, m, MESSAGE_JOIN_PART);
 	o.partial = m->syncer.fetching;
 	o.size += MEMBER_NAME_MAX;
-	if (spent(m)) {
-		member_introduce(m, &o);
+	if (over_budget(m)) {
+		member_sync_add_referrals(m, &o);
 		member_send(m, from, &o);
 		return;
 	}
@@ -179,7 +186,7 @@
 
 		if (str_cmp(str_from_c(member->info.name), msg->cursor) <= 0)
 			continue;
-		if (member_takes_part(member) &&
+		if (member_is_present(member) &&
 		    !outgoing_claim(&o, member, true,
 				    m->settings.max_message_bytes))
 			break;
@@ -190,33 +197,36 @@
 }
 
 /*
- * The claims were taken in; goes on behind them, not faster than allowed. A
- * sender that is still fetching has gaps, and to go on behind them would leave
- * them open here; unless there is nobody else, as when a whole fleet starts.
+ * Requests the next part once the claims of this one were handled, not faster
+ * than max_join_bytes_per_s allows. The table of a sender that is still
+ * fetching has gaps, and advancing the cursor past them would leave them open
+ * here; such a part is accepted only if no member with a complete table was
+ * found, as when a whole fleet starts.
  */
 void member_on_join_part(struct members *m, const struct message *msg,
 			 size_t len, uint64_t now_us)
 {
 	struct member_syncer *s = &m->syncer;
 
-	if (!s->fetching || !s->asking)
+	if (!s->fetching || !s->awaiting_part)
 		return;
-	s->asking = false;
-	s->next_us = now_us + ASK_AGAIN_US;
+	s->awaiting_part = false;
+	s->next_request_at_us = now_us + RETRY_DELAY_US;
 	if (!msg->last && str_cmp(msg->cursor, str_from_c(s->cursor)) <= 0) {
-		s->source[0] = '\0'; /* has no bytes left */
+		s->source[0] = '\0'; /* out of budget */
 		return;
 	}
-	s->next_us = s->asked_us +
-		     len * USEC_PER_SEC / m->settings.max_join_bytes_per_s;
-	s->believe_partial = msg->partial &&
-			     (s->believe_partial ||
-			      now_us - s->progress_us >= PARTIAL_WAIT_US);
+	s->next_request_at_us =
+		s->requested_at_us +
+		len * USEC_PER_SEC / m->settings.max_join_bytes_per_s;
+	s->accept_partial = msg->partial &&
+			    (s->accept_partial ||
+			     now_us - s->progress_at_us >= PARTIAL_WAIT_US);
 	if (msg->partial)
 		s->source[0] = '\0';
-	if (msg->partial && !s->believe_partial)
+	if (msg->partial && !s->accept_partial)
 		return;
-	s->progress_us = now_us;
+	s->progress_at_us = now_us;
 	memcpy(s->cursor, msg->cursor.data, msg->cursor.len);
 	s->cursor[msg->cursor.len] = '\0';
 	if (!msg->last) {
@@ -225,23 +235,23 @@
 	}
 	s->fetching = false;
 	s->joined = true;
-	hurry(m, now_us);
+	sync_sooner(m, now_us);
 }
 
-/* Too much is missing to ask for it name by name. */
-static void fetch_again(struct members *m, uint64_t now_us)
+/* Fetches the whole table if too much is missing to request it by name. */
+static void refetch_table(struct members *m, uint64_t now_us)
 {
 	struct member_syncer *s = &m->syncer;
 
 	if (s->fetching)
 		return;
 	s->fetching = true;
-	s->asking = false;
+	s->awaiting_part = false;
 	s->cursor[0] = '\0';
-	s->progress_us = s->next_us = now_us;
+	s->progress_at_us = s->next_request_at_us = now_us;
 }
 
-/* Adds what is believed of all members of a bucket, or nothing. */
+/* Adds the claims of all members of a bucket, or none if they do not fit. */
 static bool add_bucket(struct members *m, struct outgoing *o, unsigned bucket)
 {
 	unsigned claims = o->claims->len;
@@ -255,7 +265,7 @@
 		    outgoing_claim(o, member, false,
 				   m->settings.max_message_bytes))
 			continue;
-		/* A bucket that is too long even alone goes in part. */
+		/* A bucket too long for an empty message is sent in part. */
 		if (!claims)
 			return false;
 		g_array_set_size(o->claims, claims);
@@ -266,7 +276,7 @@
 	return true;
 }
 
-/* Answers with what is in buckets that differ, from a random one on. */
+/* Answers with the claims of differing buckets, from a random one on. */
 void member_on_digest(struct members *m, const struct message *msg,
 		      const struct member_info *from, uint64_t now_us)
 {
@@ -274,10 +284,10 @@
 	struct outgoing o;
 	unsigned i;
 
-	if (!msg->has_buckets || spent(m) ||
+	if (!msg->has_buckets || over_budget(m) ||
 	    !memcmp(msg->buckets, m->buckets, sizeof(m->buckets)))
 		return;
-	hurry(m, now_us);
+	sync_sooner(m, now_us);
 	outgoing_init(&o, m, MESSAGE_DIFF);
 	for (i = 0; i < MEMBER_BUCKETS; i++) {
 		unsigned bucket = (start + i) % MEMBER_BUCKETS;
@@ -305,19 +315,19 @@
 	return NULL;
 }
 
-/* Whether this node knows better than the claim, which may be absent. */
-static bool is_ahead(const struct member *member, const struct claim *c)
+/* Whether this node's row is newer than the claim, which may be NULL. */
+static bool is_newer(const struct member *member, const struct claim *c)
 {
 	if (!c)
-		return member_takes_part(member);
+		return member_is_present(member);
 	if (c->incarnation != member->info.incarnation)
 		return c->incarnation < member->info.incarnation;
 	return member_is_gone(member->info.state) && !member_is_gone(c->state);
 }
 
 /*
- * The other's claims were taken in; gives back what it lacks. A claim of death
- * goes with the rest: the other takes it as a hint to probe.
+ * Sends back what the sender lacks, after its claims were handled. Claims of
+ * death are included; the receiver only takes them as a reason to probe.
  */
 void member_on_diff(struct members *m, const struct message *msg,
 		    const struct member_info *from, uint64_t now_us)
@@ -325,10 +335,10 @@
 	struct outgoing o;
 	unsigned i;
 
-	hurry(m, now_us);
-	if (m->wants->len >= FETCH_AGAIN)
-		fetch_again(m, now_us);
-	if (spent(m))
+	sync_sooner(m, now_us);
+	if (m->missing_names->len >= REFETCH_MIN_MISSING)
+		refetch_table(m, now_us);
+	if (over_budget(m))
 		return;
 	outgoing_init(&o, m, MESSAGE_RECORDS);
 	for (i = 0; i < m->table->len; i++) {
@@ -338,7 +348,7 @@
 		if (!(msg->covered >> member_bucket(member) & 1))
 			continue;
 		c = find_claim(msg, member);
-		if (is_ahead(member, c) &&
+		if (is_newer(member, c) &&
 		    !outgoing_claim(&o, member, !c,
 				    m->settings.max_message_bytes))
 			break;
@@ -349,29 +359,31 @@
 		outgoing_clear(&o);
 }
 
-/* Asks for the full claims of names that came without. */
-void member_sync_ask_records(struct members *m, const struct member_info *to)
+/* Requests the full claims of names that came in short claims. */
+void member_sync_request_records(struct members *m,
+				 const struct member_info *to)
 {
 	struct outgoing o;
 	unsigned i;
 
-	if (!m->wants->len || spent(m))
+	if (!m->missing_names->len || over_budget(m))
 		return;
-	outgoing_init(&o, m, MESSAGE_RECORD_ASK);
-	for (i = 0; i < m->wants->len; i++)
-		outgoing_name(&o, g_array_index(m->wants, struct str, i),
+	outgoing_init(&o, m, MESSAGE_RECORD_REQUEST);
+	for (i = 0; i < m->missing_names->len; i++)
+		outgoing_name(&o,
+			      g_array_index(m->missing_names, struct str, i),
 			      m->settings.max_message_bytes);
 	member_send(m, to, &o);
 }
 
-/* Answers with full claims, as many as fit. */
-void member_on_record_ask(struct members *m, const struct message *msg,
-			  const struct member_info *from)
+/* Answers with the requested full claims, as many as fit. */
+void member_on_record_request(struct members *m, const struct message *msg,
+			      const struct member_info *from)
 {
 	struct outgoing o;
 	unsigned i;
 
-	if (spent(m))
+	if (over_budget(m))
 		return;
 	outgoing_init(&o, m, MESSAGE_RECORDS);
 	for (i = 0; i < msg->names->len; i++) {
--- a/packages/core/src/member_table.c
+++ b/packages/core/src/member_table.c
@@ -3,27 +3,28 @@
 #include <string.h>
 #include <xxhash.h>
 
+/* Random rows tried before the table is searched in order. */
 #define RANDOM_TRIES 8
 
-/* Whether this state is the end of a process: it takes no part any more. */
+/* Whether the state means that the process no longer runs. */
 bool member_is_gone(enum member_state state)
 {
 	return state == MEMBER_DEAD || state == MEMBER_LEFT;
 }
 
 /* Whether messages should be sent to the member. */
-bool member_takes_part(const struct member *member)
+bool member_is_present(const struct member *member)
 {
 	return !member_is_gone(member->info.state);
 }
 
-/* The part of the table whose hash it goes into. */
+/* The part of the table whose digest includes the member. */
 unsigned member_bucket(const struct member *member)
 {
 	return member->hash % MEMBER_BUCKETS;
 }
 
-/* The index of the name, or where it would go. */
+/* The index of the name, or where it would be inserted. */
 static unsigned table_search(struct members *m, struct str name, bool *found)
 {
 	unsigned low = 0;
@@ -64,8 +65,8 @@
 	to[len] = '\0';
 }
 
-/* Takes over what a full claim says of the process. */
-void member_table_describe(struct member *member, const struct claim *c)
+/* Copies the properties of the process from a full claim. */
+void member_table_copy_details(struct member *member, const struct claim *c)
 {
 	struct member_info *info = &member->info;
 
@@ -77,10 +78,10 @@
 		  c->curve_public);
 	info->version_min = c->version_min;
 	info->version_max = c->version_max;
-	member->meta = c->meta;
+	member->process_hash = c->process_hash;
 }
 
-/* A new row from a full claim, NULL when the table is full. */
+/* Adds a row from a full claim; NULL if it exists or the table is full. */
 struct member *member_table_add(struct members *m, const struct claim *c)
 {
 	struct member *member;
@@ -93,68 +94,69 @@
 	member = g_new0(struct member, 1);
 	copy_text(member->info.name, sizeof(member->info.name), c->name);
 	member->hash = member_name_hash(c->name);
-	member_ring_place(member);
+	member_ring_set_positions(member);
 	member->info.incarnation = c->incarnation;
 	member->info.state = c->state;
-	member_table_describe(member, c);
+	member_table_copy_details(member, c);
 	g_ptr_array_insert(m->table, (int)index, member);
-	member_table_put_back(m, member);
+	member_table_after_change(m, member);
 	return member;
 }
 
-/* What a member adds to its bucket; the dead are not compared. */
+/* The member's part of its bucket's digest; 0 if it is dead or has left. */
 static uint32_t table_digest(const struct member *member)
 {
 	uint64_t words[2] = { member->info.incarnation, 0 };
 
 	if (member_is_gone(member->info.state))
 		return 0;
-	words[1] = (uint64_t)member->meta << 1;
+	words[1] = (uint64_t)member->process_hash << 1;
 	words[1] |= member->info.state == MEMBER_LEAVING;
 	return (uint32_t)XXH64(words, sizeof(words), member->hash);
 }
 
-/* Takes the member out of counts and hashes, before it is changed. */
-void member_table_take_out(struct members *m, const struct member *member)
+/* Subtracts the member from counts and digests, before it is changed. */
+void member_table_before_change(struct members *m, const struct member *member)
 {
 	m->n_live -= !member_is_gone(member->info.state);
 	m->n_dead -= member->info.state == MEMBER_DEAD;
 	m->buckets[member_bucket(member)] ^= table_digest(member);
 }
 
-/* Counts it again, after the change. */
-void member_table_put_back(struct members *m, struct member *member)
+/* Adds the member to counts and digests again, after the change. */
+void member_table_after_change(struct members *m, struct member *member)
 {
-	bool takes_part = member_takes_part(member);
+	bool present = member_is_present(member);
 
-	m->rings.stale |= takes_part != member->in_rings;
-	member->in_rings = takes_part;
+	m->rings.stale |= present != member->in_rings;
+	member->in_rings = present;
 	m->n_live += !member_is_gone(member->info.state);
 	m->n_dead += member->info.state == MEMBER_DEAD;
 	m->buckets[member_bucket(member)] ^= table_digest(member);
 }
 
-/* Removes those that have been gone for long. */
+/* Removes members that have been dead or left for forget_dead_us. */
 void member_table_forget(struct members *m, uint64_t now_us)
 {
 	unsigned i = m->table->len;
 
-	/* So that no list has a member that goes. */
+	/* So that no list refers to a member that is removed. */
 	member_ring_update(m);
 	while (i--) {
 		struct member *member = g_ptr_array_index(m->table, i);
 
 		if (member == m->self || !member_is_gone(member->info.state) ||
-		    now_us - member->since_us < m->settings.forget_dead_us)
+		    now_us - member->state_since_us <
+			    m->settings.forget_dead_us)
 			continue;
-		member_news_drop(m, member);
+		member_gossip_drop(m, member);
 		member_probe_forget(m, member);
-		member_table_take_out(m, member);
+		member_table_before_change(m, member);
 		g_ptr_array_remove_index(m->table, i);
 	}
 }
 
-/* One of the others that passes the filter, NULL if none was found. */
+/* A random other member that passes the filter; NULL if there is none. */
 struct member *member_table_random(struct members *m, member_filter_fn filter)
 {
 	unsigned n = m->table->len;
