--- a/packages/core/src/route.c
+++ b/packages/core/src/route.c
@@ -1,25 +1,27 @@
 #include <celeryquay/core/route.h>
 
-/* Between the choice and the statement's snapshot, besides the queue. */
-#define RUN_MARGIN_US (2 * USEC_PER_MSEC)
-#define LOOK_AGAIN_MIN_US 500ULL
-#define LOOK_AGAIN_MAX_US (10 * USEC_PER_MSEC)
-/* A read that would wait longer for a replica may take an idle primary. */
-#define RELIEF_WAIT_US (500 * USEC_PER_MSEC)
-#define CONFIRM_LOOK_US (1 * USEC_PER_MSEC)
-
-/* One choice under way. */
-struct choosing {
+/* Time from the choice to the statement's snapshot, besides the queue. */
+#define SNAPSHOT_MARGIN_US (2 * USEC_PER_MSEC)
+/* Bounds of the time after which a waiting request is routed again. */
+#define RECHECK_MIN_US 500ULL
+#define RECHECK_MAX_US (10 * USEC_PER_MSEC)
+/* A read that would wait longer for a replica may go to an idle primary. */
+#define PRIMARY_OFFLOAD_WAIT_US (500 * USEC_PER_MSEC)
+/* A read that waits for the primary's confirmation is routed again after it. */
+#define CONFIRM_RECHECK_US (1 * USEC_PER_MSEC)
+
+/* The inputs of one choice, and its result. */
+struct choice_context {
 	const struct fresh *fresh;
 	const struct route_server *servers;
 	unsigned n_servers;
 	const struct route_request *req;
 	uint64_t now_us;
-	int primary;
+	int primary; /* index of the primary, -1: none known */
 	struct route_choice *out;
 };
 
-/* How long a newcomer waits for a slot of the server. */
+/* Estimated time that a new request waits for a slot of the server. */
 static uint64_t expected_wait_us(const struct route_server *s)
 {
 	unsigned slots = MAX(s->slots, 1);
@@ -32,8 +34,9 @@
 }
 
 /*
- * What two servers are compared by: when the request would be done, and the
- * slots that are taken, so that idle servers share the load.
+ * The cost by which servers are compared, in microseconds: the expected time
+ * until the request is done, and more for each slot that is in use, so that
+ * idle servers share the load.
  */
 static double load_cost(const struct route_server *s)
 {
@@ -44,74 +47,82 @@
 }
 
 /*
- * From when on the data must be complete. Never later than the request: what
- * was acknowledged before it came is all that it can have heard of.
+ * The instant up to which the server's data must be complete. Never later than
+ * the request's arrival: its caller can know only of writes that were
+ * acknowledged before.
  */
-static uint64_t needed_since_us(const struct choosing *c, uint64_t wait_us)
+static uint64_t needed_up_to_us(const struct choice_context *c,
+				uint64_t wait_us)
 {
-	uint64_t start_us = c->now_us + wait_us + RUN_MARGIN_US;
+	uint64_t start_us = c->now_us + wait_us + SNAPSHOT_MARGIN_US;
 	uint64_t max_age_us = c->req->profile->max_age_us;
-	uint64_t since_us = start_us > max_age_us ? start_us - max_age_us : 0;
+	uint64_t up_to_us = start_us > max_age_us ? start_us - max_age_us : 0;
 
-	return MIN(since_us, c->req->arrived_us);
+	return MIN(up_to_us, c->req->arrived_us);
 }
 
-/* Whether the server's age allows a read that waits so long for its slot. */
-static bool fresh_enough(const struct choosing *c, unsigned i, uint64_t wait_us)
+/* Whether the data is fresh enough for a read that waits so long for a slot. */
+static bool fresh_enough(const struct choice_context *c, unsigned i,
+			 uint64_t wait_us)
 {
 	uint64_t age_us = fresh_age_us(c->fresh, i, c->now_us);
 
 	return age_us != UINT64_MAX &&
-	       c->now_us - age_us >= needed_since_us(c, wait_us);
+	       c->now_us - age_us >= needed_up_to_us(c, wait_us);
 }
 
 /*
- * A server that still takes itself for the primary of an older term, or was
- * fenced: what it holds beyond the others' logs is about to be removed, and a
- * session that reads it would find its own past lost.
+ * Whether the server reports the primary role but isn't the present primary:
+ * its term is an older one, or it was fenced. The part of its log that the
+ * other servers lack is about to be removed, so a session that reads there
+ * would hold a position that is then lost.
  */
-static bool was_deposed(const struct choosing *c, unsigned i)
+static bool was_deposed(const struct choice_context *c, unsigned i)
 {
 	const struct server_status *s = fresh_status(c->fresh, i);
 
 	return s && s->role == ROLE_PRIMARY && (int)i != c->primary;
 }
 
-/* Why a server may not serve a read; PASS_NOT: it may. */
-static enum route_pass pass_read(const struct choosing *c, unsigned i,
-				 uint64_t wait_us)
+/* Why a server may not serve a read; ROUTE_SKIP_NONE: it may. */
+static enum route_skip read_skip_reason(const struct choice_context *c,
+					unsigned i, uint64_t wait_us)
 {
 	if (!c->servers[i].up)
-		return PASS_DOWN;
+		return ROUTE_SKIP_DOWN;
 	if (c->servers[i].leaving && (int)i != c->primary)
-		return PASS_LEAVING;
+		return ROUTE_SKIP_LEAVING;
 	if (was_deposed(c, i))
 		return PASS_ROLE;
 	if (!fresh_has_applied(c->fresh, i, c->req->seen))
-		return PASS_BEHIND_SESSION;
+		return ROUTE_SKIP_BEHIND_SESSION;
 	if (!fresh_enough(c, i, wait_us))
-		return PASS_TOO_OLD;
-	return PASS_NOT;
+		return ROUTE_SKIP_TOO_OLD;
+	return ROUTE_SKIP_NONE;
 }
 
-static void choose(struct choosing *c, int server, enum route_why why)
+static void set_choice(struct choice_context *c, int server, enum route_why why)
 {
 	c->out->server = server;
 	c->out->why = why;
 	if (server < 0)
 		return;
-	c->out->passed[server] = PASS_NOT;
+	c->out->passed[server] = ROUTE_SKIP_NONE;
 	c->out->age_us = fresh_age_us(c->fresh, (unsigned)server, c->now_us);
 }
 
-static void wait_for(struct choosing *c, enum route_why why, uint64_t wait_us)
+static void set_wait(struct choice_context *c, enum route_why why,
+		     uint64_t wait_us)
 {
-	choose(c, -1, why);
-	c->out->wait_us = CLAMP(wait_us, LOOK_AGAIN_MIN_US, LOOK_AGAIN_MAX_US);
+	set_choice(c, -1, why);
+	c->out->wait_us = CLAMP(wait_us, RECHECK_MIN_US, RECHECK_MAX_US);
 }
 
-/* Of the replicas that may serve, the least loaded; of equals a random one. */
-static int best_replica(struct choosing *c, GRand *rng)
+/*
+ * The replica with the least cost of those that may serve the read, a random
+ * one of equals; -1: none may.
+ */
+static int best_replica(struct choice_context *c, GRand *rng)
 {
 	double best_cost = 0;
 	unsigned equals = 0;
@@ -121,7 +132,8 @@
 	for (i = 0; i < c->n_servers; i++) {
 		double cost = load_cost(&c->servers[i]);
 
-		if ((int)i == c->primary || c->out->passed[i] != PASS_NOT)
+		if ((int)i == c->primary ||
+		    c->out->passed[i] != ROUTE_SKIP_NONE)
 			continue;
 		if (best >= 0 && cost > best_cost)
 			continue;
@@ -134,55 +146,64 @@
 	return best;
 }
 
-static void mark_slower(struct choosing *c, int best)
+/* Marks the servers that might have served the read, but were not chosen. */
+static void mark_slower(struct choice_context *c, int best)
 {
 	unsigned i;
 
 	for (i = 0; i < c->n_servers; i++) {
-		if (c->out->passed[i] != PASS_NOT || (int)i == best)
+		if (c->out->passed[i] != ROUTE_SKIP_NONE || (int)i == best)
 			continue;
 		c->out->passed[i] = (int)i == c->primary ? PASS_ROLE :
-							   PASS_SLOWER;
+							   ROUTE_SKIP_SLOWER;
 	}
 }
 
-static bool waits_long(const struct choosing *c, int i)
+/* Whether the wait for the server is above the bound or past the deadline. */
+static bool wait_is_too_long(const struct choice_context *c, int i)
 {
 	const struct route_server *s = &c->servers[i];
 	uint64_t wait_us = expected_wait_us(s);
 
-	return wait_us > RELIEF_WAIT_US ||
+	return wait_us > PRIMARY_OFFLOAD_WAIT_US ||
 	       c->now_us + wait_us + s->latency_us > c->req->deadline_us;
 }
 
 /*
- * Whether a read goes to the primary although a replica may serve it: only
- * when it would wait long for the replica, or past its deadline, and the
- * primary has more than one slot free, so that a write finds one.
+ * Whether a read goes to the primary although a replica may serve it. Only if
+ * it would wait too long for the replica, or past its deadline, and the primary
+ * has more than one slot free, so that one is left for a write.
  */
-static bool primary_relieves(const struct choosing *c, int replica)
+static bool offload_to_primary(const struct choice_context *c, int replica)
 {
 	const struct route_server *p;
 
-	if (c->primary < 0 || c->out->passed[c->primary] != PASS_NOT)
+	if (c->primary < 0 || c->out->passed[c->primary] != ROUTE_SKIP_NONE)
 		return false;
 	p = &c->servers[c->primary];
-	return waits_long(c, replica) && !p->leaving && !p->queued &&
+	return wait_is_too_long(c, replica) && !p->leaving && !p->queued &&
 	       p->running + 1 < p->slots;
 }
 
-/* From when on a replica's data must be complete for it to serve the read. */
-static uint64_t awaited_since_us(const struct choosing *c, unsigned i)
+/*
+ * The instant up to which a replica's data must be complete to serve the read;
+ * 0: only the session's position counts.
+ */
+static uint64_t awaited_up_to_us(const struct choice_context *c, unsigned i)
 {
-	if (c->out->passed[i] == PASS_TOO_OLD || !c->req->profile->max_age_us)
+	if (c->out->passed[i] == ROUTE_SKIP_TOO_OLD ||
+	    !c->req->profile->max_age_us)
 		return c->req->arrived_us;
 	return 0;
 }
 
-/* The least time until some replica is expected to serve the read. */
-static uint64_t replica_due_us(const struct choosing *c)
+/*
+ * The shortest time after which a replica is expected to be able to serve the
+ * read; UINT64_MAX: none is.
+ */
+static uint64_t time_to_replica_us(const struct choice_context *c)
 {
-	uint64_t least_us = UINT64_MAX;
+	uint64_t min_us = UINT64_MAX;
 	unsigned i;
 
 	for (i = 0; i < c->n_servers; i++) {
@@ -192,14 +213,14 @@
 		    c->servers[i].leaving || was_deposed(c, i))
 			continue;
 		due_us = fresh_catch_up_us(c->fresh, i, c->req->seen,
-					   awaited_since_us(c, i), c->now_us);
-		least_us = MIN(least_us, due_us);
+					   awaited_up_to_us(c, i), c->now_us);
+		min_us = MIN(min_us, due_us);
 	}
-	return least_us;
+	return min_us;
 }
 
-/* Whether the read waits for a replica, as long as its profile allows. */
-static bool wait_for_replica(struct choosing *c)
+/* Lets the read wait if a replica is due before the profile's limit. */
+static bool wait_for_replica(struct choice_context *c)
 {
 	uint64_t limit_us = c->req->profile->wait_for_replica_us;
 	uint64_t end_us =
@@ -208,34 +229,35 @@
 
 	if (c->now_us >= end_us)
 		return false;
-	due_us = replica_due_us(c);
+	due_us = time_to_replica_us(c);
 	if (due_us > end_us - c->now_us)
 		return false;
-	wait_for(c, ROUTE_WAIT_REPLICA, due_us);
+	set_wait(c, ROUTE_WAIT_REPLICA, due_us);
 	return true;
 }
 
 /*
- * No replica may serve the read. When the primary is too old as well, a probe
- * comes first: what it finds is what a replica has to catch up with.
+ * Decides on a read that no replica may serve. If the primary's data is too old
+ * as well, the read first waits for a probe of the primary: a replica has to
+ * catch up with the position that the probe finds.
  */
-static void choose_without_replica(struct choosing *c)
+static void choose_without_replica(struct choice_context *c)
 {
-	enum route_pass primary = PASS_DOWN;
+	enum route_skip primary = ROUTE_SKIP_DOWN;
 
 	if (c->primary >= 0)
 		primary = c->out->passed[c->primary];
-	if (primary == PASS_TOO_OLD)
-		wait_for(c, ROUTE_WAIT_CONFIRM, CONFIRM_LOOK_US);
+	if (primary == ROUTE_SKIP_TOO_OLD)
+		set_wait(c, ROUTE_WAIT_CONFIRM, CONFIRM_RECHECK_US);
 	else if (wait_for_replica(c))
 		return;
-	else if (primary == PASS_NOT)
-		choose(c, c->primary, ROUTE_PRIMARY_ONLY_FRESH);
+	else if (primary == ROUTE_SKIP_NONE)
+		set_choice(c, c->primary, ROUTE_PRIMARY_ONLY_FRESH);
 	else
-		choose(c, -1, ROUTE_NONE_NO_SERVER);
+		set_choice(c, -1, ROUTE_NONE_NO_SERVER);
 }
 
-static void choose_read(struct choosing *c, GRand *rng)
+static void choose_read(struct choice_context *c, GRand *rng)
 {
 	unsigned i;
 	int best;
@@ -243,59 +265,60 @@
 	for (i = 0; i < c->n_servers; i++) {
 		uint64_t wait_us = expected_wait_us(&c->servers[i]);
 
-		c->out->passed[i] = pass_read(c, i, wait_us);
+		c->out->passed[i] = read_skip_reason(c, i, wait_us);
 	}
 	best = best_replica(c, rng);
 	if (best < 0) {
 		choose_without_replica(c);
 		return;
 	}
-	if (primary_relieves(c, best)) {
-		choose(c, c->primary, ROUTE_PRIMARY_LESS_LOADED);
+	if (offload_to_primary(c, best)) {
+		set_choice(c, c->primary, ROUTE_PRIMARY_LESS_LOADED);
 		mark_slower(c, c->primary);
 		return;
 	}
-	choose(c, best, ROUTE_REPLICA_FRESH);
+	set_choice(c, best, ROUTE_REPLICA_FRESH);
 	mark_slower(c, best);
 }
 
 /*
- * Writes go to the primary, also while it leaves: only the move to another one
- * ends that. One that is behind the session is no longer the primary.
+ * Writes go to the primary, even while it is leaving, until another server has
+ * become the primary. A server that lacks what the session has seen is no
+ * longer the primary.
  */
-static void choose_write(struct choosing *c)
+static void choose_write(struct choice_context *c)
 {
 	unsigned i;
 
 	for (i = 0; i < c->n_servers; i++)
 		c->out->passed[i] = PASS_ROLE;
 	if (c->primary < 0) {
-		choose(c, -1, ROUTE_NONE_NO_PRIMARY);
+		set_choice(c, -1, ROUTE_NONE_NO_PRIMARY);
 		return;
 	}
 	if (!c->servers[c->primary].up)
-		c->out->passed[c->primary] = PASS_DOWN;
+		c->out->passed[c->primary] = ROUTE_SKIP_DOWN;
 	else if (!fresh_has_applied(c->fresh, (unsigned)c->primary,
 				    c->req->seen))
-		c->out->passed[c->primary] = PASS_BEHIND_SESSION;
+		c->out->passed[c->primary] = ROUTE_SKIP_BEHIND_SESSION;
 	else
-		c->out->passed[c->primary] = PASS_NOT;
-	if (c->out->passed[c->primary] == PASS_NOT)
-		choose(c, c->primary, ROUTE_PRIMARY_WRITE);
+		c->out->passed[c->primary] = ROUTE_SKIP_NONE;
+	if (c->out->passed[c->primary] == ROUTE_SKIP_NONE)
+		set_choice(c, c->primary, ROUTE_PRIMARY_WRITE);
 	else
-		choose(c, -1, ROUTE_NONE_NO_PRIMARY);
+		set_choice(c, -1, ROUTE_NONE_NO_PRIMARY);
 }
 
 /*
- * Chooses a server. The age that it states holds at now_us; a request that
- * then waits in a queue is to be chosen for again when it leaves it, unless it
- * goes to the primary for a write. servers[i] is the server i of fresh.
+ * Chooses a server. The age in the result holds at now_us, so the choice must
+ * be checked again for a request that leaves a queue, except for a write on the
+ * primary. servers[i] describes the server i of fresh.
  */
 void route_choose(const struct fresh *fresh, const struct route_server *servers,
 		  unsigned n_servers, const struct route_request *req,
 		  uint64_t now_us, GRand *rng, struct route_choice *out)
 {
-	struct choosing c = {
+	struct choice_context c = {
 		.fresh = fresh,
 		.servers = servers,
 		.n_servers = n_servers,
@@ -307,7 +330,7 @@
 
 	*out = (struct route_choice){ .server = -1 };
 	if (fresh_lost(fresh, req->seen))
-		choose(&c, -1, ROUTE_NONE_LOST_HISTORY);
+		set_choice(&c, -1, ROUTE_NONE_LOST_HISTORY);
 	else if (req->profile->access == ACCESS_WRITE)
 		choose_write(&c);
 	else
@@ -315,15 +338,15 @@
 }
 
 /*
- * Whether a read that waited for a slot of the server may still run there. One
- * that may not is to be chosen for again.
+ * Whether a read that waited for a slot of the server may still run there; if
+ * not, another choice must be made for it.
  */
 bool route_may_serve(const struct fresh *fresh,
 		     const struct route_server *servers, unsigned n_servers,
 		     const struct route_request *req, unsigned server,
 		     uint64_t now_us)
 {
-	struct choosing c = {
+	struct choice_context c = {
 		.fresh = fresh,
 		.servers = servers,
 		.n_servers = n_servers,
@@ -332,10 +355,10 @@
 		.primary = fresh_primary(fresh),
 	};
 
-	return pass_read(&c, server, 0) == PASS_NOT;
+	return read_skip_reason(&c, server, 0) == ROUTE_SKIP_NONE;
 }
 
-/* The reason as the decision log has it. */
+/* The reason's name in the decision log. */
 const char *route_why_name(enum route_why why)
 {
 	static const char *const names[] = {
@@ -353,13 +376,13 @@
 	return names[why];
 }
 
-/* Why a server was passed over, as one letter of the decision log. */
-char route_pass_letter(enum route_pass pass)
+/* The letter in the decision log for why a server was not chosen. */
+char route_pass_letter(enum route_skip pass)
 {
 	static const char letters[] = {
-		[PASS_NOT] = '-',     [PASS_DOWN] = 'd',
-		[PASS_LEAVING] = 'l', [PASS_BEHIND_SESSION] = 'b',
-		[PASS_TOO_OLD] = 'o', [PASS_SLOWER] = 's',
+		[ROUTE_SKIP_NONE] = '-',    [ROUTE_SKIP_DOWN] = 'd',
+		[ROUTE_SKIP_LEAVING] = 'l', [ROUTE_SKIP_BEHIND_SESSION] = 'b',
+		[ROUTE_SKIP_TOO_OLD] = 'o', [ROUTE_SKIP_SLOWER] = 's',
 		[PASS_ROLE] = 'r',
 	};
 
