--- a/packages/core/src/request.c
+++ b/packages/core/src/request.c
@@ -3,9 +3,10 @@
 #include <stdarg.h>
 #include <stdio.h>
 
+/* Bytes that the memory of a request or answer grows by. */
 #define ARENA_BLOCK 1024
 
-/* An empty request of a kind, with one reference and its own memory. */
+/* Creates an empty request with one reference and its own arena. */
 struct request *request_create(enum request_kind kind)
 {
 	struct request *r = g_new0(struct request, 1);
@@ -18,14 +19,14 @@
 	return r;
 }
 
-/* One more owner. */
+/* Takes a reference. */
 struct request *request_ref(struct request *r)
 {
 	r->refs++;
 	return r;
 }
 
-/* One owner less; the last one frees statements, body and memory. */
+/* Drops a reference; the last one frees statements, body and arena. */
 void request_unref(struct request *r)
 {
 	unsigned i;
@@ -41,7 +42,7 @@
 	g_free(r);
 }
 
-/* Copies bytes, with a NUL behind them, to memory that the request frees. */
+/* Copies bytes and a trailing NUL into the request's arena. */
 struct str request_keep(struct request *r, const char *data, size_t len)
 {
 	struct str s;
@@ -51,7 +52,7 @@
 	return s;
 }
 
-/* An empty answer with one reference. */
+/* Creates an empty answer with one reference. */
 struct answer *answer_create(enum outcome outcome)
 {
 	struct answer *a = g_new0(struct answer, 1);
@@ -63,7 +64,7 @@
 	return a;
 }
 
-/* An answer for a failure; the outcome follows from the code's row. */
+/* Creates the answer for a failure; the error code determines the outcome. */
 struct answer *answer_error(enum err_code code, const char *fmt, ...)
 {
 	static const enum outcome outcomes[] = {
@@ -81,14 +82,14 @@
 	return a;
 }
 
-/* One more owner. */
+/* Takes a reference. */
 struct answer *answer_ref(struct answer *a)
 {
 	a->refs++;
 	return a;
 }
 
-/* One owner less; the last one frees. */
+/* Drops a reference; the last one frees the answer. */
 void answer_unref(struct answer *a)
 {
 	if (!a || --a->refs)
@@ -99,7 +100,7 @@
 	g_free(a);
 }
 
-/* As callers and logs have it. */
+/* The outcome's name in answers and logs. */
 const char *outcome_name(enum outcome outcome)
 {
 	switch (outcome) {
--- a/packages/core/src/session.c
+++ b/packages/core/src/session.c
@@ -8,21 +8,21 @@
 #include <string.h>
 
 /*
- * A token is base64url, without padding, of: the version, the length of the
- * key's id, the id, the HMAC-SHA256 of all else, and the entries as one
+ * A token is the unpadded base64url of: the version, the length of the signing
+ * key's id, the id, the HMAC-SHA256 of all the rest, and the entries as one
  * MessagePack list [database, term, index, ...], the oldest first.
  */
 #define VERSION 1
 #define MAC_LEN 32
-#define KEY_LEN 32
-#define ID_MAX 47
-#define HEAD_LEN 2 /* version and length of the id */
-#define RAW_MAX (SESSION_MAX_TEXT / 4 * 3)
-#define FIELDS 3 /* of an entry */
-/* Keeps a token's signature from being taken for one of another message. */
+#define SECRET_LEN 32
+#define KEY_ID_MAX_LEN 47
+#define HEADER_LEN 2 /* the version and the id's length */
+#define MAX_RAW_LEN (SESSION_MAX_TEXT / 4 * 3)
+#define ENTRY_FIELDS 3 /* elements of the list per entry */
+/* Hashed first, so that the MAC of another message is no valid signature. */
 #define MAC_CONTEXT "celeryquay session"
 
-/* A token taken apart; the views point into the raw bytes. */
+/* The parts of a token, which point into its raw bytes. */
 struct token {
 	struct str id;
 	const unsigned char *mac;
@@ -36,13 +36,14 @@
 }
 
 /*
- * One context for the life of the process: OpenSSL looks the algorithm up anew
- * and hashes the key again for each use otherwise, at ten times the cost.
+ * The HMAC context is kept for the life of the process. With a new one for each
+ * token OpenSSL would look up the algorithm and hash the key every time, at ten
+ * times the cost.
  */
 static struct {
 	EVP_MAC_CTX *ctx;
-	uint8_t secret[KEY_LEN];
-	bool keyed; /* the context holds the secret's key */
+	uint8_t secret[SECRET_LEN];
+	bool keyed; /* the context was set up with this secret */
 } mac_cache;
 
 static EVP_MAC_CTX *mac_context(void)
@@ -57,7 +58,7 @@
 	return mac_cache.ctx;
 }
 
-/* Starts a MAC; the key is hashed again only when it is another one. */
+/* Starts a MAC; a key that the context holds already isn't hashed again. */
 static bool mac_begin(EVP_MAC_CTX *ctx, const struct key_conf *key)
 {
 	char digest[] = "SHA256";
@@ -67,10 +68,11 @@
 	};
 
 	if (mac_cache.keyed &&
-	    !CRYPTO_memcmp(mac_cache.secret, key->secret, KEY_LEN))
+	    !CRYPTO_memcmp(mac_cache.secret, key->secret, SECRET_LEN))
 		return EVP_MAC_init(ctx, NULL, 0, NULL) == 1;
-	memcpy(mac_cache.secret, key->secret, KEY_LEN);
-	mac_cache.keyed = EVP_MAC_init(ctx, key->secret, KEY_LEN, params) == 1;
+	memcpy(mac_cache.secret, key->secret, SECRET_LEN);
+	mac_cache.keyed = EVP_MAC_init(ctx, key->secret, SECRET_LEN, params) ==
+			  1;
 	return mac_cache.keyed;
 }
 
@@ -94,7 +96,7 @@
 	       EVP_MAC_final(ctx, mac, &len, MAC_LEN) == 1 && len == MAC_LEN;
 }
 
-static const char alphabet[] =
+static const char base64url_digits[] =
 	"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
 /* The value of a base64url digit, -1 for any other byte. */
@@ -111,8 +113,8 @@
 	return c == '_' ? 63 : -1;
 }
 
-/* Base64url without padding, which GLib does not have, at once. */
-static void append_text(GString *out, const unsigned char *raw, size_t len)
+/* Appends unpadded base64url, which GLib doesn't offer. */
+static void append_base64url(GString *out, const unsigned char *raw, size_t len)
 {
 	size_t start = out->len;
 	unsigned bits = 0, n_bits = 0;
@@ -126,18 +128,19 @@
 		n_bits += 8;
 		while (n_bits >= 6) {
 			n_bits -= 6;
-			*to++ = alphabet[bits >> n_bits & 0x3f];
+			*to++ = base64url_digits[bits >> n_bits & 0x3f];
 		}
 	}
 	if (n_bits)
-		*to = alphabet[bits << (6 - n_bits) & 0x3f];
+		*to = base64url_digits[bits << (6 - n_bits) & 0x3f];
 }
 
 /*
- * Decodes base64url without padding to a new buffer; NULL when it is none, or
- * not the one form that the bytes have: the bits over must be zero.
+ * Decodes unpadded base64url to a new buffer. NULL for malformed text, also if
+ * the unused bits of the last digit aren't zero, so that each sequence of bytes
+ * has only one valid text.
  */
-static unsigned char *decode_text(struct str text, size_t *len)
+static unsigned char *decode_base64url(struct str text, size_t *len)
 {
 	unsigned char *raw = g_malloc(text.len * 3 / 4 + 1);
 	unsigned char *to = raw;
@@ -169,21 +172,22 @@
 {
 	size_t id_len;
 
-	if (len < HEAD_LEN || raw[0] != VERSION)
+	if (len < HEADER_LEN || raw[0] != VERSION)
 		return false;
 	id_len = raw[1];
-	if (!id_len || id_len > ID_MAX || len < HEAD_LEN + id_len + MAC_LEN)
+	if (!id_len || id_len > KEY_ID_MAX_LEN ||
+	    len < HEADER_LEN + id_len + MAC_LEN)
 		return false;
-	out->id = (struct str){ (const char *)raw + HEAD_LEN, id_len };
-	out->mac = raw + HEAD_LEN + id_len;
+	out->id = (struct str){ (const char *)raw + HEADER_LEN, id_len };
+	out->mac = raw + HEADER_LEN + id_len;
 	out->body.data = (const char *)out->mac + MAC_LEN;
-	out->body.len = len - HEAD_LEN - id_len - MAC_LEN;
+	out->body.len = len - HEADER_LEN - id_len - MAC_LEN;
 	return true;
 }
 
 static const struct key_conf *find_key(struct model *keys, struct str id)
 {
-	char key[ID_MAX + 8];
+	char key[KEY_ID_MAX_LEN + 8];
 	struct item *item;
 
 	if (memchr(id.data, '\0', id.len))
@@ -194,8 +198,9 @@
 }
 
 /*
- * Whether a key in force signed the token. The comparison takes the same time
- * wherever the first wrong byte is, so a forger can't find them one by one.
+ * Whether a configured key signed the token. The comparison takes the same time
+ * wherever the first wrong byte is, so a forger can't find the right bytes one
+ * by one.
  */
 static bool token_is_signed(struct model *keys, const struct token *t)
 {
@@ -229,12 +234,12 @@
 	unsigned i;
 
 	if (list->type != MSGPACK_OBJECT_ARRAY ||
-	    list->via.array.size % FIELDS != 0 ||
-	    list->via.array.size / FIELDS > SESSION_MAX_DATABASES)
+	    list->via.array.size % ENTRY_FIELDS != 0 ||
+	    list->via.array.size / ENTRY_FIELDS > SESSION_MAX_DATABASES)
 		return false;
-	out->count = list->via.array.size / FIELDS;
+	out->count = list->via.array.size / ENTRY_FIELDS;
 	for (i = 0; i < out->count; i++) {
-		if (!read_entry(&list->via.array.ptr[(size_t)i * FIELDS],
+		if (!read_entry(&list->via.array.ptr[(size_t)i * ENTRY_FIELDS],
 				&out->entries[i]))
 			return false;
 	}
@@ -255,7 +260,7 @@
 	return ok;
 }
 
-/* Reads the raw bytes; returns what is wrong with them, NULL: nothing. */
+/* Reads the raw bytes; returns NULL, or what is wrong with them. */
 static const char *read_token(struct model *keys, const unsigned char *raw,
 			      size_t len, struct session *out)
 {
@@ -271,15 +276,15 @@
 }
 
 /*
- * Reads a token that any key in force signed, also one that signs no more, so
- * that sessions outlive a change of keys. The empty text is an empty session.
- * BAD_SESSION, and an empty *out, for anything else; nothing that is not
- * signed is read any further.
+ * Reads a token signed with any configured key, also one that no longer signs
+ * new tokens, so that sessions outlive a change of keys. The empty text is an
+ * empty session. For anything else fails with BAD_SESSION and an empty *out;
+ * the entries aren't read unless the signature is valid.
  */
 bool session_decode(struct model *keys, struct str text, struct session *out,
 		    struct err *err)
 {
-	const char *complaint;
+	const char *problem;
 	unsigned char *raw;
 	size_t len;
 
@@ -288,18 +293,18 @@
 		return true;
 	if (text.len > SESSION_MAX_TEXT)
 		return fail(err, "is too long");
-	raw = decode_text(text, &len);
+	raw = decode_base64url(text, &len);
 	if (!raw)
 		return fail(err, "is not base64url");
-	complaint = read_token(keys, raw, len, out);
+	problem = read_token(keys, raw, len, out);
 	g_free(raw);
-	if (!complaint)
+	if (!problem)
 		return true;
 	out->count = 0;
-	return fail(err, complaint);
+	return fail(err, problem);
 }
 
-/* The newest entries, as many as fit into max bytes. */
+/* Packs the newest entries, as many as fit into max bytes. */
 static void pack_entries(const struct session *s, size_t max,
 			 msgpack_sbuffer *out)
 {
@@ -312,7 +317,7 @@
 		out->size = 0;
 		msgpack_packer_init(&packer, out, msgpack_sbuffer_write);
 		msgpack_pack_array(&packer,
-				   (s->count - first) * (size_t)FIELDS);
+				   (s->count - first) * (size_t)ENTRY_FIELDS);
 		for (i = first; i < s->count; i++) {
 			const struct session_entry *e = &s->entries[i];
 			size_t len = strlen(e->database);
@@ -328,13 +333,13 @@
 
 /*
  * Appends the token, signed with the signing key of the highest revision. What
- * does not fit into SESSION_MAX_TEXT goes, the oldest first. INTERNAL when
- * there is no key to sign with.
+ * doesn't fit into SESSION_MAX_TEXT is left out, the oldest entries first.
+ * Fails with INTERNAL when there is no key to sign with.
  */
 bool session_encode(struct model *keys, const struct session *session,
 		    GString *out, struct err *err)
 {
-	unsigned char raw[RAW_MAX];
+	unsigned char raw[MAX_RAW_LEN];
 	unsigned char *mac;
 	const struct key_conf *key = model_signing_key(keys);
 	msgpack_sbuffer body;
@@ -349,15 +354,15 @@
 	id = str_from_c(key->id);
 	raw[0] = VERSION;
 	raw[1] = (unsigned char)id.len;
-	memcpy(raw + HEAD_LEN, id.data, id.len);
-	mac = raw + HEAD_LEN + id.len;
-	head = HEAD_LEN + id.len + MAC_LEN;
+	memcpy(raw + HEADER_LEN, id.data, id.len);
+	mac = raw + HEADER_LEN + id.len;
+	head = HEADER_LEN + id.len + MAC_LEN;
 	msgpack_sbuffer_init(&body);
 	pack_entries(session, sizeof(raw) - head, &body);
 	memcpy(raw + head, body.data, body.size);
 	ok = compute_mac(key, id, (struct str){ body.data, body.size }, mac);
 	if (ok)
-		append_text(out, raw, head + body.size);
+		append_base64url(out, raw, head + body.size);
 	else
 		err_set(err, ERR_INTERNAL, "HMAC failed");
 	msgpack_sbuffer_destroy(&body);
@@ -397,8 +402,9 @@
 
 /*
  * Raises what the session has seen; a lower position changes nothing. The
- * database becomes the one seen last. When there are too many, the one not
- * seen for longest goes, and with it the promise for that database.
+ * database becomes the one seen last. When there are too many, the one not seen
+ * for longest is dropped, and later reads of that database may return older
+ * data than the session has seen.
  */
 void session_raise(struct session *s, const char *database, struct position p)
 {
