--- a/packages/core/src/group_read.c
+++ b/packages/core/src/group_read.c
@@ -3,12 +3,13 @@
 
 #include <celeryquay/base/log.h>
 
-/* After a replica was found to have jumped back, until its next status. */
-#define JUMPED_WAIT_US (5 * USEC_PER_MSEC)
+/* Wait before the next attempt when a server was reset to an older state. */
+#define SERVER_RESET_RETRY_US (5 * USEC_PER_MSEC)
 
 /*
- * Whether the server may run the read now. The choice was made when it was
- * queued; since then the server may have aged, or lost its term.
+ * Whether the server may run the read now. It was chosen when the read was
+ * queued; since then its data may have become too old, or a new term may have
+ * changed its history.
  */
 bool read_may_run(const struct run *run, const struct server *s,
 		  uint64_t now_us)
@@ -25,7 +26,7 @@
 	       fresh_has_applied(f, (unsigned)s->index, run->request->seen);
 }
 
-/* Notes what the server had applied, as far as known, when the read began. */
+/* Records the last known applied position of the server as the read begins. */
 void read_note_start(struct run *run, const struct server *s)
 {
 	const struct server_status *st =
@@ -38,6 +39,7 @@
 	run->floor.term = history_term_at(&st->history, st->applied);
 }
 
+/* Whether p is at or after needed, and needed is in the history. */
 static bool covers(const struct history *h, struct position p,
 		   struct position needed)
 {
@@ -47,12 +49,12 @@
 }
 
 /*
- * Guards against a server that jumped back after it was chosen: it was rebuilt
- * from an old copy, or its tail was removed when another primary was promoted.
- * Its connection may outlive that, and the statement then sees less than the
- * choice counted on. The position that the statement itself saw tells: it must
- * be in the history that is known, at or after what the session saw and what
- * the server had.
+ * Guards against a server that went back to an older state after it was chosen:
+ * it was rebuilt from an old copy, or the end of its log was removed when
+ * another primary was promoted. Its connection may outlive that, and the
+ * statement then sees less data than the choice assumed. So the position that
+ * the statement itself saw must be in the server's known history, and not
+ * before what the session had seen and what the server had applied.
  */
 bool read_check_position(const struct run *run, const struct server *s,
 			 struct position p)
@@ -69,9 +71,13 @@
 	       covers(&st->history, p, run->floor);
 }
 
-/* A read changes nothing, so a failed one may always be tried again. */
-static void on_unusable(struct run *run, const struct upstream_result *result,
-			uint64_t now_us)
+/*
+ * The connection can't be used any more. If it was lost, the read may be
+ * repeated, since it changes nothing.
+ */
+static void on_conn_failed(struct run *run,
+			   const struct upstream_result *result,
+			   uint64_t now_us)
 {
 	enum err_code code = result->err.code;
 
@@ -98,18 +104,18 @@
 		run_refuse(run, run_statement_error(result));
 }
 
-/* The server saw too little: asks how it stands, and looks again. */
-static void on_jumped(struct run *run, uint64_t now_us)
+/* The server went back to an older state: probes it and repeats the read. */
+static void on_server_reset(struct run *run, uint64_t now_us)
 {
 	struct server *s = run->server;
 
 	probe_want_one(s, now_us);
 	run_detach(run, now_us);
 	if (run_may_retry(run, now_us))
-		run_requeue(run, JUMPED_WAIT_US, now_us);
+		run_requeue(run, SERVER_RESET_RETRY_US, now_us);
 	else
-		run_fail(run, ERR_NO_SERVER, JUMPED_WAIT_US,
-			 "the server %s lost what it had", s->name);
+		run_fail(run, ERR_NO_SERVER, SERVER_RESET_RETRY_US,
+			 "the server %s lost a part of what it had", s->name);
 }
 
 static void on_read(void *user, struct conn *c, struct upstream_result *result,
@@ -121,7 +127,7 @@
 	struct position p;
 
 	if (!result->conn_usable) {
-		on_unusable(run, result, now_us);
+		on_conn_failed(run, result, now_us);
 		return;
 	}
 	server_heard(s, c->started_us, now_us);
@@ -132,7 +138,7 @@
 	c->in_block = false;
 	if (!outcome_cut_position(result->results, &p) ||
 	    !read_check_position(run, s, p)) {
-		on_jumped(run, now_us);
+		on_server_reset(run, now_us);
 		return;
 	}
 	fresh_on_applied(run->group->fresh, (unsigned)s->index, p);
@@ -145,7 +151,7 @@
 		run_answer(run, reply);
 }
 
-/* One pipeline: the transaction and the position that it saw. */
+/* Sends the transaction and the query of its position as one pipeline. */
 static void start(struct run *run, uint64_t now_us)
 {
 	const struct request *r = run->request;
--- a/packages/core/src/group_route.c
+++ b/packages/core/src/group_route.c
@@ -5,14 +5,16 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Requests that wait for a server at once; more are refused. */
+/* Requests that may wait for a server at a time; further ones are refused. */
 #define MAX_WAITING 1024
+/* The time after which a refused caller is advised to retry. */
 #define RETRY_AFTER_US (1 * USEC_PER_SEC)
-#define PREPARE_LOOK_US (5 * USEC_PER_MSEC)
-/* A run that may not start where it was queued is routed anew after this. */
-#define REROUTE_US (1 * USEC_PER_MSEC)
+/* A write that waits until the outcome table is prepared is routed again. */
+#define PREPARE_RECHECK_US (5 * USEC_PER_MSEC)
+/* Delay before a run that may not start where it was queued is routed again. */
+#define REROUTE_DELAY_US (1 * USEC_PER_MSEC)
 
-/* How long this run would wait in the server's queue, and then take. */
+/* Predicts how long this run would wait in the server's queue and then take. */
 static void predict(const struct run *run, const struct server *s,
 		    struct route_server *out, uint64_t now_us)
 {
@@ -26,7 +28,7 @@
 	out->latency_us = admit_service_us(s->admit, run->profile);
 }
 
-/* The servers as the choice for one run sees them. */
+/* Fills in the candidates for the choice of one run's server. */
 static void fill_servers(const struct run *run, struct route_server *out,
 			 uint64_t now_us)
 {
@@ -50,7 +52,7 @@
 	}
 }
 
-/* One line for the choice: what was chosen, why, and who was passed over. */
+/* Logs the choice, its reason, and why the other servers were not chosen. */
 static void log_choice(const struct run *run, const struct route_choice *choice,
 		       const struct server *s)
 {
@@ -76,7 +78,10 @@
 	g_free(id);
 }
 
-/* Why it still waits, told if it waits in vain. */
+/*
+ * Lets the run wait until until_us, or until news of the servers. The code and
+ * the text are its answer if the deadline passes first.
+ */
 static void wait_for(struct run *run, enum err_code code, const char *text,
 		     uint64_t until_us)
 {
@@ -85,8 +90,9 @@
 	run->look_again_us = until_us;
 }
 
-static void push(struct run *run, struct server *s,
-		 const struct route_choice *choice, uint64_t now_us)
+/* Puts the run into the server's queue, or refuses it. */
+static void enqueue(struct run *run, struct server *s,
+		    const struct route_choice *choice, uint64_t now_us)
 {
 	uint64_t retry_after_us = 0;
 	struct err err = { 0 };
@@ -110,8 +116,9 @@
 }
 
 /*
- * Whether the primary may be given a write now. One that a majority does not
- * confirm is refused before it runs: it would end as unknown.
+ * Whether the primary may be given a write now; if not, the run waits or is
+ * refused. A write that no majority can confirm is refused before it runs, as
+ * its outcome would be unknown.
  */
 static bool write_may_start(struct run *run, struct server *s, uint64_t now_us)
 {
@@ -136,29 +143,29 @@
 	if (s->outcome_term != fresh_term(g->fresh)) {
 		wait_for(run, ERR_NO_PRIMARY,
 			 "the primary is not ready for writes",
-			 now_us + PREPARE_LOOK_US);
+			 now_us + PREPARE_RECHECK_US);
 		server_prepare(s, now_us);
 		return false;
 	}
 	return true;
 }
 
-/* No server now: waits, or is refused when waiting can't help. */
+/* No server was chosen: lets the run wait, or refuses it if that can't help. */
 static void route_none(struct run *run, const struct route_choice *choice,
 		       uint64_t now_us)
 {
-	uint64_t again_us = now_us + choice->wait_us;
+	uint64_t recheck_at_us = now_us + choice->wait_us;
 
 	switch (choice->why) {
 	case ROUTE_WAIT_CONFIRM:
 		probe_want(run->group, run->arrived_us);
 		wait_for(run, ERR_NO_MAJORITY,
 			 "no majority of the servers confirms the primary",
-			 MAX(again_us, now_us + USEC_PER_MSEC));
+			 MAX(recheck_at_us, now_us + USEC_PER_MSEC));
 		break;
 	case ROUTE_WAIT_REPLICA:
 		wait_for(run, ERR_NO_SERVER, "no server is fresh enough",
-			 MAX(again_us, now_us + USEC_PER_MSEC));
+			 MAX(recheck_at_us, now_us + USEC_PER_MSEC));
 		break;
 	case ROUTE_NONE_LOST_HISTORY:
 		run_fail(run, ERR_LOST_HISTORY, 0,
@@ -178,7 +185,7 @@
 	}
 }
 
-/* Looks for the server that runs it. */
+/* Chooses a server for the run, and puts it into that server's queue. */
 static void route_one(struct run *run, const struct route_server *servers,
 		      uint64_t now_us)
 {
@@ -204,17 +211,17 @@
 	}
 	if (run->type->to_primary && !write_may_start(run, s, now_us))
 		return;
-	push(run, s, &choice, now_us);
+	enqueue(run, s, &choice, now_us);
 	if (run->state == RUN_QUEUED)
 		log_choice(run, &choice, s);
 }
 
-static void past_deadline(struct run *run)
+static void fail_at_deadline(struct run *run)
 {
 	run_fail(run, run->wait_code, RETRY_AFTER_US, "%s", run->wait_text);
 }
 
-/* Those that wait for a server, in the order of their arrival. */
+/* Routes the runs that wait for a server, in their order in the list. */
 void route_waiting(struct group *g, uint64_t now_us)
 {
 	struct route_server servers[FRESH_MAX_SERVERS];
@@ -227,7 +234,7 @@
 
 		next = l->next;
 		if (now_us >= run->deadline_us) {
-			past_deadline(run);
+			fail_at_deadline(run);
 			continue;
 		}
 		if (++n > MAX_WAITING) {
@@ -253,8 +260,8 @@
 }
 
 /*
- * The age that a read's answer states is that of its start: the server may
- * have aged while the read was queued.
+ * Records the age that a read's answer states, which is the data's age at the
+ * start: it may have grown while the read was queued.
  */
 static void note_age(struct run *run, const struct server *s, uint64_t now_us)
 {
@@ -265,6 +272,7 @@
 		run->age_us = age_us;
 }
 
+/* Starts a run that has a slot, if the choice still holds. */
 static void start(struct run *run, struct conn *c, uint64_t now_us)
 {
 	struct server *s = run->server;
@@ -272,7 +280,7 @@
 	run_set_state(run, RUN_RUNNING);
 	if (!may_start(run, s, now_us)) {
 		if (run->state == RUN_RUNNING)
-			run_requeue(run, REROUTE_US, now_us);
+			run_requeue(run, REROUTE_DELAY_US, now_us);
 		return;
 	}
 	note_age(run, s, now_us);
@@ -283,7 +291,7 @@
 	run->type->start(run, now_us);
 }
 
-/* Gives up queued runs whose deadline can't be met, at once. */
+/* Refuses queued runs as soon as their deadlines can't be met any more. */
 static void expire(struct server *s, uint64_t now_us)
 {
 	struct admit_entry *e;
@@ -298,7 +306,7 @@
 	}
 }
 
-/* Starts what has a slot and a connection. */
+/* Starts queued runs while there are a free slot and a connection. */
 static void start_queued(struct server *s, uint64_t now_us)
 {
 	struct admit_entry *e;
@@ -316,7 +324,7 @@
 	}
 }
 
-/* Takes what is queued at the server back to the waiting ones. */
+/* Takes runs out of the server's queue, to be routed again. */
 void route_leave_server(struct server *s, bool writes_only, uint64_t now_us)
 {
 	GList *l, *next;
@@ -330,7 +338,7 @@
 	}
 }
 
-/* The queues before the slots of all servers. */
+/* Works on the queues of all servers: expires, moves and starts runs. */
 void route_queued(struct group *g, uint64_t now_us)
 {
 	struct server *primary = group_primary(g);
@@ -348,7 +356,7 @@
 	}
 }
 
-/* When a waiting run must be looked at without news. */
+/* When the next run must be routed or expired, even without news of servers. */
 uint64_t route_next_us(struct group *g)
 {
 	uint64_t next_us = UINT64_MAX;
