--- a/packages/core/src/group_run.c
+++ b/packages/core/src/group_run.c
@@ -5,13 +5,20 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-/* A try that would have less time than this is not worth its work. */
-#define RETRY_MIN_LEFT_US (20 * USEC_PER_MSEC)
-/* How long a primary's read waits for a majority to have what it saw. */
-#define READ_CONFIRM_US (250 * USEC_PER_MSEC)
-#define LATENCY_SMOOTHING 8
+/* Minimum of time left for a retry; with less it would likely time out. */
+#define RETRY_MIN_REMAINING_US (20 * USEC_PER_MSEC)
+/*
+ * How long the answer to a read on the primary waits until a majority has the
+ * position that the read saw.
+ */
+#define READ_CONFIRM_TIMEOUT_US (250 * USEC_PER_MSEC)
+/* The inverse weight of a new sample in the smoothed latency. */
+#define LATENCY_SMOOTHING_DIVISOR 8
 
-/* A request in the table, waiting. The profile must outlive it. */
+/*
+ * Adds a run for the request to the table, in RUN_WAITING. The profile must
+ * outlive the run.
+ */
 struct run *run_create(struct group *g, const struct run_type *type,
 		       struct request *request, const struct profile *profile,
 		       unsigned share, group_answer_fn answer, void *user,
@@ -39,7 +46,7 @@
 	return run;
 }
 
-/* Frees a run that has left its list, its slot and its connection. */
+/* Frees a run that is in no list and has neither slot nor connection. */
 void run_destroy(struct run *run)
 {
 	request_unref(run->request);
@@ -68,11 +75,12 @@
 
 static void smooth_latency(struct server *s, uint64_t took_us)
 {
-	s->latency_us = (s->latency_us * (LATENCY_SMOOTHING - 1) + took_us) /
-			LATENCY_SMOOTHING;
+	s->latency_us =
+		(s->latency_us * (LATENCY_SMOOTHING_DIVISOR - 1) + took_us) /
+		LATENCY_SMOOTHING_DIVISOR;
 }
 
-/* Gives the slot back, or leaves the queue. */
+/* Gives the run's slot back, or takes the run out of the queue. */
 void run_free_slot(struct run *run, uint64_t now_us)
 {
 	struct server *s = run->server;
@@ -91,7 +99,7 @@
 	run->group->again = true;
 }
 
-/* Closes the run's connection, whatever is in flight on it. */
+/* Closes the run's connection, even with statements in flight. */
 void run_drop_conn(struct run *run)
 {
 	struct conn *c = run->conn;
@@ -101,7 +109,7 @@
 		conn_close(c);
 }
 
-/* Lets go of the slot and of the connection, which is cleaned for the next. */
+/* Releases the slot, and the connection after its session state is reset. */
 void run_detach(struct run *run, uint64_t now_us)
 {
 	struct conn *c = run->conn;
@@ -112,7 +120,7 @@
 		server_give(c, now_us);
 }
 
-static void count(struct run *run, const struct answer *a)
+static void count_outcome(struct run *run, const struct answer *a)
 {
 	struct group_counts *counts = &run->group->counts;
 
@@ -141,10 +149,10 @@
 }
 
 /*
- * Remembers the keys of which nothing certain was told, until it is: the write
- * is done, or a refusal of it was settled.
+ * Remembers a key that was answered as unknown, and forgets it once the outcome
+ * is certain: the write is done, or a refusal of it was settled.
  */
-static void note_outcome(struct run *run, const struct answer *a)
+static void update_unknown_keys(struct run *run, const struct answer *a)
 {
 	if (a->outcome == OUTCOME_UNKNOWN)
 		unknown_note(run->group, run->key);
@@ -153,8 +161,8 @@
 }
 
 /*
- * The final answer, whose reference is taken over. It is told by run_flush(),
- * since the caller may come back into the group from there.
+ * Sets the final answer, whose reference is taken over. run_flush() delivers it
+ * later, because the callback may call into the group again.
  */
 void run_answer(struct run *run, struct answer *answer)
 {
@@ -165,16 +173,17 @@
 	run->reply = answer;
 	answer_unref(old);
 	run_set_state(run, RUN_ANSWERED);
-	count(run, answer);
+	count_outcome(run, answer);
 	if (run->type->writes)
-		note_outcome(run, answer);
+		update_unknown_keys(run, answer);
 }
 
 /*
- * Whether the refusal speaks for itself: the key is known to be another
- * request's, or the entry is sent on to another home, which gives the answer.
+ * Whether the refusal is safe without settling the outcome: the key is known to
+ * be another request's, or the entry proxy turns to another home, which gives
+ * the answer.
  */
-static bool needs_no_settling(const struct answer *refusal)
+static bool is_safe_without_settling(const struct answer *refusal)
 {
 	return refusal->err.code == ERR_KEY_REUSED ||
 	       refusal->err.code == ERR_STOPPING ||
@@ -182,16 +191,19 @@
 }
 
 /*
- * A refusal, whose reference is taken over. Guards against a false "not run":
- * when the request was sent before, to another home or with an answer that the
- * outcome is unknown, that try may be done or still commit. Then the refusal
- * is told only once a tombstone keeps it true.
+ * Refuses the run; the answer's reference is taken over. Guards against a false
+ * "not run": when the request was sent before, to another home or with an
+ * answer that the outcome is unknown, that attempt may be committed already or
+ * still commit. Then the refusal is answered only once a tombstone in the
+ * outcome table prevents that commit.
  */
 void run_refuse(struct run *run, struct answer *refusal)
 {
 	if (!run->type->writes || !run->sent_before ||
-	    needs_no_settling(refusal)) {
-		/* The entry must not take the next home's word for the truth.
+	    is_safe_without_settling(refusal)) {
+		/*
+		 * Warns the entry proxy that the next home's refusal is no
+		 * proof either: the earlier attempt may be committed.
 		 */
 		refusal->repeated = run->type->writes && run->sent_before;
 		run_answer(run, refusal);
@@ -206,7 +218,7 @@
 	run_set_state(run, RUN_SETTLE_WAIT);
 }
 
-/* Refuses with a code and a text; retry_after_us 0: no advice. */
+/* Refuses with a code and a text; retry_after_us 0: no advice to retry. */
 void run_fail(struct run *run, enum err_code code, uint64_t retry_after_us,
 	      const char *fmt, ...)
 {
@@ -222,7 +234,7 @@
 	run_refuse(run, a);
 }
 
-/* The answer to a statement that the server refused; code and SQLSTATE. */
+/* Creates the answer to a failed statement, with code, text and SQLSTATE. */
 struct answer *run_statement_error(const struct upstream_result *result)
 {
 	struct answer *a =
@@ -232,7 +244,7 @@
 	return a;
 }
 
-/* A successful answer with the results so far; NULL: an empty list. */
+/* Creates a successful answer with the results; NULL: an empty list. */
 struct answer *run_done(struct run *run, const GString *results)
 {
 	struct answer *a = answer_create(OUTCOME_DONE);
@@ -251,8 +263,9 @@
 }
 
 /*
- * Tells the reply, whose reference is taken over, once a majority has the
- * position; at once when it does already.
+ * Answers with the reply, whose reference is taken over, once a majority has
+ * the position, which may be at once. A read is answered after
+ * READ_CONFIRM_TIMEOUT_US even if no majority has it.
  */
 void run_confirm(struct run *run, struct answer *reply, struct position p,
 		 uint64_t now_us)
@@ -262,20 +275,24 @@
 	run->position = p;
 	run->confirm_until_us = UINT64_MAX;
 	if (!run->type->writes)
-		run->confirm_until_us = now_us + READ_CONFIRM_US;
+		run->confirm_until_us = now_us + READ_CONFIRM_TIMEOUT_US;
 	run_set_state(run, RUN_CONFIRMING);
 	run->group->news = true;
 }
 
-/* Whether a further try may be made: in time, and within the budget. */
+/*
+ * Whether the run may be retried: it can start anew, enough time is left, and
+ * the retry budget allows it, of which a token is taken.
+ */
 bool run_may_retry(struct run *run, uint64_t now_us)
 {
-	if (!run->type->start || now_us + RETRY_MIN_LEFT_US >= run->deadline_us)
+	if (!run->type->start ||
+	    now_us + RETRY_MIN_REMAINING_US >= run->deadline_us)
 		return false;
 	return retry_budget_take(&run->group->retries);
 }
 
-/* Back to the waiting ones, to be routed anew after wait_us. */
+/* Returns the run to RUN_WAITING, to be routed again after wait_us. */
 void run_requeue(struct run *run, uint64_t wait_us, uint64_t now_us)
 {
 	run_detach(run, now_us);
@@ -286,7 +303,7 @@
 	run->group->again = true;
 }
 
-/* Tells all answers that are ready. The callers may come back from there. */
+/* Delivers all answers that are ready. Callbacks may call into the group. */
 void run_flush(struct group *g)
 {
 	GList *l;
--- a/packages/core/src/group_txn.c
+++ b/packages/core/src/group_txn.c
@@ -5,32 +5,33 @@
 #include <string.h>
 
 /*
- * Long transactions: a connection and a slot of their own from BEGIN to the
- * end. The key of the commit is the transaction's id, so that it commits at
- * most once whatever its requests carry; it is claimed with the BEGIN of a
- * transaction that writes, so that the commit can see that nothing ended the
- * block in between. A statement that fails ends the transaction.
+ * Long transactions. Each has a connection and a slot of its own from BEGIN to
+ * its end. The key of the commit is made from the transaction's id, so that it
+ * commits at most once, whatever keys its requests carry. A transaction that
+ * writes inserts the key right after BEGIN, so that the commit can detect that
+ * something ended the block in between. A failing statement ends the
+ * transaction.
  */
 
-/* With less time than this left a commit isn't sent. */
-#define COMMIT_MIN_LEFT_US (20 * USEC_PER_MSEC)
-/* When a place for one more transaction may be free. */
+/* A commit isn't sent with less time than this left. */
+#define COMMIT_MIN_REMAINING_US (20 * USEC_PER_MSEC)
+/* Advice for callers that are refused because too many are open. */
 #define PINNED_RETRY_AFTER_US (1 * USEC_PER_SEC)
-/* At most this part of a server's slots may be held by transactions. */
-#define PINNED_PART 2
+/* Long transactions may hold at most the server's slots divided by this. */
+#define PINNED_SLOTS_DIVISOR 2
 
 static unsigned max_pinned(const struct server *s)
 {
-	return MAX(1, server_slots(s) / PINNED_PART);
+	return MAX(1, server_slots(s) / PINNED_SLOTS_DIVISOR);
 }
 
-/* Its connection left the table: the server rolls back, or has. */
+/* Called when the connection is closed; the server then rolls back. */
 void txn_on_closed(struct txn *txn)
 {
 	txn->conn = NULL;
 }
 
-/* Frees it as it is, for the end of the group. */
+/* Frees a transaction without ending it on the server. */
 void txn_destroy(gpointer data)
 {
 	struct txn *txn = data;
@@ -47,8 +48,8 @@
 	g_free(txn);
 }
 
-/* Takes its connection from it. */
-static struct conn *unpin(struct txn *txn)
+/* Separates the transaction from its connection, which is returned. */
+static struct conn *detach_conn(struct txn *txn)
 {
 	struct conn *c = txn->conn;
 
@@ -58,10 +59,13 @@
 	return c;
 }
 
-/* Ends it. An open block is rolled back before the connection is used again. */
+/*
+ * Ends the transaction. An open block is rolled back before its connection is
+ * used again.
+ */
 void txn_end(struct txn *txn, uint64_t now_us)
 {
-	struct conn *c = unpin(txn);
+	struct conn *c = detach_conn(txn);
 	struct group *g = txn->group;
 
 	if (c && c->state == CONN_IDLE)
@@ -77,8 +81,9 @@
 }
 
 /*
- * Its name for callers. It can not be guessed from others, and it doesn't have
- * to be kept secret: only its own caller is served.
+ * Makes the id by which callers name a transaction. It can't be guessed from
+ * other ids, but it needn't be kept secret either: a transaction serves only
+ * the caller that began it.
  */
 static char *make_id(struct group *g)
 {
@@ -90,7 +95,7 @@
 			       ++g->txn_count);
 }
 
-/* Moves slot and connection from the request to a new transaction. */
+/* Creates a transaction, which takes over the run's slot and connection. */
 static struct txn *create(struct run *run, char *id, uint64_t now_us)
 {
 	struct txn *txn = g_new0(struct txn, 1);
@@ -114,7 +119,10 @@
 	return txn;
 }
 
-/* The position that a READ ONLY block saw last; false when it won't do. */
+/*
+ * Reads the position that a READ ONLY block saw last; false when it is missing
+ * or fails read_check_position().
+ */
 static bool check_read(struct run *run, const struct server *s,
 		       const struct upstream_result *result, struct position *p)
 {
@@ -124,13 +132,13 @@
 }
 
 /*
- * Tells what a statement within saw. Guards against a session that comes to
- * hold a position which a failover takes away: what a primary's read saw is
- * told once a majority has it, see run_confirm(). The transaction stands by
- * then, so the request can't be tried again from the start.
+ * Answers a request within a transaction. Guards against a session with a
+ * position that a failover then removes: a position seen on the primary is
+ * returned once a majority has it, see run_confirm(). The transaction is open
+ * by then, so the request can't be retried from the start.
  */
-static void tell(struct run *run, struct answer *reply, struct position seen,
-		 uint64_t now_us)
+static void answer_with_position(struct run *run, struct answer *reply,
+				 struct position seen, uint64_t now_us)
 {
 	reply->seen = seen;
 	run->type = &txn_type;
@@ -141,8 +149,8 @@
 		run_answer(run, reply);
 }
 
-static void begun(struct run *run, struct upstream_result *result,
-		  struct position seen, uint64_t now_us)
+static void on_begun(struct run *run, struct upstream_result *result,
+		     struct position seen, uint64_t now_us)
 {
 	struct answer *reply = run_done(run, result->results);
 	char *id = str_dup(run->digest);
@@ -150,7 +158,7 @@
 
 	reply->transaction.data = g_string_chunk_insert(reply->arena, txn->id);
 	reply->transaction.len = strlen(txn->id);
-	tell(run, reply, seen, now_us);
+	answer_with_position(run, reply, seen, now_us);
 }
 
 static void on_begun_write(void *user, struct conn *c,
@@ -169,7 +177,7 @@
 	else if (write_was_split(run, c, result))
 		write_on_split(run, now_us);
 	else
-		begun(run, result, none, now_us);
+		on_begun(run, result, none, now_us);
 }
 
 static void on_begun_read(void *user, struct conn *c,
@@ -190,7 +198,7 @@
 		probe_want_one(run->server, now_us);
 		run_requeue(run, USEC_PER_MSEC, now_us);
 	} else {
-		begun(run, result, p, now_us);
+		on_begun(run, result, p, now_us);
 	}
 }
 
@@ -205,8 +213,8 @@
 	}
 }
 
-/* Whether the server holds as many long transactions as it may. */
-static bool refuse_pinned(struct run *run, uint64_t now_us)
+/* Refuses the run if the server has its maximum of long transactions. */
+static bool refuse_if_too_many(struct run *run, uint64_t now_us)
 {
 	if (run->server->pinned < max_pinned(run->server))
 		return false;
@@ -217,7 +225,7 @@
 	return true;
 }
 
-/* Names the transaction; its name is its key from now on. */
+/* Gives the transaction an id, and makes the run's key from it. */
 static void set_id(struct run *run)
 {
 	char *id = make_id(run->group);
@@ -232,7 +240,7 @@
 {
 	struct conn *c = run->conn;
 
-	if (refuse_pinned(run, now_us))
+	if (refuse_if_too_many(run, now_us))
 		return;
 	set_id(run);
 	c->in_block = true;
@@ -250,7 +258,7 @@
 {
 	struct conn *c = run->conn;
 
-	if (refuse_pinned(run, now_us))
+	if (refuse_if_too_many(run, now_us))
 		return;
 	set_id(run);
 	read_note_start(run, run->server);
@@ -263,24 +271,25 @@
 		  on_begun_read, run, now_us);
 }
 
-/* Moves slot and connection back to the request that ends it. */
-static void take_over(struct run *run, struct txn *txn, uint64_t now_us)
+/* Ends the transaction; its slot and connection go to the run that ends it. */
+static void take_over_slot(struct run *run, struct txn *txn, uint64_t now_us)
 {
 	run_set_state(run, RUN_RUNNING);
 	run->server = txn->server;
 	run->age_us = txn->age_us;
 	run->by_primary = txn->by_primary;
 	run->began_us = now_us;
-	run->conn = unpin(txn);
+	run->conn = detach_conn(txn);
 	run->entry = g_steal_pointer(&txn->entry);
 	run->results = g_string_new(NULL);
 	txn_end(txn, now_us);
 }
 
 /*
- * Guards against a session that goes back in time: what a write transaction
- * saw counts for the session, like a read, also when it is rolled back. What
- * no majority has yet may be lost, and is left out.
+ * Returns the position that a write transaction saw, for the session. Guards
+ * against a session that goes back in time: what the transaction read counts
+ * like any other read, even if it is rolled back later. A position that no
+ * majority has yet may be lost, so it is left out.
  */
 static struct position seen_by_write(struct run *run,
 				     const struct upstream_result *result)
@@ -294,9 +303,9 @@
 	return p;
 }
 
-/* A request within is over; its connection stays. */
-static void on_within(void *user, struct conn *c,
-		      struct upstream_result *result, uint64_t now_us)
+/* The statements of a request within the transaction are done or failed. */
+static void on_statements(void *user, struct conn *c,
+			  struct upstream_result *result, uint64_t now_us)
 {
 	struct run *run = user;
 	struct txn *txn = run->txn;
@@ -314,7 +323,7 @@
 		return;
 	}
 	if (result->err.code) {
-		take_over(run, txn, now_us);
+		take_over_slot(run, txn, now_us);
 		write_roll_back(run, run_statement_error(result), now_us);
 		return;
 	}
@@ -329,21 +338,22 @@
 	} else if (!check_read(run, txn->server, result, &p)) {
 		txn_end(txn, now_us);
 		run_fail(run, ERR_CONNECTION_LOST, 0,
-			 "the server lost what it had; rolled back");
+			 "the server lost a part of what it had; rolled back");
 		return;
 	}
-	tell(run, run_done(run, result->results), p, now_us);
+	answer_with_position(run, run_done(run, result->results), p, now_us);
 }
 
-/* An upper bound: what it sees may be as old as its first snapshot. */
-static uint64_t age_within(const struct txn *txn, uint64_t now_us)
+/* Upper bound of the data's age: it may be as old as the first snapshot. */
+static uint64_t data_age_us(const struct txn *txn, uint64_t now_us)
 {
 	if (txn->profile.access == ACCESS_WRITE)
 		return txn->age_us;
 	return txn->age_us + (now_us - txn->began_us);
 }
 
-static void run_within(struct run *run, struct txn *txn, uint64_t now_us)
+/* Sends the statements of a request within the transaction. */
+static void send_statements(struct run *run, struct txn *txn, uint64_t now_us)
 {
 	bool writes = txn->profile.access == ACCESS_WRITE;
 	uint64_t max_bytes = txn->profile.max_answer_bytes;
@@ -352,7 +362,7 @@
 	run_set_state(run, RUN_RUNNING);
 	run->txn = txn;
 	run->server = txn->server;
-	run->age_us = age_within(txn, now_us);
+	run->age_us = data_age_us(txn, now_us);
 	run->by_primary = txn->by_primary;
 	txn->run = run;
 	conn_begin(c);
@@ -361,7 +371,7 @@
 	if (writes)
 		conn_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, max_bytes ? max_bytes + POSITION_BYTES : 0,
-		  run->deadline_us - now_us, on_within, run, now_us);
+		  run->deadline_us - now_us, on_statements, run, now_us);
 }
 
 static void end_read(struct run *run, struct txn *txn, uint64_t now_us)
@@ -374,20 +384,20 @@
 	run_answer(run, run_done(run, NULL));
 }
 
-/* From here on as any other write; see group_write.c. */
+/* Commits. After this the run is handled like any write, in group_write.c. */
 static void commit(struct run *run, struct txn *txn, uint64_t now_us)
 {
 	if (txn->profile.access == ACCESS_READ) {
 		end_read(run, txn, now_us);
 		return;
 	}
-	if (now_us + COMMIT_MIN_LEFT_US >= run->deadline_us) {
+	if (now_us + COMMIT_MIN_REMAINING_US >= run->deadline_us) {
 		txn_end(txn, now_us);
 		run_fail(run, ERR_TIMED_OUT, 0,
 			 "too little time to commit; rolled back");
 		return;
 	}
-	take_over(run, txn, now_us);
+	take_over_slot(run, txn, now_us);
 	write_send_commit(run, now_us);
 }
 
@@ -400,9 +410,10 @@
 }
 
 /*
- * Guards against a false "rolled back" for a transaction that is not known:
- * its commit may be under way, or have been done by this home or another one.
- * The key tells: a tombstone for it keeps the refusal true.
+ * The transaction isn't in the table. Guards against a false "rolled back" for
+ * it: its commit may be in flight, or have been done by this home or another
+ * one. So a commit is settled by its key in the outcome table: either the row
+ * of the commit is found, or a tombstone there keeps the refusal true.
  */
 static void settle_unknown(struct run *run, uint64_t now_us)
 {
@@ -418,7 +429,7 @@
 	settle_begin(run, now_us);
 }
 
-/* Whether the transaction serves this request now; else it is refused. */
+/* Whether the run may use the transaction now; otherwise it is refused. */
 static bool may_use(struct run *run, const struct txn *txn)
 {
 	struct str caller = run->request->caller;
@@ -437,7 +448,7 @@
 	return true;
 }
 
-/* A request for a long transaction: a statement, the commit, the rollback. */
+/* Runs a request for a long transaction: statements, commit or rollback. */
 void txn_run(struct run *run, uint64_t now_us)
 {
 	struct group *g = run->group;
@@ -460,7 +471,7 @@
 	} else if (run->request->kind == REQUEST_ROLLBACK) {
 		roll_back(run, txn, now_us);
 	} else {
-		run_within(run, txn, now_us);
+		send_statements(run, txn, now_us);
 	}
 }
 
