--- a/packages/core/src/group_sql.c
+++ b/packages/core/src/group_sql.c
@@ -2,37 +2,40 @@
 
 #include <string.h>
 
-/* Tells a small letter from its capital. */
+/* The bit in which an ASCII letter's lower and upper case differ. */
 #define CASE_BIT 0x20
 
-static const char *const control_words[] = {
+/* First words of statements that control a transaction. */
+static const char *const transaction_keywords[] = {
 	"BEGIN", "COMMIT",    "ROLLBACK", "END", "ABORT",
 	"START", "SAVEPOINT", "RELEASE",  NULL,
 };
 
-/* Words after which a session is as it was before. */
-static const char *const plain_words[] = {
+/* First words of statements that normally leave no session state. */
+static const char *const stateless_keywords[] = {
 	"SELECT", "INSERT", "UPDATE", "DELETE", "WITH",
 	"VALUES", "TABLE",  "MERGE",  NULL,
 };
 
-/* Those of them that change rows, where INTO names the table of the rows. */
-static const char *const change_words[] = {
+/* Those of them that change rows; there INTO names the table of the rows. */
+static const char *const row_change_keywords[] = {
 	"INSERT", "UPDATE", "DELETE", "MERGE", NULL,
 };
 
-/* What outlasts its transaction, wherever it stands. */
-static const char *const lasting_parts[] = {
+/* Functions and names, anywhere in a statement, whose effect outlasts it. */
+static const char *const state_patterns[] = {
 	"set_config", "advisory", "pg_settings", "dblink", "setseed", NULL,
 };
 
-/* A query with this may make a temporary table. */
-static const char *const table_parts[] = { "into", NULL };
+/* A query with this word may create a temporary table. */
+static const char *const temp_table_patterns[] = { "into", NULL };
 
-/* What a SET may not touch, as a read-only transaction would end to be one. */
-static const char *const transaction_parts[] = { "transaction",
-						 "characteristics", NULL };
+/* Words that a SET must not have: it could make a read-only block writable. */
+static const char *const transaction_mode_patterns[] = { "transaction",
+							 "characteristics",
+							 NULL };
 
+/* Returns the index of the end of the line. */
 static size_t skip_line(struct str s, size_t i)
 {
 	while (i < s.len && s.data[i] != '\n' && s.data[i] != '\r')
@@ -40,7 +43,7 @@
 	return i;
 }
 
-/* Skips a block comment, which may hold others; an open one skips all. */
+/* Skips a block comment with those nested in it; an open one skips the rest. */
 static size_t skip_block(struct str s, size_t i)
 {
 	unsigned depth = 0;
@@ -60,7 +63,7 @@
 	return s.len;
 }
 
-/* What is left after blanks, comments and empty statements. */
+/* Returns the rest after leading blanks, comments and empty statements. */
 static struct str skip_blank(struct str s)
 {
 	size_t i = 0;
@@ -81,7 +84,7 @@
 	return (struct str){ .data = s.data + i, .len = s.len - i };
 }
 
-/* Takes the word at the start of *s off it. */
+/* Removes the first word from *s and returns it; empty if there is none. */
 static struct str take_word(struct str *s)
 {
 	struct str word;
@@ -113,8 +116,8 @@
 	return false;
 }
 
-/* The part is in small letters. */
-static bool starts_with_part(struct str s, const char *part)
+/* Whether s starts with the part, in any case; the part is in lower case. */
+static bool starts_with(struct str s, const char *part)
 {
 	size_t i;
 
@@ -126,22 +129,22 @@
 }
 
 /*
- * Whether the text has one of the parts in it, in any case of letters. It
- * looks at every byte of every statement, so the first letter rules most places
- * out.
+ * Whether the text contains one of the parts, in any case. It looks at every
+ * byte of every statement, so for speed a comparison of the first letter rules
+ * out most places.
  */
-static bool has_part(struct str s, const char *const *list)
+static bool contains_any(struct str s, const char *const *list)
 {
 	const char *const *part;
-	bool begins[256] = { false };
+	bool first_letters[256] = { false };
 
 	for (part = list; *part; part++)
-		begins[(unsigned char)(**part | CASE_BIT)] = true;
+		first_letters[(unsigned char)(**part | CASE_BIT)] = true;
 	for (; s.len; s.data++, s.len--) {
-		if (!begins[(unsigned char)(*s.data | CASE_BIT)])
+		if (!first_letters[(unsigned char)(*s.data | CASE_BIT)])
 			continue;
 		for (part = list; *part; part++) {
-			if (starts_with_part(s, *part))
+			if (starts_with(s, *part))
 				return true;
 		}
 	}
@@ -149,12 +152,13 @@
 }
 
 /*
- * Guards against a transaction that a statement of the caller's ends midway:
- * what follows would run on its own, and a retry would run it twice. The first
- * word tells, since the protocol allows one statement in each step. PREPARE
- * TRANSACTION ends the block too; SET TRANSACTION would make a read-only one
- * writable before its first query. Servers differ in how comments nest, so a
- * text that seems to be comments alone is refused too.
+ * Guards against a caller's statement that ends the transaction midway: the
+ * statements after it would be committed on their own, and a retry would run
+ * them twice. The first word is sufficient to recognise it, since the protocol
+ * allows only one statement in each step. PREPARE TRANSACTION ends the block
+ * too; SET TRANSACTION would make a read-only block writable before its first
+ * query. Servers differ in how comments nest, so a text that seems to consist
+ * of comments alone is refused too.
  */
 bool group_sql_controls_transaction(struct str sql)
 {
@@ -164,26 +168,29 @@
 	if (!rest.len)
 		return true;
 	word = take_word(&rest);
-	if (word_in(word, control_words))
+	if (word_in(word, transaction_keywords))
 		return true;
 	if (word_is(word, "PREPARE"))
 		return word_is(take_word(&rest), "TRANSACTION");
 	if (word_is(word, "SET") || word_is(word, "RESET"))
-		return has_part(rest, transaction_parts);
+		return contains_any(rest, transaction_mode_patterns);
 	return false;
 }
 
 /*
- * Guards against what one caller leaves to the next on the same connection.
- * SELECT ... INTO TEMP makes a table that hides a real one of its name from
- * everybody who comes after; an update of pg_settings is a SET.
+ * Guards against session state that one caller leaves to the next on the same
+ * connection. SELECT ... INTO TEMP creates a table that hides the permanent
+ * table of its name from all later users of the connection; an update of
+ * pg_settings has the effect of SET.
  */
 bool group_sql_leaves_state(struct str sql)
 {
 	struct str rest = sql;
 	struct str word = take_word(&rest);
 
-	if (!word_in(word, plain_words) || has_part(rest, lasting_parts))
+	if (!word_in(word, stateless_keywords) ||
+	    contains_any(rest, state_patterns))
 		return true;
-	return !word_in(word, change_words) && has_part(rest, table_parts);
+	return !word_in(word, row_change_keywords) &&
+	       contains_any(rest, temp_table_patterns);
 }
--- a/packages/core/src/group_sql.h
+++ b/packages/core/src/group_sql.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_CORE_GROUP_SQL_H
 
 /*
- * The statements of the proxy's own, and what can be told of a caller's
- * statement by its first word. There is no parser of SQL.
+ * The proxy's own statements, and what can be determined about a caller's
+ * statement from its first word and a search for a few words in it. The proxy
+ * has no SQL parser.
  */
 
 #include <celeryquay/base/str.h>
@@ -30,14 +31,14 @@
 #define SQL_OUTCOME_INDEX                                       \
 	STR("CREATE INDEX IF NOT EXISTS celeryquay_outcome_at " \
 	    "ON celeryquay_outcome (at)")
-/* key, digest, state, at */
+/* Parameters: key, digest, state, at. */
 #define SQL_OUTCOME_INSERT                    \
 	STR("INSERT INTO celeryquay_outcome " \
 	    "(key, digest, state, at, summary) VALUES ($1, $2, $3, $4, '')")
 /*
- * key, at, summary. Without the row of this transaction the digest is NULL,
- * which the table refuses (23502): a transaction that was rolled back midway
- * can so not commit its second half.
+ * Parameters: key, at, summary. Without the row that this transaction inserted
+ * the digest is NULL, which the table refuses (23502). So when the transaction
+ * was rolled back midway, the statements after that can't be committed.
  */
 #define SQL_OUTCOME_FINISH                                       \
 	STR("INSERT INTO celeryquay_outcome "                    \
@@ -45,17 +46,17 @@
 	    "SELECT $1, (SELECT digest FROM celeryquay_outcome " \
 	    "WHERE key = $1), 'done', $2, $3 WHERE true "        \
 	    "ON CONFLICT (key) DO UPDATE SET summary = excluded.summary")
-/* key */
+/* Parameter: key. */
 #define SQL_OUTCOME_READ                                             \
 	STR("SELECT state, digest, summary FROM celeryquay_outcome " \
 	    "WHERE key = $1")
-/* before, limit */
+/* Parameters: the time before which rows are removed, maximum of rows. */
 #define SQL_OUTCOME_REMOVE                                      \
 	STR("DELETE FROM celeryquay_outcome WHERE key IN ("     \
 	    "SELECT key FROM celeryquay_outcome WHERE at < $1 " \
 	    "ORDER BY at LIMIT $2)")
 
-/* SQLSTATEs that decide what comes next. */
+/* SQLSTATEs on which the handling of an error depends. */
 #define STATE_DUPLICATE_KEY "23505"
 #define STATE_READ_ONLY "25006"
 #define STATE_SERIALIZATION "40001"
@@ -63,13 +64,15 @@
 #define STATE_TOO_MANY "53300"
 
 /*
- * Whether the statement would begin, end or divide a transaction, or change
- * what it may do. Blanks, comments and empty statements before it are skipped.
+ * Whether the statement would begin, end or divide a transaction (savepoints),
+ * or change its mode. Blanks, comments and empty statements before it are
+ * skipped.
  */
 bool group_sql_controls_transaction(struct str sql);
 /*
- * Whether the statement may leave something in its session for the next user
- * of the connection: anything that is not plainly a query or a change of rows.
+ * Whether the statement may leave session state to the next user of the
+ * connection. True for everything that isn't recognised as a query or a change
+ * of rows without such an effect.
  */
 bool group_sql_leaves_state(struct str sql);
 
--- a/packages/core/src/group_write.c
+++ b/packages/core/src/group_write.c
@@ -5,31 +5,36 @@
 #include <string.h>
 
 /*
- * A write is two pipelines on one connection. The first begins the
- * transaction, claims the key and runs the statements; until the second, which
- * commits, is sent, nothing of it can ever commit: a server commits no block
- * whose COMMIT it never got, and closing the connection ends the block. So a
- * deadline or a broken connection before that is truly "not run". From then on
- * only the outcome table tells.
+ * A write is sent as two pipelines on one connection. The first begins the
+ * transaction, inserts the key into the outcome table and runs the statements;
+ * the second commits. Until the second is sent, nothing can ever be committed:
+ * a server commits no block whose COMMIT it never got, and closing the
+ * connection ends the block. So after a deadline or a broken connection before
+ * that, "not run" is certain. From then on only the outcome table shows whether
+ * the write was committed.
  */
 
-/* With less time than this left the commit isn't sent: it would end unknown. */
-#define COMMIT_MIN_LEFT_US (20 * USEC_PER_MSEC)
-/* A commit without an answer after this is settled on another connection. */
-#define COMMIT_PATIENCE_US (1 * USEC_PER_SEC)
-/* A rollback without an answer after this is left to the server. */
-#define ROLLBACK_PATIENCE_US (300 * USEC_PER_MSEC)
-/* A server that is not the primary any more: until the next news. */
-#define DEPOSED_WAIT_US (5 * USEC_PER_MSEC)
-/* The key is claimed after BEGIN. */
+/*
+ * A commit isn't sent with less time than this left: it would likely end with
+ * an unknown outcome.
+ */
+#define COMMIT_MIN_REMAINING_US (20 * USEC_PER_MSEC)
+/* A commit without an answer by then is settled over another connection. */
+#define COMMIT_TIMEOUT_US (1 * USEC_PER_SEC)
+/* After this time without an answer the server is left to roll back alone. */
+#define ROLLBACK_TIMEOUT_US (300 * USEC_PER_MSEC)
+/* Wait before a write is routed again because its server isn't primary now. */
+#define DEPOSED_RETRY_US (5 * USEC_PER_MSEC)
+/* Steps of the first pipeline before the key's insertion: BEGIN. */
 #define STEPS_BEFORE_KEY 1
 
-static bool is_state(const struct upstream_result *result, const char *state)
+static bool has_sqlstate(const struct upstream_result *result,
+			 const char *state)
 {
 	return !strcmp(result->sqlstate, state);
 }
 
-/* Adds the step that claims the run's key with a state. */
+/* Adds the step that inserts the run's key with a state. */
 void write_add_key(struct run *run, struct conn *c, const char *state)
 {
 	conn_step(c, SQL_OUTCOME_INSERT, false);
@@ -39,20 +44,20 @@
 	conn_param_int(c, clean_row_at(c->server));
 }
 
-/* The server is not the primary any more; nothing was committed. */
+/* The server is no longer the primary; nothing was committed. */
 static void on_deposed(struct run *run, const struct upstream_result *result,
 		       uint64_t now_us)
 {
 	probe_want(run->group, now_us);
 	if (run->type->start) {
-		run_requeue(run, DEPOSED_WAIT_US, now_us);
+		run_requeue(run, DEPOSED_RETRY_US, now_us);
 		return;
 	}
 	run_detach(run, now_us);
 	run_refuse(run, run_statement_error(result));
 }
 
-/* Nothing was committed; tries again, or tells. */
+/* Nothing was committed: retries the write, or answers with the error. */
 static void retry_or_refuse(struct run *run,
 			    const struct upstream_result *result,
 			    uint64_t now_us)
@@ -65,10 +70,10 @@
 }
 
 /*
- * Guards against a transaction that was ended midway (by a statement whose
- * first word didn't tell): the connection has committed something since the
- * block began. What ran before is committed, the rest is not; neither "done"
- * nor "not run" is true.
+ * Guards against a transaction that was ended midway, by a statement whose
+ * first word didn't show it: the connection has committed something since the
+ * block began. What ran before is then committed and the rest is not, so
+ * neither "done" nor "not run" would be true.
  */
 bool write_was_split(const struct run *run, const struct conn *c,
 		     const struct upstream_result *result)
@@ -83,10 +88,10 @@
 	return last.term != c->commit.term || last.index != c->commit.index;
 }
 
-/* Tells what neither "done" nor "not run" would be true of. */
+/* Answers a write whose transaction was ended midway: outcome unknown. */
 void write_on_split(struct run *run, uint64_t now_us)
 {
-	LOG_ERR("%s: a statement of %.*s ended its transaction",
+	LOG_ERR("%s: a statement of %.*s ended its transaction early",
 		run->group->label, (int)run->request->caller.len,
 		run->request->caller.data);
 	run_drop_conn(run);
@@ -116,8 +121,9 @@
 }
 
 /*
- * A statement was refused: rolls back, and tells the refusal, whose reference
- * is taken over, once it is known that nothing of the block was committed.
+ * Rolls back after a refused statement. Answers with the refusal, whose
+ * reference is taken over, once it is known that nothing of the block was
+ * committed.
  */
 void write_roll_back(struct run *run, struct answer *refusal, uint64_t now_us)
 {
@@ -129,33 +135,33 @@
 	conn_begin(c);
 	conn_step(c, SQL_ROLLBACK, false);
 	conn_step(c, SQL_COMMIT_POSITION, false);
-	conn_send(c, 0, MIN(left_us, ROLLBACK_PATIENCE_US), on_rolled_back, run,
+	conn_send(c, 0, MIN(left_us, ROLLBACK_TIMEOUT_US), on_rolled_back, run,
 		  now_us);
 }
 
-/* A statement, or the claim of the key, was refused; the block is open. */
+/* A statement or the insertion of the key was refused; the block is open. */
 void write_on_body_error(struct run *run, const struct upstream_result *result,
 			 uint64_t now_us)
 {
 	bool at_key = run->group->guards.outcome_key &&
 		      result->steps_done == STEPS_BEFORE_KEY;
 
-	if (at_key && is_state(result, STATE_DUPLICATE_KEY)) {
+	if (at_key && has_sqlstate(result, STATE_DUPLICATE_KEY)) {
 		write_read_outcome(run, now_us);
-	} else if (is_state(result, STATE_READ_ONLY)) {
+	} else if (has_sqlstate(result, STATE_READ_ONLY)) {
 		on_deposed(run, result, now_us);
 	} else if (at_key) {
 		run->server->outcome_term = 0;
 		retry_or_refuse(run, result, now_us);
-	} else if (is_state(result, STATE_SERIALIZATION) ||
-		   is_state(result, STATE_DEADLOCK)) {
+	} else if (has_sqlstate(result, STATE_SERIALIZATION) ||
+		   has_sqlstate(result, STATE_DEADLOCK)) {
 		retry_or_refuse(run, result, now_us);
 	} else {
 		write_roll_back(run, run_statement_error(result), now_us);
 	}
 }
 
-/* The connection is gone before a commit was sent; nothing was committed. */
+/* The connection ended before a commit was sent; nothing was committed. */
 void write_on_body_lost(struct run *run, const struct upstream_result *result,
 			uint64_t now_us)
 {
@@ -181,7 +187,7 @@
 		write_on_body_error(run, result, now_us);
 	} else if (write_was_split(run, c, result)) {
 		write_on_split(run, now_us);
-	} else if (now_us + COMMIT_MIN_LEFT_US >= run->deadline_us) {
+	} else if (now_us + COMMIT_MIN_REMAINING_US >= run->deadline_us) {
 		run_detach(run, now_us);
 		run_fail(run, ERR_TIMED_OUT, 0,
 			 "the statements took all the time; rolled back");
@@ -192,7 +198,7 @@
 	}
 }
 
-/* The first pipeline. */
+/* Sends the first pipeline. */
 static void start(struct run *run, uint64_t now_us)
 {
 	const struct request *r = run->request;
@@ -217,9 +223,10 @@
 }
 
 /*
- * Whether a COMMIT that failed with this SQLSTATE left nothing behind, by its
- * class: a constraint, a conflict, a server that may not write. Of the others
- * (a lost connection, an internal error, "completion unknown") nothing is sure.
+ * Whether it is certain that a COMMIT with this SQLSTATE committed nothing. The
+ * class shows it: a constraint, a conflict, a server that may not write. After
+ * other errors (a lost connection, an internal error, "completion unknown") the
+ * outcome isn't certain.
  */
 static bool commit_refused(const struct upstream_result *result)
 {
@@ -227,7 +234,7 @@
 					       "40", "42", "P0" };
 	size_t i;
 
-	if (is_state(result, "40003"))
+	if (has_sqlstate(result, "40003"))
 		return false;
 	for (i = 0; i < G_N_ELEMENTS(classes); i++) {
 		if (!strncmp(result->sqlstate, classes[i], 2))
@@ -236,8 +243,12 @@
 	return false;
 }
 
-/* The steps of the second pipeline, as far as they are done. */
-enum commit_steps { COMMIT_NOTHING, COMMIT_FINISHED, COMMIT_COMMITTED };
+/* How many steps of the second pipeline are done. */
+enum commit_step {
+	COMMIT_STEP_NONE,
+	COMMIT_STEP_OUTCOME_ROW,
+	COMMIT_STEP_COMMIT
+};
 
 static void on_commit_error(struct run *run, struct conn *c,
 			    const struct upstream_result *result,
@@ -247,18 +258,18 @@
 
 	if (!run->group->guards.outcome_key)
 		done++;
-	if (done >= COMMIT_COMMITTED ||
-	    (done == COMMIT_FINISHED && !commit_refused(result))) {
+	if (done >= COMMIT_STEP_COMMIT ||
+	    (done == COMMIT_STEP_OUTCOME_ROW && !commit_refused(result))) {
 		settle_begin(run, now_us);
 		return;
 	}
-	if (done == COMMIT_FINISHED)
+	if (done == COMMIT_STEP_OUTCOME_ROW)
 		c->in_block = false;
-	if (is_state(result, STATE_READ_ONLY)) {
+	if (has_sqlstate(result, STATE_READ_ONLY)) {
 		on_deposed(run, result, now_us);
 		return;
 	}
-	if (is_state(result, STATE_SERIALIZATION)) {
+	if (has_sqlstate(result, STATE_SERIALIZATION)) {
 		retry_or_refuse(run, result, now_us);
 		return;
 	}
@@ -273,9 +284,10 @@
 	       (p.term == c->commit.term && p.index > c->commit.index);
 }
 
-/* The position of the commit; false when nothing new was committed. */
-static bool take_position(struct conn *c, const struct upstream_result *result,
-			  struct position *p)
+/* Reads the commit's position; false when nothing new was committed. */
+static bool read_commit_position(struct conn *c,
+				 const struct upstream_result *result,
+				 struct position *p)
 {
 	if (!result->last_row ||
 	    !position_parse(str_from_c(result->last_row[0]), p))
@@ -300,7 +312,7 @@
 		on_commit_error(run, c, result, now_us);
 		return;
 	}
-	if (!take_position(c, result, &p) || s->index < 0) {
+	if (!read_commit_position(c, result, &p) || s->index < 0) {
 		settle_begin(run, now_us);
 		return;
 	}
@@ -315,8 +327,9 @@
 }
 
 /*
- * The second pipeline. From here on the write may be done, until the answer,
- * a majority or the outcome table tells.
+ * Sends the second pipeline. From here on the write may be committed, and the
+ * outcome is uncertain until the answer and a majority, or the outcome table,
+ * show it.
  */
 void write_send_commit(struct run *run, uint64_t now_us)
 {
@@ -334,7 +347,7 @@
 	}
 	conn_step(c, SQL_COMMIT, false);
 	conn_step(c, SQL_COMMIT_POSITION, false);
-	conn_send(c, 0, MIN(left_us / 2, COMMIT_PATIENCE_US), on_commit, run,
+	conn_send(c, 0, MIN(left_us / 2, COMMIT_TIMEOUT_US), on_commit, run,
 		  now_us);
 	g_string_free(summary, TRUE);
 }
@@ -369,8 +382,9 @@
 }
 
 /*
- * The key stands already: reads its row, with the position at which it was
- * seen, on the same connection. Nothing of this try was run.
+ * The key is in the outcome table already, so no statement of this attempt was
+ * run: reads the key's row on the same connection, with the position at which
+ * it was seen.
  */
 void write_read_outcome(struct run *run, uint64_t now_us)
 {
