--- a/packages/core/src/group_read.c
+++ b/packages/core/src/group_read.c
@@ -90,8 +90,8 @@
 
 static bool is_conflict(const struct upstream_result *result)
 {
-	return !strcmp(result->sqlstate, STATE_SERIALIZATION) ||
-	       !strcmp(result->sqlstate, STATE_DEADLOCK);
+	return !strcmp(result->sqlstate, SQLSTATE_SERIALIZATION) ||
+	       !strcmp(result->sqlstate, SQLSTATE_DEADLOCK);
 }
 
 static void on_error(struct run *run, const struct upstream_result *result,
--- a/packages/core/src/group_route.c
+++ b/packages/core/src/group_route.c
@@ -9,7 +9,7 @@
 #define MAX_WAITING 1024
 /* The time after which a refused caller is advised to retry. */
 #define RETRY_AFTER_US (1 * USEC_PER_SEC)
-/* A write that waits until the outcome table is prepared is routed again. */
+/* A write that waits for the outcome table is routed again after this. */
 #define PREPARE_RECHECK_US (5 * USEC_PER_MSEC)
 /* Delay before a run that may not start where it was queued is routed again. */
 #define REROUTE_DELAY_US (1 * USEC_PER_MSEC)
--- a/packages/core/src/group_run.c
+++ b/packages/core/src/group_run.c
@@ -109,7 +109,7 @@
 		conn_close(c);
 }
 
-/* Releases the slot, and the connection after its session state is reset. */
+/* Releases the slot and the connection, whose session state is then reset. */
 void run_detach(struct run *run, uint64_t now_us)
 {
 	struct conn *c = run->conn;
--- a/packages/core/src/group_sql.h
+++ b/packages/core/src/group_sql.h
@@ -58,10 +58,10 @@
 
 /* SQLSTATEs on which the handling of an error depends. */
 #define STATE_DUPLICATE_KEY "23505"
-#define STATE_READ_ONLY "25006"
-#define STATE_SERIALIZATION "40001"
-#define STATE_DEADLOCK "40P01"
-#define STATE_TOO_MANY "53300"
+#define SQLSTATE_READ_ONLY "25006"
+#define SQLSTATE_SERIALIZATION "40001"
+#define SQLSTATE_DEADLOCK "40P01"
+#define SQLSTATE_TOO_MANY "53300"
 
 /*
  * Whether the statement would begin, end or divide a transaction (savepoints),
--- a/packages/core/src/group_txn.c
+++ b/packages/core/src/group_txn.c
@@ -15,7 +15,7 @@
 
 /* A commit isn't sent with less time than this left. */
 #define COMMIT_MIN_REMAINING_US (20 * USEC_PER_MSEC)
-/* Advice for callers that are refused because too many are open. */
+/* When a caller refused for too many long transactions should retry. */
 #define PINNED_RETRY_AFTER_US (1 * USEC_PER_SEC)
 /* Long transactions may hold at most the server's slots divided by this. */
 #define PINNED_SLOTS_DIVISOR 2
--- a/packages/core/src/group_write.c
+++ b/packages/core/src/group_write.c
@@ -148,13 +148,13 @@
 
 	if (at_key && has_sqlstate(result, STATE_DUPLICATE_KEY)) {
 		write_read_outcome(run, now_us);
-	} else if (has_sqlstate(result, STATE_READ_ONLY)) {
+	} else if (has_sqlstate(result, SQLSTATE_READ_ONLY)) {
 		on_deposed(run, result, now_us);
 	} else if (at_key) {
 		run->server->outcome_term = 0;
 		retry_or_refuse(run, result, now_us);
-	} else if (has_sqlstate(result, STATE_SERIALIZATION) ||
-		   has_sqlstate(result, STATE_DEADLOCK)) {
+	} else if (has_sqlstate(result, SQLSTATE_SERIALIZATION) ||
+		   has_sqlstate(result, SQLSTATE_DEADLOCK)) {
 		retry_or_refuse(run, result, now_us);
 	} else {
 		write_roll_back(run, run_statement_error(result), now_us);
@@ -265,11 +265,11 @@
 	}
 	if (done == COMMIT_STEP_OUTCOME_ROW)
 		c->in_block = false;
-	if (has_sqlstate(result, STATE_READ_ONLY)) {
+	if (has_sqlstate(result, SQLSTATE_READ_ONLY)) {
 		on_deposed(run, result, now_us);
 		return;
 	}
-	if (has_sqlstate(result, STATE_SERIALIZATION)) {
+	if (has_sqlstate(result, SQLSTATE_SERIALIZATION)) {
 		retry_or_refuse(run, result, now_us);
 		return;
 	}
--- a/packages/core/src/route.c
+++ b/packages/core/src/route.c
@@ -1,13 +1,13 @@
 #include <celeryquay/core/route.h>
 
-/* Time from the choice to the statement's snapshot, besides the queue. */
+/* Time from the choice to the statement's snapshot, beyond the queue's wait. */
 #define SNAPSHOT_MARGIN_US (2 * USEC_PER_MSEC)
 /* Bounds of the time after which a waiting request is routed again. */
 #define RECHECK_MIN_US 500ULL
 #define RECHECK_MAX_US (10 * USEC_PER_MSEC)
 /* A read that would wait longer for a replica may go to an idle primary. */
 #define PRIMARY_OFFLOAD_WAIT_US (500 * USEC_PER_MSEC)
-/* A read that waits for the primary's confirmation is routed again after it. */
+/* A read waiting for the primary's confirmation is routed again after this. */
 #define CONFIRM_RECHECK_US (1 * USEC_PER_MSEC)
 
 /* The inputs of one choice, and its result. */
