--- a/packages/core/src/group_txn.c
+++ b/packages/core/src/group_txn.c
@@ -133,9 +133,9 @@
 
 /*
  * Answers a request within a transaction. Guards against a session with a
- * position that a failover then removes: a position seen on the primary is
- * returned once a majority has it, see run_confirm(). The transaction is open
- * by then, so the request can't be retried from the start.
+ * position that a failover then removes: the answer with a position seen on the
+ * primary waits for a majority to have it, as long as run_confirm() allows. The
+ * transaction is open by then, so the request can't be retried from the start.
  */
 static void answer_with_position(struct run *run, struct answer *reply,
 				 struct position seen, uint64_t now_us)
