--- a/packages/core/include/celeryquay/core/types.h
+++ b/packages/core/include/celeryquay/core/types.h
@@ -1,7 +1,7 @@
 #ifndef CELERYQUAY_CORE_TYPES_H
 #define CELERYQUAY_CORE_TYPES_H
 
-/* Small value types that all decisions share. Times are microseconds. */
+/* Value types shared by all modules of the core. Times are in microseconds. */
 
 #include <celeryquay/base/err.h>
 #include <celeryquay/base/str.h>
@@ -11,23 +11,25 @@
 #define USEC_PER_MSEC UINT64_C(1000)
 #define USEC_PER_SEC UINT64_C(1000000)
 
-/* A place in a database's log; term 0 is "nowhere yet". */
+/* A position in a database's replication log. Term 0: no position known. */
 struct position {
 	uint64_t term;
 	uint64_t index;
 };
 
-/* Where a term begins in a log. */
+/* A term of a log and the index of the first entry written in it. */
 struct history_entry {
 	uint64_t term;
 	uint64_t start;
 };
 
+/* The number of terms kept of a log's history. */
 #define HISTORY_MAX 64
 
 /*
- * The terms of a log, oldest first. A log with more terms than fit keeps the
- * newest; a position before the first entry counts as part of the history.
+ * The terms of a log, oldest first. Of a log with more terms than fit, the
+ * newest are kept; a position before the first kept entry counts as part of
+ * the history if its term is older, see history_has().
  */
 struct history {
 	unsigned count;
@@ -36,27 +38,27 @@
 
 enum server_role { ROLE_UNKNOWN, ROLE_REPLICA, ROLE_PRIMARY };
 
-/* What a server says of itself: the answer to cq_status(). */
+/* A server's own report of its state: the answer to cq_status(). */
 struct server_status {
-	char name[64]; /* as the server calls itself */
-	uint64_t term;
+	char name[64]; /* the server's own name, from its configuration */
+	uint64_t term; /* the term that it leads or follows */
 	enum server_role role;
-	bool fenced;
-	bool leaving;
-	bool granted_ok;
-	uint64_t granted;
-	char holder[64];
-	uint64_t received;
-	uint64_t applied;
+	bool fenced; /* it granted a term above its own */
+	bool leaving; /* it is marked as about to be taken out of service */
+	bool granted_ok; /* the grant, promote or follow call was accepted */
+	uint64_t granted; /* the highest term that it granted */
+	char holder[64]; /* the proxy to which it granted that term */
+	uint64_t received; /* index of the last log entry received */
+	uint64_t applied; /* index of the last log entry applied */
 	struct history history;
-	char following[64];
-	unsigned connections;
-	unsigned connection_limit;
+	char following[64]; /* name of the server it replicates from, or "" */
+	unsigned connections; /* client connections open now */
+	unsigned connection_limit; /* the most it accepts */
 };
 
-/* Whether a log with this history has the position in it. */
+/* Whether a log with this history contains the position. */
 bool history_has(const struct history *h, struct position p);
-/* The term of the entry at an index, 0 when before what is kept. */
+/* The term of the entry at an index; 0 if it precedes the kept history. */
 uint64_t history_term_at(const struct history *h, uint64_t index);
 
 #endif
--- a/packages/core/src/types.c
+++ b/packages/core/src/types.c
@@ -1,6 +1,6 @@
 #include <celeryquay/core/types.h>
 
-/* The term of the entry at an index, 0 when before what is kept. */
+/* The term of the entry at an index; 0 if it precedes the kept history. */
 uint64_t history_term_at(const struct history *h, uint64_t index)
 {
 	unsigned i;
@@ -13,10 +13,10 @@
 }
 
 /*
- * Whether a log with this history has the position in it, as far as the
- * history can tell: how far the log goes is the caller's to compare. Terms only
- * rise along a log, so a position before the first entry that is kept can be
- * part of it only with an older term.
+ * Whether a log with this history contains the position, judged by terms only;
+ * the caller must compare the position with the end of the log itself. Terms
+ * only rise along a log, so a position before the first kept entry can be part
+ * of it only with an older term.
  */
 bool history_has(const struct history *h, struct position p)
 {
