--- a/packages/core/src/group.c
+++ b/packages/core/src/group.c
@@ -4,31 +4,36 @@
 #include <celeryquay/base/log.h>
 #include <string.h>
 
-#define RETENTION_S 86400
-#define RETRY_EARN 0.1
-#define RETRY_MAX 20.0
-/* A refusal of a home that stops or moves: another one is there soon. */
-#define MOVED_RETRY_AFTER_US (50 * USEC_PER_MSEC)
+/* Default of outcome_retention_us: keys are kept for a day. */
+#define OUTCOME_RETENTION_S 86400
+/* Each request earns a tenth of a retry; at most 20 are saved up. */
+#define RETRY_TOKENS_PER_REQUEST 0.1
+#define RETRY_TOKENS_MAX 20.0
+/*
+ * Advice in the refusal of a home that is stopping or is no home any more:
+ * another proxy takes over soon.
+ */
+#define NOT_HOME_RETRY_AFTER_US (50 * USEC_PER_MSEC)
 
-/* Times for servers that are at most a few milliseconds away. */
+/* The defaults suit servers at a distance of at most a few milliseconds. */
 void group_settings_default(struct group_settings *s)
 {
 	memset(s, 0, sizeof(*s));
 	failover_settings_default(&s->failover);
 	s->probe_interval_us = s->failover.probe_interval_us;
 	s->idle_transaction_us = 10 * USEC_PER_SEC;
-	s->outcome_retention_us = RETENTION_S * USEC_PER_SEC;
+	s->outcome_retention_us = OUTCOME_RETENTION_S * USEC_PER_SEC;
 	s->outcome_removals_per_s = 200;
 	s->homes = 2;
 }
 
-/* The switches of the guards, for tests. */
+/* The safety checks, for tests that switch single ones off. */
 struct group_guards *group_guards_of(struct group *g)
 {
 	return &g->guards;
 }
 
-/* The server in use with this index; NULL for -1. */
+/* The server in use with this index; NULL if there is none, as for -1. */
 struct server *group_server(struct group *g, int index)
 {
 	if (index < 0 || (unsigned)index >= g->n_active)
@@ -36,7 +41,7 @@
 	return g_ptr_array_index(g->servers, index);
 }
 
-/* The server that leads the present term, NULL when none is known to. */
+/* The primary of the present term; NULL if none is known. */
 struct server *group_primary(struct group *g)
 {
 	return group_server(g, fresh_primary(g->fresh));
@@ -48,13 +53,13 @@
 	return g->rank < MAX(g->settings.homes, 1);
 }
 
-/* Whether it is, or has something left from when it was. */
+/* Whether it is a home, or still has requests from when it was one. */
 bool group_is_serving(const struct group *g)
 {
 	return group_is_home(g) || !group_is_idle(g);
 }
 
-static void init_lists(struct group *g)
+static void init_tables(struct group *g)
 {
 	unsigned i;
 
@@ -71,7 +76,7 @@
 	g->servers = g_ptr_array_new();
 }
 
-/* A database as its home runs it; see group.h. */
+/* Creates the group of a database; see group.h. */
 struct group *group_create(const struct database_conf *conf,
 			   const struct group_settings *settings,
 			   const char *holder, struct upstream *upstream,
@@ -90,15 +95,16 @@
 	g->ctx = ctx;
 	g->rng = rng;
 	memset(&g->guards, true, sizeof(g->guards));
-	retry_budget_init(&g->retries, RETRY_EARN, RETRY_MAX);
-	init_lists(g);
+	retry_budget_init(&g->retries, RETRY_TOKENS_PER_REQUEST,
+			  RETRY_TOKENS_MAX);
+	init_tables(g);
 	g->conns = conn_pool_create(upstream, ops, &server_conn_events, g);
 	group_reconfigure(g, conf, now_us);
 	return g;
 }
 
-/* Leaves every queue, without an answer. */
-static void drop_runs(struct group *g)
+/* Frees all requests without an answer. */
+static void destroy_runs(struct group *g)
 {
 	unsigned i;
 
@@ -116,14 +122,14 @@
 	}
 }
 
-/* Closes everything at once. Requests that are not answered stay so. */
+/* Closes all connections at once. Open requests are never answered. */
 void group_destroy(struct group *g)
 {
 	guint i;
 
 	if (!g)
 		return;
-	drop_runs(g);
+	destroy_runs(g);
 	g_hash_table_destroy(g->by_request);
 	g_hash_table_destroy(g->txns);
 	g_queue_clear(&g->unknown_order);
@@ -145,7 +151,7 @@
 	g_free(g);
 }
 
-/* A new rank changes what share of the connections this home may have. */
+/* Sets the rank, on which this home's share of the connections depends. */
 void group_set_rank(struct group *g, unsigned rank, uint64_t now_us)
 {
 	unsigned i;
@@ -182,7 +188,7 @@
 	}
 }
 
-/* Whether a statement would end its transaction; then nothing is run. */
+/* Refuses a request with a statement that would begin or end a transaction. */
 static bool refuse_control(struct run *run)
 {
 	const struct request *r = run->request;
@@ -202,17 +208,18 @@
 }
 
 /*
- * Guards against a false "not run" while a changed profile spreads: the entry
- * took the request for a read and may tell it as not run when no answer comes
- * in time, so it must not be run as a write. It is sent again, and the entry
- * hears of the change meanwhile.
+ * Whether the profile was changed from read to write and the entry proxy does
+ * not know it yet. The entry then takes the request for a read and may answer
+ * "not run" when no answer comes in time, which would be false if it ran here
+ * as a write. The request is refused instead; the entry sends it again and
+ * receives the changed profile in the meantime.
  */
-static bool is_newer_profile(const struct run *run)
+static bool profile_became_write(const struct run *run)
 {
 	return run->request->read_only && run->profile->access == ACCESS_WRITE;
 }
 
-/* What can be refused without a look at any server. */
+/* Refuses what needs no server's state to be refused. */
 static bool refuse_early(struct run *run)
 {
 	struct group *g = run->group;
@@ -220,23 +227,24 @@
 		      run->request->kind == REQUEST_BEGIN;
 
 	if (is_new && g->stopping) {
-		run_fail(run, ERR_STOPPING, MOVED_RETRY_AFTER_US,
+		run_fail(run, ERR_STOPPING, NOT_HOME_RETRY_AFTER_US,
 			 "this proxy is stopping");
 		return true;
 	}
 	if (!group_is_home(g) && is_new) {
-		run_fail(run, ERR_NO_HOME, MOVED_RETRY_AFTER_US,
+		run_fail(run, ERR_NO_HOME, NOT_HOME_RETRY_AFTER_US,
 			 "the home of this database is elsewhere now");
 		return true;
 	}
-	if (is_new && is_newer_profile(run)) {
-		run_fail(run, ERR_NO_HOME, MOVED_RETRY_AFTER_US,
-			 "the profile writes now, and did not at the entry");
+	if (is_new && profile_became_write(run)) {
+		run_fail(run, ERR_NO_HOME, NOT_HOME_RETRY_AFTER_US,
+			 "the profile allows writes, but not yet at the entry");
 		return true;
 	}
 	return refuse_control(run);
 }
 
+/* Sets the outcome key, and whether another try may have used it before. */
 static void set_key(struct run *run)
 {
 	const struct request *r = run->request;
@@ -248,16 +256,16 @@
 	} else {
 		run->key = outcome_key(r->caller, r->key);
 	}
-	if (unknown_has(run->group, run->key))
+	if (unknown_key_has(run->group, run->key))
 		run->sent_before = true;
 	if (run->type != &write_type)
 		return;
 	run->key_entered = true;
-	if (unknown_enter(run->group, run->key))
+	if (running_key_add(run->group, run->key))
 		run->sent_before |= run->group->guards.settle_resends;
 }
 
-/* Takes a request in; see group.h. */
+/* Accepts a request; see group.h. */
 void group_run(struct group *g, struct request *request,
 	       const struct profile *profile, unsigned caller_share,
 	       group_answer_fn answer, void *user, uint64_t now_us)
@@ -275,12 +283,13 @@
 	else if (type == &txn_type || type == &commit_type)
 		txn_run(run, now_us);
 	else
-		group_work(g, now_us);
+		group_process(g, now_us);
 }
 
 /*
- * The caller is gone. What did not begin is dropped with an answer nobody
- * reads; what runs is left to end, since its outcome must be settled anyway.
+ * The caller disconnected. A request that has not started is dropped, with an
+ * answer that nobody reads; a running one is left to end, since its outcome
+ * must be settled anyway.
  */
 void group_cancel(struct group *g, struct request *request, uint64_t now_us)
 {
@@ -292,7 +301,7 @@
 	run_answer(run, answer_error(ERR_DEADLINE, "the caller is gone"));
 }
 
-/* A planned change of the primary, to a server by its name. */
+/* Starts a planned change of the primary to the named server. */
 bool group_move_primary(struct group *g, const char *server, uint64_t now_us,
 			struct err *err)
 {
@@ -314,16 +323,19 @@
 		struct server *s = group_server(g, (int)i);
 
 		if (!group_is_serving(g)) {
-			server_let_go(s);
+			server_close_unused(s);
 			continue;
 		}
 		probe_tick(s, now_us);
 		server_tick(s, now_us);
 	}
-	conf_sweep(g);
+	conf_free_removed(g);
 }
 
-/* The first home makes a new primary ready before the first write comes. */
+/*
+ * The first home creates the outcome table on a new primary ahead of the first
+ * write.
+ */
 static void prepare_primary(struct group *g, uint64_t now_us)
 {
 	struct server *s = group_primary(g);
@@ -333,8 +345,8 @@
 		server_prepare(s, now_us);
 }
 
-/* The systems, in the order in which one's results feed the next. */
-void group_work(struct group *g, uint64_t now_us)
+/* Runs all processing steps, ordered so that each uses the previous results. */
+void group_process(struct group *g, uint64_t now_us)
 {
 	g->again = false;
 	prepare_primary(g, now_us);
@@ -346,7 +358,7 @@
 	g->news = false;
 }
 
-/* What is due by time alone, then the systems, then the answers. */
+/* Does what is due by time, then all processing steps, then the answers. */
 void group_tick(struct group *g, uint64_t now_us)
 {
 	conn_pool_expire(g->conns, now_us);
@@ -354,10 +366,11 @@
 		failover_tick(g->failover, now_us);
 	txn_tick(g, now_us);
 	clean_tick(g, now_us);
-	group_work(g, now_us);
+	group_process(g, now_us);
 	run_flush(g);
 }
 
+/* The next time at which a request needs work; 0: at once. */
 static uint64_t runs_next_us(const struct group *g)
 {
 	uint64_t next_us = UINT64_MAX;
@@ -380,7 +393,10 @@
 	return next_us;
 }
 
-/* What only a home does: failover, cleaning, making a primary ready. */
+/*
+ * When the work that only a home does is due: failover, removal of outcomes,
+ * creation of the outcome table.
+ */
 static uint64_t home_next_us(const struct group *g)
 {
 	const struct server *primary = group_primary((struct group *)g);
@@ -389,14 +405,14 @@
 	next_us = MIN(next_us, g->clean_after_us);
 	if (primary && !primary->preparing &&
 	    primary->outcome_term != fresh_term(g->fresh))
-		next_us = MIN(next_us, primary->prepare_after_us);
+		next_us = MIN(next_us, primary->prepare_retry_at_us);
 	return next_us;
 }
 
 /*
- * The earliest time at which something is due. 0: at once. Guards against
- * writes that hang at a home that has moved away: the servers are asked until
- * the last of its requests has its majority, not only while it is a home.
+ * The earliest time at which something is due; 0: at once. A proxy that is no
+ * home any more goes on probing the servers until the last of its requests is
+ * answered; else its writes would wait for their majority until the deadline.
  */
 uint64_t group_next_tick_us(const struct group *g)
 {
@@ -428,14 +444,14 @@
 	return conn_pool_owns(g->conns, id);
 }
 
-/* An event came: the systems go on from it, then the answers are told. */
+/* Runs the processing steps after an event and delivers the answers. */
 static void after_event(struct group *g, uint64_t now_us)
 {
-	group_work(g, now_us);
+	group_process(g, now_us);
 	run_flush(g);
 }
 
-/* An opening ended. */
+/* A connection was opened, or could not be. */
 void group_on_opened(struct group *g, conn_id id, const struct err *err,
 		     uint64_t now_us)
 {
@@ -443,7 +459,7 @@
 	after_event(g, now_us);
 }
 
-/* A run ended. */
+/* A pipeline ended. */
 void group_on_done(struct group *g, conn_id id, struct upstream_result *result,
 		   uint64_t now_us)
 {
@@ -451,7 +467,7 @@
 	after_event(g, now_us);
 }
 
-/* A connection broke. */
+/* An idle connection was lost. */
 void group_on_lost(struct group *g, conn_id id, const struct err *err,
 		   uint64_t now_us)
 {
@@ -459,7 +475,7 @@
 	after_event(g, now_us);
 }
 
-/* Nothing new; what was begun, long transactions too, goes on to its end. */
+/* Refuses new requests; those begun, also long transactions, go on. */
 void group_stop(struct group *g, uint64_t now_us)
 {
 	(void)now_us;
@@ -472,13 +488,13 @@
 	return !g_hash_table_size(g->by_request) && !g_hash_table_size(g->txns);
 }
 
-/* The counts since the group was made. */
+/* The counters since the group was created. */
 const struct group_counts *group_counts(const struct group *g)
 {
 	return &g->counts;
 }
 
-/* What is known of the servers' ages. */
+/* What is known of the age of the servers' data. */
 const struct fresh *group_fresh(const struct group *g)
 {
 	return g->fresh;
--- a/packages/core/src/group_clean.c
+++ b/packages/core/src/group_clean.c
@@ -3,15 +3,25 @@
 
 #include <celeryquay/base/log.h>
 
+/* Between two removals while old rows are left. */
 #define CLEAN_INTERVAL_US (1 * USEC_PER_SEC)
-/* When nothing old was left, or a removal failed. */
-#define CLEAN_PAUSE_US (60 * USEC_PER_SEC)
+/* After a removal that left no old rows, or failed. */
+#define CLEAN_IDLE_INTERVAL_US (60 * USEC_PER_SEC)
 #define CLEAN_TIMEOUT_US (5 * USEC_PER_SEC)
-/* Marks per retention: a row is kept by up to this part of it longer. */
-#define MARKS 24
-/* A home's news of the primary is younger, or it claims no key there. */
-#define NEWS_SLACK_US (60 * USEC_PER_SEC)
-/* Above all ms since 1970; the log's index is added. */
+/*
+ * Marks made per retention time. A row is kept longer than the retention by up
+ * to the time between two marks.
+ */
+#define MARKS_PER_RETENTION 24
+/*
+ * Upper bound of the age of the status from which a home takes the "at" of the
+ * keys that it inserts; a home with an older one inserts none.
+ */
+#define CLAIM_STATUS_AGE_MAX_US (60 * USEC_PER_SEC)
+/*
+ * Added to a log index to give a row's "at". It is above every time in
+ * milliseconds since 1970, see clean_row_at().
+ */
 #define ROW_AT_BASE ((int64_t)1 << 53)
 
 static void on_cleaned(void *user, struct conn *c,
@@ -20,34 +30,35 @@
 	struct server *s = user;
 	struct group *g = s->group;
 	uint64_t removed = 0;
-	bool noted;
+	bool commit_known;
 
 	g->cleaning = false;
-	g->clean_after_us = now_us + CLEAN_PAUSE_US;
+	g->clean_after_us = now_us + CLEAN_IDLE_INTERVAL_US;
 	if (!result->conn_usable)
 		return;
 	server_heard(s, c->started_us, now_us);
-	noted = server_note_commit(c, result);
-	if (noted) {
-		g->clean_term = fresh_term(g->fresh);
+	commit_known = server_record_commit(c, result);
+	if (commit_known) {
+		g->outcome_index_term = fresh_term(g->fresh);
 		removed = outcome_rows_affected(result->results);
 	} else {
-		LOG_WARN("%s: old outcomes are not removed: %s", g->label,
+		LOG_WARN("%s: old outcomes could not be removed: %s", g->label,
 			 result->err.message);
 	}
 	g->counts.outcome_rows_removed += removed;
 	if (removed >= g->settings.outcome_removals_per_s)
 		g->clean_after_us = now_us + CLEAN_INTERVAL_US;
-	if (noted || result->steps_done < g->clean_commit_step)
+	if (commit_known || result->steps_done < g->clean_commit_step)
 		server_give(c, now_us);
 	else
 		conn_close(c);
 }
 
 /*
- * What the row of a key that is claimed now at the primary has as "at": where
- * the primary's log was, as far as this home knows, above every time in ms that
- * an older version wrote. Not known: the row stays.
+ * The value of "at" for a key that is inserted now at the primary: the end of
+ * the primary's log as far as this home knows it, plus a base above every time
+ * in milliseconds that an older version wrote there. If it is not known, the
+ * greatest value, with which the row is never removed.
  */
 int64_t clean_row_at(const struct server *s)
 {
@@ -59,14 +70,15 @@
 	return st ? ROW_AT_BASE + (int64_t)st->received : INT64_MAX;
 }
 
-/* Notes where the log is now, a few times per retention. */
+/* Makes a mark at the end of the log, a few times per retention time. */
 static void note_mark(struct group *g, const struct server *primary,
 		      uint64_t now_us)
 {
 	const struct server_status *st =
 		fresh_status(g->fresh, (unsigned)primary->index);
 	struct clean_mark *last = g_queue_peek_tail(&g->clean_marks);
-	uint64_t gap_us = g->settings.outcome_retention_us / MARKS;
+	uint64_t gap_us =
+		g->settings.outcome_retention_us / MARKS_PER_RETENTION;
 
 	if (!st || (last && now_us < last->us + gap_us))
 		return;
@@ -77,21 +89,23 @@
 }
 
 /*
- * Rows whose "at" is below this are not kept any more. Guards against clocks
- * that are wrong or are set: a home a day ahead removed keys in use, and their
- * repeats ran twice. No wall clock is asked: a row below a mark was claimed
- * before the mark was made (or a moment later, by a home that had older news),
- * and the home's own monotonic clock tells how long that is ago. A mark whose
- * position a failover took out of the log says nothing of the rows that came
- * in its place. A home that starts waits a whole retention: keys are kept
- * longer then, never shorter.
+ * Rows whose "at" is below the returned value may be removed. Wall clocks are
+ * not used, as they can be wrong or be set: a home whose clock is a day ahead
+ * would remove keys in use, and requests repeated under them would run twice.
+ * Instead, a row below a mark was inserted before the mark was made (or a
+ * moment later, by a home with an older status), and the home's monotonic clock
+ * tells how long ago that was. A mark whose position is no longer in the log
+ * after a failover says nothing about the rows that replaced it and is ignored.
+ * A home that starts has no marks and removes nothing for a whole retention
+ * time: keys are then kept longer, never shorter.
  */
-static int64_t removable(struct group *g, const struct server *primary,
-			 uint64_t now_us)
+static int64_t removable_before(struct group *g, const struct server *primary,
+				uint64_t now_us)
 {
 	const struct server_status *st =
 		fresh_status(g->fresh, (unsigned)primary->index);
-	uint64_t kept_us = g->settings.outcome_retention_us + NEWS_SLACK_US;
+	uint64_t kept_us =
+		g->settings.outcome_retention_us + CLAIM_STATUS_AGE_MAX_US;
 	int64_t before = 0;
 	GList *l;
 
@@ -107,10 +121,11 @@
 	return before;
 }
 
-/* Drops the marks that a newer one, as old as the retention, stands for. */
+/* Drops marks that are superseded by a newer one older than the retention. */
 static void drop_marks(struct group *g, uint64_t now_us)
 {
-	uint64_t kept_us = g->settings.outcome_retention_us + NEWS_SLACK_US;
+	uint64_t kept_us =
+		g->settings.outcome_retention_us + CLAIM_STATUS_AGE_MAX_US;
 
 	while (g->clean_marks.length > 1) {
 		const struct clean_mark *next = g->clean_marks.head->next->data;
@@ -130,12 +145,12 @@
 	c->in_block = true;
 	conn_begin(c);
 	conn_step(c, SQL_BEGIN, false);
-	if (g->clean_term != fresh_term(g->fresh)) {
+	if (g->outcome_index_term != fresh_term(g->fresh)) {
 		conn_step(c, SQL_OUTCOME_INDEX, false);
 		g->clean_commit_step++;
 	}
 	conn_step(c, SQL_OUTCOME_REMOVE, true);
-	conn_param_int(c, removable(g, s, now_us));
+	conn_param_int(c, removable_before(g, s, now_us));
 	conn_param_int(c, (int64_t)g->settings.outcome_removals_per_s);
 	conn_step(c, SQL_COMMIT, false);
 	conn_step(c, SQL_COMMIT_POSITION, false);
@@ -143,9 +158,9 @@
 }
 
 /*
- * Removes outcome rows whose retention is over, at a bounded rate and only
- * from an otherwise idle primary. Only the first home does, so that the homes
- * don't wait for each other's locks.
+ * Removes outcome rows whose retention time is over, at a bounded rate and only
+ * while no request is queued at the primary. Only the first home does it, so
+ * that the homes don't wait for each other's locks.
  */
 void clean_tick(struct group *g, uint64_t now_us)
 {
--- a/packages/core/src/group_conf.c
+++ b/packages/core/src/group_conf.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-/* The group's servers as the operators configure them. */
+/* Applies the configuration of the group's servers. */
 
-static void copy_names(struct group *g, const struct database_conf *conf)
+static void copy_database_conf(struct group *g,
+			       const struct database_conf *conf)
 {
 	g_free(g->user);
 	g_free(g->dbname);
@@ -13,8 +14,11 @@
 	g->reserve = conf->reserve;
 }
 
-/* New freshness and failover for the servers in use, by their indexes. */
-static void watch_servers(struct group *g, uint64_t now_us)
+/*
+ * Creates freshness and failover anew, as both know the servers in use by
+ * index, and forgets what was known before.
+ */
+static void reset_tracking(struct group *g, uint64_t now_us)
 {
 	unsigned i;
 
@@ -22,7 +26,7 @@
 	failover_destroy(g->failover);
 	g->hold_writes = false;
 	g->lag_since_us = 0;
-	g->created_us = now_us;
+	g->tracking_started_us = now_us;
 	g->fresh = fresh_create(g->n_active);
 	g->failover = failover_create(&g->settings.failover, g->n_active,
 				      g->holder, &group_failover_ops, g, g->rng,
@@ -32,14 +36,14 @@
 
 		s->index = (int)i;
 		probe_forget_calls(s);
-		s->probe_wanted = s->probe_urgent = true;
+		s->probe_requested = s->probe_urgent = true;
 		failover_set_name(g->failover, i, s->name);
 		failover_set_leaving(g->failover, i, s->leaving);
 	}
 	failover_set_rank(g->failover, g->rank);
 }
 
-/* The server in use with this name, NULL: none. */
+/* The server in use with this name; NULL if there is none. */
 struct server *conf_find_server(struct group *g, const char *name)
 {
 	guint i;
@@ -53,13 +57,13 @@
 	return NULL;
 }
 
-/* Takes a server out: no new work; its connections go as they get idle. */
+/* Removes a server: no new requests; connections are closed when idle. */
 static void remove_server(struct server *s, uint64_t now_us)
 {
 	route_leave_server(s, false, now_us);
 	s->removed = true;
 	s->index = -1;
-	server_let_go(s);
+	server_close_unused(s);
 }
 
 static bool same_address(const struct server *s, const struct server_conf *conf)
@@ -68,13 +72,14 @@
 }
 
 /*
- * The server of this name that goes on. One that moved to another address is
- * taken out and made anew: its connections lead to the old place, and what is
- * known of it is of the old process.
+ * Returns the existing server of this name with the new configuration, or a new
+ * one. If its address changed, the existing one is removed and created anew:
+ * its connections lead to the old address, and what is known of it belongs to
+ * the process there.
  */
-static struct server *keep_server(struct group *g,
-				  const struct server_conf *conf,
-				  uint64_t now_us)
+static struct server *reuse_or_create_server(struct group *g,
+					     const struct server_conf *conf,
+					     uint64_t now_us)
 {
 	struct server *s = conf_find_server(g, conf->name);
 
@@ -99,8 +104,8 @@
 }
 
 /*
- * Puts the servers in the order of the configuration, those that are removed
- * behind them. True when others are in use than before.
+ * Puts the servers in the order of the configuration, followed by the removed
+ * ones. True if the servers in use or their order changed.
  */
 static bool reorder_servers(struct group *g, const struct database_conf *conf,
 			    uint64_t now_us)
@@ -111,7 +116,8 @@
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		struct server *s = keep_server(g, &conf->servers[i], now_us);
+		struct server *s =
+			reuse_or_create_server(g, &conf->servers[i], now_us);
 
 		changed |= s->index != (int)i;
 		g_ptr_array_add(order, s);
@@ -132,17 +138,18 @@
 }
 
 /*
- * The operators changed the database. What is known of the servers starts anew
- * when others are in use; the runs and the connections go on.
+ * Applies a changed configuration. If the servers in use changed, freshness and
+ * failover are created anew. Requests and the connections of servers that stay
+ * in use are kept.
  */
 void group_reconfigure(struct group *g, const struct database_conf *conf,
 		       uint64_t now_us)
 {
 	unsigned i;
 
-	copy_names(g, conf);
+	copy_database_conf(g, conf);
 	if (reorder_servers(g, conf, now_us)) {
-		watch_servers(g, now_us);
+		reset_tracking(g, now_us);
 	} else {
 		for (i = 0; i < g->n_active; i++)
 			failover_set_leaving(g->failover, i,
@@ -152,16 +159,17 @@
 	g->again = true;
 }
 
-/* Frees the servers that were taken out and have no connection left. */
-void conf_sweep(struct group *g)
+/* Frees the removed servers that have no connection left. */
+void conf_free_removed(struct group *g)
 {
 	guint i = g->n_active;
 
 	while (i < g->servers->len) {
 		struct server *s = g_ptr_array_index(g->servers, i);
 
-		server_let_go(s);
-		if (s->work.length || s->probe || s->news || s->pinned) {
+		server_close_unused(s);
+		if (s->work_conns.length || s->probe || s->long_poll ||
+		    s->pinned) {
 			i++;
 			continue;
 		}
--- a/packages/core/src/group_confirm.c
+++ b/packages/core/src/group_confirm.c
@@ -13,15 +13,15 @@
 }
 
 /*
- * Another primary leads by now: the position may be lost with the old one, and
- * what the old one told proves nothing.
+ * Whether another primary leads a later term. The position may be lost together
+ * with the old primary, and what that one reported proves nothing.
  */
-static bool is_overtaken(const struct run *run)
+static bool is_superseded(const struct run *run)
 {
 	return fresh_term(run->group->fresh) > run->position.term;
 }
 
-static void tell(struct run *run)
+static void send_reply(struct run *run)
 {
 	struct answer *reply = run->reply;
 
@@ -29,7 +29,7 @@
 	run_answer(run, reply);
 }
 
-/* A write without its majority by the deadline may be done or lost. */
+/* At the deadline; a write that no majority confirmed may be done or lost. */
 static void on_deadline(struct run *run)
 {
 	if (run->type->writes) {
@@ -39,8 +39,8 @@
 	run_fail(run, ERR_TIMED_OUT, 0, "the deadline passed");
 }
 
-/* A write is settled with the new primary, a read is tried again. */
-static void on_overtaken(struct run *run, uint64_t now_us)
+/* Settles a write with the new primary; retries a read. */
+static void on_superseded(struct run *run, uint64_t now_us)
 {
 	if (run->type->writes)
 		settle_begin(run, now_us);
@@ -58,20 +58,21 @@
 			on_deadline(run);
 			return;
 		}
-		if (is_overtaken(run)) {
-			on_overtaken(run, now_us);
+		if (is_superseded(run)) {
+			on_superseded(run, now_us);
 			return;
 		}
 		if (now_us < run->confirm_until_us)
 			return;
 	}
-	tell(run);
+	send_reply(run);
 }
 
 /*
- * Acknowledges what a majority has. Guards against acknowledging a write of an
- * isolated primary, which believes that it leads and commits as before: its
- * own word is one vote, and no replica that could be promoted has the write.
+ * Sends the answers whose position a majority has. Without this check a write
+ * could be acknowledged that was committed only by an isolated primary, which
+ * still takes itself for the leader: its report counts as one vote, and no
+ * replica that could be promoted has the write.
  */
 void confirm_all(struct group *g, uint64_t now_us)
 {
--- a/packages/core/src/group_failover.c
+++ b/packages/core/src/group_failover.c
@@ -4,21 +4,21 @@
 #include <celeryquay/base/log.h>
 
 /*
- * Failover asks from within its own functions, so these only queue: probes and
- * calls go out with the next tick of the servers, in the same turn.
+ * Failover calls these from within its own functions, so they only queue probes
+ * and calls. The next probe_tick() sends them, usually within the same event.
  */
 
-static void ask_probe(void *ctx, unsigned server)
+static void request_probe(void *ctx, unsigned server)
 {
 	struct group *g = ctx;
 	struct server *s = group_server(g, (int)server);
 
-	s->probe_wanted = s->probe_urgent = true;
+	s->probe_requested = s->probe_urgent = true;
 	g->again = true;
 }
 
-static void ask(struct group *g, unsigned server, enum failover_call kind,
-		uint64_t term, const char *name)
+static void queue_call(struct group *g, unsigned server,
+		       enum failover_call kind, uint64_t term, const char *name)
 {
 	struct server_call call = { .kind = kind, .term = term };
 
@@ -27,24 +27,25 @@
 	g->again = true;
 }
 
-static void ask_grant(void *ctx, unsigned server, uint64_t term,
-		      const char *holder)
+static void queue_grant(void *ctx, unsigned server, uint64_t term,
+			const char *holder)
 {
-	ask(ctx, server, CALL_GRANT, term, holder);
+	queue_call(ctx, server, CALL_GRANT, term, holder);
 }
 
-static void ask_promote(void *ctx, unsigned server, uint64_t term,
-			const char *holder)
+static void queue_promote(void *ctx, unsigned server, uint64_t term,
+			  const char *holder)
 {
-	ask(ctx, server, CALL_PROMOTE, term, holder);
+	queue_call(ctx, server, CALL_PROMOTE, term, holder);
 }
 
-static void ask_follow(void *ctx, unsigned server, uint64_t term,
-		       unsigned primary)
+static void queue_follow(void *ctx, unsigned server, uint64_t term,
+			 unsigned primary)
 {
 	struct group *g = ctx;
 
-	ask(g, server, CALL_FOLLOW, term, group_server(g, (int)primary)->name);
+	queue_call(g, server, CALL_FOLLOW, term,
+		   group_server(g, (int)primary)->name);
 }
 
 static void record(void *ctx, uint64_t term, unsigned primary,
@@ -58,7 +59,10 @@
 			       group_server(g, (int)primary)->name, holder);
 }
 
-/* Writes that are queued wait where a hold does not run out on them. */
+/*
+ * Holds new writes back. Queued ones are moved to the waiting requests when
+ * their turn comes, so that the queue does not expire them during the hold.
+ */
 static void hold_writes(void *ctx, bool hold)
 {
 	struct group *g = ctx;
@@ -76,6 +80,7 @@
 		     detail, NULL);
 }
 
+/* The number of writes that run or wait for their confirmation. */
 static unsigned running_writes(void *ctx)
 {
 	static const enum run_state states[] = { RUN_RUNNING, RUN_COMMITTING,
@@ -93,10 +98,10 @@
 }
 
 const struct failover_ops group_failover_ops = {
-	.probe = ask_probe,
-	.grant = ask_grant,
-	.promote = ask_promote,
-	.follow = ask_follow,
+	.probe = request_probe,
+	.grant = queue_grant,
+	.promote = queue_promote,
+	.follow = queue_follow,
 	.record = record,
 	.hold_writes = hold_writes,
 	.decision = decision,
--- a/packages/core/src/group_probe.c
+++ b/packages/core/src/group_probe.c
@@ -4,17 +4,28 @@
 #include <celeryquay/base/log.h>
 #include <string.h>
 
-#define NEWS_POLL_MS 1000
-#define NEWS_TIMEOUT_US (1500 * USEC_PER_MSEC)
-/* Between two probes for the same requests, which the first did not help. */
+/* How long the server holds a long poll without a change of positions. */
+#define LONG_POLL_MS 1000
+/* For the answer to a long poll; longer than LONG_POLL_MS. */
+#define LONG_POLL_TIMEOUT_US (1500 * USEC_PER_MSEC)
+/*
+ * The least time between two probes for the same requests, if the first one
+ * did not let them proceed.
+ */
 #define PROBE_GAP_US (5 * USEC_PER_MSEC)
-/* The same when the first one failed. */
-#define FAILED_GAP_US (50 * USEC_PER_MSEC)
-/* A majority that is silent, or behind, for so long confirms no write. */
+/* The same if the first one failed. */
+#define FAILED_PROBE_GAP_US (50 * USEC_PER_MSEC)
+/*
+ * No new write is started once no majority has answered, or has received the
+ * end of the primary's log, for this long.
+ */
 #define MAJORITY_STALE_US (1 * USEC_PER_SEC)
 
-/* What is known of the servers changed. */
-static void note_news(struct group *g, uint64_t now_us)
+/*
+ * Called after a new status: has waiting requests routed again, and measures
+ * how long the majority has lagged behind the primary's log.
+ */
+static void note_status_change(struct group *g, uint64_t now_us)
 {
 	int primary = fresh_primary(g->fresh);
 	const struct server_status *st;
@@ -34,19 +45,21 @@
 	}
 }
 
-/* Whether a majority was ever seen to stand behind the present primary. */
+/* Whether a majority ever confirmed the present primary. */
 bool probe_majority_known(struct group *g)
 {
 	return fresh_confirmed_us(g->fresh) != 0;
 }
 
 /*
- * Whether a write that is begun now would wait in vain: no majority answers,
- * or none received what the primary had long ago. An isolated primary shows so.
+ * Whether a write that is begun now could not be confirmed: no majority
+ * answers, or none has received what the primary had MAJORITY_STALE_US ago.
+ * This is what an isolated primary looks like.
  */
 bool probe_majority_stale(struct group *g, uint64_t now_us)
 {
-	uint64_t since_us = MAX(fresh_confirmed_us(g->fresh), g->created_us);
+	uint64_t since_us =
+		MAX(fresh_confirmed_us(g->fresh), g->tracking_started_us);
 	uint64_t wait_limit_us =
 		MAJORITY_STALE_US + 2 * g->settings.probe_interval_us;
 
@@ -55,16 +68,16 @@
 	return g->lag_since_us && now_us > g->lag_since_us + MAJORITY_STALE_US;
 }
 
-/* Asks for a probe that starts at since_us or later; many asks, one probe. */
+/* Requests a probe started at since_us or later; one serves all requests. */
 void probe_want_one(struct server *s, uint64_t since_us)
 {
-	if (s->probe_wanted && s->probe_since_us >= since_us)
+	if (s->probe_requested && s->probe_earliest_us >= since_us)
 		return;
-	s->probe_wanted = true;
-	s->probe_since_us = since_us;
+	s->probe_requested = true;
+	s->probe_earliest_us = since_us;
 }
 
-/* The same of all servers. */
+/* Requests such a probe of all servers. */
 void probe_want(struct group *g, uint64_t since_us)
 {
 	unsigned i;
@@ -73,7 +86,7 @@
 		probe_want_one(group_server(g, (int)i), since_us);
 }
 
-/* Queues a call of failover for the server's probe connection. */
+/* Queues a failover call for the server's probe connection. */
 void probe_call(struct server *s, const struct server_call *call)
 {
 	struct server_call *copy = g_new(struct server_call, 1);
@@ -82,28 +95,28 @@
 	g_queue_push_tail(&s->calls, copy);
 }
 
-/* Parses a status, unless the last answer had the same text to the letter. */
+/* Parses a status; a text equal to the last one is not parsed again. */
 static bool parse_status(struct server *s, const char *text,
 			 struct server_status *out, struct err *err)
 {
-	if (g_strcmp0(s->status_text, text) != 0) {
+	if (g_strcmp0(s->status_json, text) != 0) {
 		if (!status_parse(str_from_c(text), &s->status, err)) {
-			g_clear_pointer(&s->status_text, g_free);
+			g_clear_pointer(&s->status_json, g_free);
 			return false;
 		}
-		g_free(s->status_text);
-		s->status_text = g_strdup(text);
+		g_free(s->status_json);
+		s->status_json = g_strdup(text);
 	}
 	*out = s->status;
 	return true;
 }
 
 /*
- * Reads an answer's status. Guards against one server that stands behind two
- * addresses, by a slip in the configuration: it would count as a majority of
- * itself. The name in the status tells.
+ * Reads the status in an answer. The server's own name must be the configured
+ * one: if by a mistake in the configuration two addresses lead to one server,
+ * it would be counted twice and could form a majority by itself.
  */
-static bool take_status(struct server *s, struct upstream_result *result,
+static bool read_status(struct server *s, struct upstream_result *result,
 			struct server_status *out)
 {
 	struct err err = { 0 };
@@ -115,16 +128,17 @@
 		return false;
 	}
 	if (s->group->guards.check_name && strcmp(out->name, s->name) != 0) {
-		LOG_WARN("%s: the server at %s:%u is %s, not %s",
+		LOG_WARN("%s: the server at %s:%u identifies itself as %s, "
+			 "not %s",
 			 s->group->label, s->host, s->port, out->name, s->name);
 		return false;
 	}
 	return true;
 }
 
-/* A call or a probe failed; a queued call fails with it. */
-static void tell_failure(struct server *s, enum failover_call kind,
-			 bool refused, uint64_t now_us)
+/* Reports a failed probe or call to failover. */
+static void report_failure(struct server *s, enum failover_call kind,
+			   bool refused, uint64_t now_us)
 {
 	struct failover *f = s->group->failover;
 
@@ -136,6 +150,7 @@
 		failover_on_failure(f, (unsigned)s->index, kind, now_us);
 }
 
+/* Reports all queued calls as failed. */
 static void fail_calls(struct server *s, bool refused, uint64_t now_us)
 {
 	GQueue calls = s->calls;
@@ -143,7 +158,7 @@
 
 	g_queue_init(&s->calls);
 	while ((call = g_queue_pop_head(&calls))) {
-		tell_failure(s, call->kind, refused, now_us);
+		report_failure(s, call->kind, refused, now_us);
 		g_free(call);
 	}
 }
@@ -160,27 +175,28 @@
 	s->call_running = s->call_stale = false;
 	if (s->index < 0)
 		return;
-	s->probe_failed = !take_status(s, result, &status);
+	s->probe_failed = !read_status(s, result, &status);
 	if (s->probe_failed) {
 		if (!stale)
-			tell_failure(s, kind, false, now_us);
+			report_failure(s, kind, false, now_us);
 		if (!result->conn_usable)
 			fail_calls(s, false, now_us);
 		return;
 	}
 	s->heard_us = now_us;
 	fresh_on_status(g->fresh, (unsigned)s->index, c->started_us, &status);
-	note_news(g, now_us);
+	note_status_change(g, now_us);
 	if (!stale)
 		failover_on_status(g->failover, (unsigned)s->index, kind,
 				   c->started_us, &status, now_us);
 }
 
 /*
- * Failover starts anew. Guards against an answer to what the old one asked
- * for: the new one would take a grant that it never asked for as its own, or
- * give up a term for a failure. What is queued is dropped; what is in flight
- * tells of the server alone.
+ * Forgets the calls of a failover object that is being replaced. The new one
+ * must not get answers to the old one's calls: it would take a grant that it
+ * never requested for its own, or give up a term because of a failure. Queued
+ * calls are dropped; the answer to the call in flight is used only as a status
+ * of the server.
  */
 void probe_forget_calls(struct server *s)
 {
@@ -211,8 +227,8 @@
 
 static void send_probe(struct server *s, uint64_t now_us)
 {
-	s->probe_wanted = s->probe_urgent = false;
-	s->probe_since_us = 0;
+	s->probe_requested = s->probe_urgent = false;
+	s->probe_earliest_us = 0;
 	s->probe_started_us = now_us;
 	conn_begin(s->probe);
 	conn_step(s->probe, SQL_STATUS, false);
@@ -232,11 +248,12 @@
 }
 
 /*
- * Whether a connection could not be opened since no server runs there. The
- * kernel refuses it then; behind a proxy or a balancer it is accepted and
- * closed at once, without a word. A server that is paused, slow or cut off
- * does neither, and one that wants no more connections says FATAL. libpq has
- * the system's words only.
+ * Whether a connection could not be opened because no server process runs at
+ * the address. The kernel then refuses the connection; behind a proxy or load
+ * balancer it is accepted and closed at once without any data. A server that is
+ * paused, slow or cut off does neither, and one that accepts no more
+ * connections answers with FATAL. libpq reports the cause only as the system's
+ * error text.
  */
 static bool is_refusal(const struct err *err)
 {
@@ -255,8 +272,9 @@
 }
 
 /*
- * The probe's connection is open, or could not be. What the server had when
- * the last one broke may be gone with its process: it is forgotten.
+ * The probe connection was opened, or could not be. The server process may have
+ * been replaced by one with less data since the last connection was lost, so
+ * what was known of its positions is forgotten.
  */
 void probe_on_opened(struct server *s, const struct err *err, uint64_t now_us)
 {
@@ -273,13 +291,16 @@
 	refused = is_refusal(err);
 	if (strstr(err->message, "FATAL"))
 		server_heard(s, s->probe_started_us, now_us);
-	s->probe_wanted = s->probe_urgent = false;
+	s->probe_requested = s->probe_urgent = false;
 	s->probe_failed = true;
-	tell_failure(s, CALL_PROBE, refused, now_us);
+	report_failure(s, CALL_PROBE, refused, now_us);
 	fail_calls(s, refused, now_us);
 }
 
-/* The idle probe connection broke; a new one tells whether the server is. */
+/*
+ * The idle probe connection was lost. Opening a new one shows whether the
+ * server still runs.
+ */
 void probe_on_lost(struct server *s, uint64_t now_us)
 {
 	if (s->index >= 0)
@@ -288,28 +309,28 @@
 	s->group->news = true;
 }
 
-static void on_news(void *user, struct conn *c, struct upstream_result *result,
-		    uint64_t now_us)
+static void on_long_poll(void *user, struct conn *c,
+			 struct upstream_result *result, uint64_t now_us)
 {
 	struct server *s = user;
 	struct group *g = s->group;
 	struct server_status status;
 
-	if (s->index < 0 || !take_status(s, result, &status))
+	if (s->index < 0 || !read_status(s, result, &status))
 		return;
 	server_heard(s, c->started_us, now_us);
 	fresh_on_status(g->fresh, (unsigned)s->index, c->started_us, &status);
-	note_news(g, now_us);
+	note_status_change(g, now_us);
 }
 
 /*
- * Asks to be told when the replica's positions change, so that a write's
- * acknowledgement does not wait for the next probe.
+ * Sends a long poll, which the replica answers when its positions change, so
+ * that the acknowledgement of a write does not wait for the next probe.
  */
-static void send_wait(struct server *s, const struct server_status *known,
-		      uint64_t now_us)
+static void send_long_poll(struct server *s, const struct server_status *known,
+			   uint64_t now_us)
 {
-	struct conn *c = s->news;
+	struct conn *c = s->long_poll;
 
 	conn_begin(c);
 	conn_step(c, SQL_WAIT, false);
@@ -317,88 +338,92 @@
 	conn_param_int(c, (int64_t)known->received);
 	conn_param_int(c, (int64_t)known->applied);
 	conn_param_int(c, (int64_t)known->granted);
-	conn_param_int(c, NEWS_POLL_MS);
-	conn_send(c, 0, NEWS_TIMEOUT_US, on_news, s, now_us);
+	conn_param_int(c, LONG_POLL_MS);
+	conn_send(c, 0, LONG_POLL_TIMEOUT_US, on_long_poll, s, now_us);
 }
 
-/* The home that runs the writes listens to all replicas. */
-static void news_tick(struct server *s, uint64_t now_us)
+/* The first home, which runs the writes, long-polls all replicas. */
+static void long_poll_tick(struct server *s, uint64_t now_us)
 {
 	const struct server_status *known =
 		fresh_status(s->group->fresh, (unsigned)s->index);
 	struct upstream_target target = server_target(s);
 
 	if (s->group->rank || !known || known->role != ROLE_REPLICA ||
-	    !server_has_news(s))
+	    !server_may_long_poll(s))
 		return;
-	if (!s->news && now_us >= s->open_after_us && server_up(s, now_us))
-		s->news = conn_pool_open(s->group->conns, s, CONN_NEWS, &target,
-					 NEWS_TIMEOUT_US, now_us);
-	else if (s->news && s->news->state == CONN_IDLE)
-		send_wait(s, known, now_us);
+	if (!s->long_poll && now_us >= s->open_after_us && server_up(s, now_us))
+		s->long_poll = conn_pool_open(s->group->conns, s, CONN_NEWS,
+					      &target, LONG_POLL_TIMEOUT_US,
+					      now_us);
+	else if (s->long_poll && s->long_poll->state == CONN_IDLE)
+		send_long_poll(s, known, now_us);
 }
 
-/* While a write waits for its majority, servers without news are asked. */
-static void want_for_confirming(struct server *s)
+/* Probes servers without a long poll while a request awaits its majority. */
+static void probe_for_confirming(struct server *s)
 {
-	bool listens = s->news && s->news->state == CONN_BUSY;
+	bool listens = s->long_poll && s->long_poll->state == CONN_BUSY;
 
 	if (s->group->runs[RUN_CONFIRMING].length && !listens)
 		probe_want_one(s, 0);
 }
 
-/* Failover asks for its probes; this is for when it does not. */
-static uint64_t own_probe_due(const struct server *s)
+/*
+ * When a probe is due that nobody requested, two probe intervals after the last
+ * one. Failover normally requests one earlier.
+ */
+static uint64_t periodic_probe_at_us(const struct server *s)
 {
 	return s->probe_started_us + 2 * s->group->settings.probe_interval_us;
 }
 
 /*
- * When a probe that is wanted goes out: at once for failover, which spaces its
- * own, and for a request that came after the last one began. Guards against
- * asking back to back for requests that no answer helps: an isolated primary
- * was asked over 20,000 times a second, by a home that had time for nothing
- * else.
+ * When a requested probe is sent: at once for failover, which spaces its own
+ * probes, and for a request that arrived after the last probe was started.
+ * Otherwise there is a gap, so that probes are not sent back to back for
+ * requests that no answer lets proceed: with an isolated primary that was over
+ * 20,000 probes a second, which left the home no time for anything else.
  */
-static uint64_t wanted_due(const struct server *s)
+static uint64_t requested_probe_at_us(const struct server *s)
 {
-	if (!s->probe_wanted)
+	if (!s->probe_requested)
 		return UINT64_MAX;
 	if (s->probe_urgent)
 		return 0;
 	if (s->probe_failed)
-		return s->probe_started_us + FAILED_GAP_US;
-	if (s->probe_since_us > s->probe_started_us)
+		return s->probe_started_us + FAILED_PROBE_GAP_US;
+	if (s->probe_earliest_us > s->probe_started_us)
 		return 0;
 	return s->probe_started_us + PROBE_GAP_US;
 }
 
-/* Starts what is due on the server's control connections. */
+/* Sends what is due on the server's probe and long-poll connections. */
 void probe_tick(struct server *s, uint64_t now_us)
 {
 	bool probe;
 
 	if (s->index < 0)
 		return;
-	if (now_us >= own_probe_due(s))
+	if (now_us >= periodic_probe_at_us(s))
 		probe_want_one(s, now_us);
-	want_for_confirming(s);
-	probe = now_us >= wanted_due(s);
+	probe_for_confirming(s);
+	probe = now_us >= requested_probe_at_us(s);
 	if (!s->probe && (probe || s->calls.length))
 		open_probe(s, now_us);
 	else if (s->probe && s->probe->state == CONN_IDLE && s->calls.length)
 		send_call(s, now_us);
 	else if (s->probe && s->probe->state == CONN_IDLE && probe)
 		send_probe(s, now_us);
-	news_tick(s, now_us);
+	long_poll_tick(s, now_us);
 }
 
-/* When probe_tick() has something to do. */
+/* When probe_tick() has something to send; UINT64_MAX: never. */
 uint64_t probe_next_us(const struct server *s)
 {
 	if (s->index < 0)
 		return UINT64_MAX;
 	if (s->probe && s->probe->state != CONN_IDLE)
-		return own_probe_due(s);
-	return MIN(own_probe_due(s), wanted_due(s));
+		return periodic_probe_at_us(s);
+	return MIN(periodic_probe_at_us(s), requested_probe_at_us(s));
 }
--- a/packages/core/src/group_server.c
+++ b/packages/core/src/group_server.c
@@ -8,19 +8,25 @@
 #define OPEN_BACKOFF_MIN_US (20 * USEC_PER_MSEC)
 #define OPEN_BACKOFF_MAX_US (1 * USEC_PER_SEC)
 #define CLEANUP_TIMEOUT_US (1 * USEC_PER_SEC)
-#define CHECK_TIMEOUT_US (300 * USEC_PER_MSEC)
+/* For the statement that checks an idle connection. */
+#define IDLE_CHECK_TIMEOUT_US (300 * USEC_PER_MSEC)
+/* For the creation of the outcome table. */
 #define PREPARE_TIMEOUT_US (2 * USEC_PER_SEC)
-/* BEGIN and CREATE TABLE go before the COMMIT. */
+/* The number of steps before its COMMIT: BEGIN and CREATE TABLE. */
 #define PREPARE_COMMIT_STEP 2
-#define PREPARE_AGAIN_US (100 * USEC_PER_MSEC)
-/* An idle connection that answered within this time needs no check. */
-#define TRUST_IDLE_US (2 * USEC_PER_SEC)
-/* The probe's and the news' connection of each server. */
+/* The least time between two creations of the outcome table. */
+#define PREPARE_RETRY_US (100 * USEC_PER_MSEC)
+/* An idle connection that answered less than this ago needs no check. */
+#define IDLE_CHECK_AFTER_US (2 * USEC_PER_SEC)
+/* Connections per server that run no requests: probe and long poll. */
 #define CONTROL_CONNS 2
-/* Beside the slots: for settling, removals and what is being cleaned up. */
+/*
+ * Connections beyond the slots: for settling, for the removal of outcomes, and
+ * to replace those whose session state is being reset.
+ */
 #define SPARE_CONNS 1
 
-/* Copies the configuration's values; the name and the index stay. */
+/* Copies the values of the configuration, except name and index. */
 void server_configure(struct server *s, const struct server_conf *conf)
 {
 	g_free(s->host);
@@ -32,7 +38,7 @@
 	admit_set_slots(s->admit, server_slots(s));
 }
 
-/* A server without connections. */
+/* Creates a server; it opens no connections. */
 struct server *server_create(struct group *g, const struct server_conf *conf)
 {
 	struct server *s = g_new0(struct server, 1);
@@ -41,24 +47,24 @@
 	s->name = g_strdup(conf->name);
 	s->index = -1;
 	s->admit = admit_create(1);
-	g_queue_init(&s->work);
+	g_queue_init(&s->work_conns);
 	g_queue_init(&s->calls);
 	server_configure(s, conf);
 	return s;
 }
 
-/* Frees; its connections are closed before. */
+/* Frees the server; its connections must be closed before. */
 void server_destroy(struct server *s)
 {
 	g_queue_clear_full(&s->calls, g_free);
 	admit_destroy(s->admit);
-	g_free(s->status_text);
+	g_free(s->status_json);
 	g_free(s->name);
 	g_free(s->host);
 	g_free(s);
 }
 
-/* Where to connect; valid as long as the server's configuration is. */
+/* The connection parameters; valid until the server is reconfigured. */
 struct upstream_target server_target(const struct server *s)
 {
 	return (struct upstream_target){
@@ -71,11 +77,12 @@
 }
 
 /*
- * How many connections this home may have at the server. The homes share what
- * the reserve leaves; only the first home may use the reserve, since it is the
- * one that takes over. So all homes together stay within the limit.
+ * The number of connections that this home may open to the server. The homes
+ * share equally what remains without the reserve; only the first home, which
+ * takes over after a failure, may use the reserve too. So all homes together
+ * stay within the server's limit.
  */
-static unsigned share_of_limit(const struct server *s)
+static unsigned conn_limit_share(const struct server *s)
 {
 	const struct group *g = s->group;
 	unsigned homes = MAX(g->settings.homes, 1);
@@ -85,23 +92,26 @@
 	return g->rank ? part : part + MIN(s->connections, g->reserve);
 }
 
-/* Whether the share has room for a connection for news. */
-bool server_has_news(const struct server *s)
+/* Whether the share leaves room for a long-poll connection. */
+bool server_may_long_poll(const struct server *s)
 {
-	return share_of_limit(s) > CONTROL_CONNS;
+	return conn_limit_share(s) > CONTROL_CONNS;
 }
 
-/* How many connections for statements the home may have here. */
+/* The most connections for statements that the home may open here. */
 static unsigned max_work_conns(const struct server *s)
 {
-	unsigned share = share_of_limit(s);
+	unsigned share = conn_limit_share(s);
 
-	if (!server_has_news(s))
+	if (!server_may_long_poll(s))
 		return 1;
 	return MIN(share - CONTROL_CONNS, s->slots + SPARE_CONNS);
 }
 
-/* How many statements run at once: the slots, if there are connections. */
+/*
+ * How many requests run at once: the configured slots, or fewer if there are
+ * not enough connections.
+ */
 unsigned server_slots(const struct server *s)
 {
 	unsigned conns = max_work_conns(s);
@@ -109,7 +119,7 @@
 	return MAX(1, MIN(s->slots, conns > 1 ? conns - SPARE_CONNS : 1));
 }
 
-/* How many are kept open; a home that only waits keeps one. */
+/* How many are kept open when idle; homes other than the first keep one. */
 static unsigned warm_conns(const struct server *s)
 {
 	if (s->removed || s->index < 0 || !group_is_home(s->group))
@@ -117,7 +127,7 @@
 	return s->group->rank ? 1 : max_work_conns(s);
 }
 
-/* Whether the server answers and is not silent. */
+/* Whether the server answered recently enough to be taken for alive. */
 bool server_up(const struct server *s, uint64_t now_us)
 {
 	const struct group_settings *set = &s->group->settings;
@@ -128,7 +138,7 @@
 	       now_us < s->heard_us + wait_limit_us;
 }
 
-/* The server answered on some connection. */
+/* Records that the server answered what was sent at started_us. */
 void server_heard(struct server *s, uint64_t started_us, uint64_t now_us)
 {
 	s->heard_us = now_us;
@@ -139,7 +149,7 @@
 
 static bool may_open(const struct server *s, uint64_t now_us)
 {
-	return s->work.length < max_work_conns(s) && !s->removed &&
+	return s->work_conns.length < max_work_conns(s) && !s->removed &&
 	       s->index >= 0 && now_us >= s->open_after_us;
 }
 
@@ -149,16 +159,16 @@
 	struct conn *c = conn_pool_open(s->group->conns, s, CONN_WORK, &target,
 					OPEN_TIMEOUT_US, now_us);
 
-	g_queue_push_tail_link(&s->work, &c->link);
+	g_queue_push_tail_link(&s->work_conns, &c->link);
 }
 
-/* How many could be used now or soon. */
+/* How many connections for statements are being opened. */
 static unsigned count_opening(const struct server *s)
 {
 	unsigned n = 0;
 	GList *l;
 
-	for (l = s->work.head; l; l = l->next)
+	for (l = s->work_conns.head; l; l = l->next)
 		n += ((struct conn *)l->data)->state == CONN_OPENING;
 	return n;
 }
@@ -176,32 +186,33 @@
 }
 
 /*
- * Guards against connections that went silent while idle: something between
- * the two ends lost track of them, and a request would only find out at its
- * deadline. One that was idle for a while answers a cheap statement first.
+ * Sends a cheap statement on a connection that was idle for a while. Something
+ * between the two ends, such as a firewall, may have dropped the connection
+ * without notice, and a request sent on it would find out only at its deadline.
  */
 static void check(struct conn *c, uint64_t now_us)
 {
 	conn_begin(c);
 	conn_step(c, SQL_CHECK, false);
-	conn_send(c, 0, CHECK_TIMEOUT_US, on_checked, c->server, now_us);
+	conn_send(c, 0, IDLE_CHECK_TIMEOUT_US, on_checked, c->server, now_us);
 }
 
 /*
- * An idle connection, the one used last first; NULL if none is ready. Then
- * suspect ones are being checked, or one more is being opened.
+ * Returns an idle connection, preferring the one used last; NULL if none is
+ * ready. In that case suspect ones are being checked, or one more is being
+ * opened if the limit allows it.
  */
 struct conn *server_take(struct server *s, uint64_t now_us)
 {
 	GList *l, *next;
 
-	for (l = s->work.head; l; l = next) {
+	for (l = s->work_conns.head; l; l = next) {
 		struct conn *c = l->data;
 
 		next = l->next;
 		if (c->state != CONN_IDLE || c->pinned)
 			continue;
-		if (now_us >= c->heard_us + TRUST_IDLE_US)
+		if (now_us >= c->heard_us + IDLE_CHECK_AFTER_US)
 			c->suspect = true;
 		if (!c->suspect)
 			return c;
@@ -232,9 +243,10 @@
 }
 
 /*
- * Takes a connection back after its run. Guards against one caller's open
- * block or session state reaching the next: a block is rolled back and state
- * discarded first, and a connection that can't be cleaned is closed.
+ * Returns a connection to the pool after its use. Before it can be used again,
+ * an open transaction block is rolled back and session state is discarded, so
+ * that neither reaches the next caller. A connection on which that fails is
+ * closed.
  */
 void server_give(struct conn *c, uint64_t now_us)
 {
@@ -253,18 +265,19 @@
 		return;
 	}
 	c->in_block = c->dirty = false;
-	g_queue_unlink(&s->work, &c->link);
-	g_queue_push_head_link(&s->work, &c->link);
+	g_queue_unlink(&s->work_conns, &c->link);
+	g_queue_push_head_link(&s->work_conns, &c->link);
 	s->group->again = true;
 }
 
 /*
- * Notes the position after a transaction of the home's own. False: it is not
- * known, and the connection must be closed. Guards against a caller's write
- * that is told as split since the connection's last commit is not the noted
- * one: the home's COMMIT was done, and what came after it failed.
+ * Records the commit position after a transaction of the proxy's own. False:
+ * it is not known, and the connection must be closed. This is the case if the
+ * COMMIT was done and the step after it failed. A caller's write on such a
+ * connection would be reported as split, as the connection's last commit would
+ * differ from the recorded one.
  */
-bool server_note_commit(struct conn *c, const struct upstream_result *result)
+bool server_record_commit(struct conn *c, const struct upstream_result *result)
 {
 	if (result->err.code || !result->last_row ||
 	    !position_parse(str_from_c(result->last_row[0]), &c->commit))
@@ -278,35 +291,35 @@
 {
 	struct server *s = user;
 	const struct server_status *st;
-	bool noted;
+	bool commit_known;
 
 	s->preparing = false;
-	s->prepare_after_us = now_us + PREPARE_AGAIN_US;
+	s->prepare_retry_at_us = now_us + PREPARE_RETRY_US;
 	if (!result->conn_usable)
 		return;
 	server_heard(s, c->started_us, now_us);
 	st = s->index < 0 ? NULL :
 			    fresh_status(s->group->fresh, (unsigned)s->index);
-	noted = server_note_commit(c, result);
-	if (noted && st) {
+	commit_known = server_record_commit(c, result);
+	if (commit_known && st) {
 		s->outcome_term = st->term;
 		s->group->news = true;
 	} else {
 		LOG_WARN("%s: no outcome table at %s: %s", s->group->label,
 			 s->name, result->err.message);
 	}
-	if (noted || result->steps_done < PREPARE_COMMIT_STEP)
+	if (commit_known || result->steps_done < PREPARE_COMMIT_STEP)
 		server_give(c, now_us);
 	else
 		conn_close(c);
 }
 
-/* Makes sure that the outcome table is there, once per server and term. */
+/* Creates the outcome table if it is missing; once per server and term. */
 void server_prepare(struct server *s, uint64_t now_us)
 {
 	struct conn *c;
 
-	if (s->preparing || now_us < s->prepare_after_us)
+	if (s->preparing || now_us < s->prepare_retry_at_us)
 		return;
 	c = server_take(s, now_us);
 	if (!c)
@@ -321,14 +334,15 @@
 	conn_send(c, 0, PREPARE_TIMEOUT_US, on_prepared, s, now_us);
 }
 
-/* Closes idle connections beyond those that are kept. */
+/* Closes idle connections beyond the number that may be kept. */
 static void close_surplus(struct server *s)
 {
 	bool in_use = !s->removed && group_is_home(s->group);
 	unsigned keep = in_use ? max_work_conns(s) : 0;
 	GList *l, *prev;
 
-	for (l = s->work.tail; l && s->work.length > keep; l = prev) {
+	for (l = s->work_conns.tail; l && s->work_conns.length > keep;
+	     l = prev) {
 		struct conn *c = l->data;
 
 		prev = l->prev;
@@ -337,30 +351,33 @@
 	}
 }
 
-/* Keeps connections warm, as a new one costs its opening. */
+/* Keeps idle connections open, to spare requests the time of an opening. */
 void server_tick(struct server *s, uint64_t now_us)
 {
 	close_surplus(s);
-	while (s->work.length < warm_conns(s) && may_open(s, now_us))
+	while (s->work_conns.length < warm_conns(s) && may_open(s, now_us))
 		open_work(s, now_us);
 }
 
-/* When server_tick() has something to open. */
+/* When server_tick() has a connection to open; UINT64_MAX: never. */
 uint64_t server_next_us(const struct server *s)
 {
-	if (s->work.length >= warm_conns(s))
+	if (s->work_conns.length >= warm_conns(s))
 		return UINT64_MAX;
 	return s->open_after_us;
 }
 
-/* Closes what is idle: the server was removed, or the home is elsewhere. */
-void server_let_go(struct server *s)
+/*
+ * Closes idle connections and the control connections of a server that was
+ * removed or of which this proxy is no home any more.
+ */
+void server_close_unused(struct server *s)
 {
 	close_surplus(s);
 	if (s->probe)
 		conn_close(s->probe);
-	if (s->news)
-		conn_close(s->news);
+	if (s->long_poll)
+		conn_close(s->long_poll);
 }
 
 static void back_off(struct server *s, uint64_t now_us)
@@ -405,8 +422,9 @@
 }
 
 /*
- * A run on the connection had no answer. The others may be as silent: those
- * that were heard before it was sent must answer a check before they are used.
+ * A pipeline on the connection timed out. The server's other connections may
+ * be dead too: those whose last answer came before the pipeline was sent must
+ * answer a check before they are used.
  */
 static void on_silent(void *ctx, struct conn *c, uint64_t now_us)
 {
@@ -415,7 +433,7 @@
 
 	(void)now_us;
 	g->counts.conns_lost++;
-	for (l = c->server->work.head; l; l = l->next) {
+	for (l = c->server->work_conns.head; l; l = l->next) {
 		struct conn *other = l->data;
 
 		if (other->heard_us <= c->started_us)
@@ -431,11 +449,11 @@
 	if (c->txn)
 		txn_on_closed(c->txn);
 	if (c->role == CONN_WORK)
-		g_queue_unlink(&s->work, &c->link);
+		g_queue_unlink(&s->work_conns, &c->link);
 	else if (s->probe == c)
 		s->probe = NULL;
-	else if (s->news == c)
-		s->news = NULL;
+	else if (s->long_poll == c)
+		s->long_poll = NULL;
 }
 
 const struct conn_events server_conn_events = {
--- a/packages/core/src/group_settle.c
+++ b/packages/core/src/group_settle.c
@@ -5,22 +5,23 @@
 #include <string.h>
 
 /*
- * Settling an uncertain write: its commit was sent and nothing certain came
- * back. A tombstone for its key on the present primary either stands, and then
- * the write can never commit, since the key is unique in every log that holds
- * the tombstone; or the key is there already, and its row tells. Either counts
- * once a majority has it in the term of the primary that told: an old primary's
- * word alone proves nothing.
+ * Settling of a write with an uncertain outcome: its commit was sent and its
+ * result is not known. A tombstone row with the write's key is inserted on the
+ * present primary. If the insertion commits, the write can never commit, since
+ * the key is unique in every log that contains the tombstone. If the key exists
+ * already, its row tells the outcome. Either result counts only once a majority
+ * has it in the term of the primary that reported it: the report of an old
+ * primary alone proves nothing.
  */
 
-/* Between two tries that came to nothing. */
-#define SETTLE_AGAIN_US (10 * USEC_PER_MSEC)
-/* One try may take so long, so that a silent connection leaves time for more */
-#define SETTLE_TRY_US (300 * USEC_PER_MSEC)
-/* The key is claimed after BEGIN. */
+/* Between two tries, if the first one gave no result. */
+#define SETTLE_RETRY_DELAY_US (10 * USEC_PER_MSEC)
+/* Limit of one try, so that a dead connection leaves time for more tries. */
+#define SETTLE_TRY_TIMEOUT_US (300 * USEC_PER_MSEC)
+/* BEGIN goes before the insertion of the key. */
 #define STEPS_BEFORE_KEY 1
 
-/* The time is over and nothing certain is known: says so, at once. */
+/* The deadline has passed without a result: answers that it is unknown. */
 void settle_give_up(struct run *run)
 {
 	run_drop_conn(run);
@@ -29,7 +30,7 @@
 				     "deadline"));
 }
 
-/* From now on only the outcome table can tell how the write ended. */
+/* Starts settling: only the outcome table can now tell how the write ended. */
 void settle_begin(struct run *run, uint64_t now_us)
 {
 	run_drop_conn(run);
@@ -38,17 +39,18 @@
 	run->look_again_us = now_us;
 	run->group->again = true;
 	if (!run->group->guards.settle) {
-		run_answer(run, answer_error(ERR_SETTLED_NOT_RUN, "guessed"));
+		run_answer(run, answer_error(ERR_SETTLED_NOT_RUN,
+					     "guessed instead of settled"));
 		return;
 	}
 	run_set_state(run, RUN_SETTLE_WAIT);
 }
 
-/* This try told nothing; the next one follows, at whoever is primary then. */
-static void try_again(struct run *run, uint64_t now_us)
+/* This try gave no result; the next one goes to the primary of that time. */
+static void schedule_retry(struct run *run, uint64_t now_us)
 {
 	run_detach(run, now_us);
-	run->look_again_us = now_us + SETTLE_AGAIN_US;
+	run->look_again_us = now_us + SETTLE_RETRY_DELAY_US;
 	probe_want(run->group, now_us);
 	run_set_state(run, RUN_SETTLE_WAIT);
 }
@@ -64,9 +66,9 @@
 			    "the write did not commit and never will");
 }
 
-static struct answer *done_before(struct run *run,
-				  const struct outcome_row *row,
-				  struct position p)
+static struct answer *earlier_result(struct run *run,
+				     const struct outcome_row *row,
+				     struct position p)
 {
 	struct answer *a = answer_create(OUTCOME_DONE);
 
@@ -90,25 +92,26 @@
 }
 
 /*
- * What a row of this request's own tells. Guards against a false "rolled back":
- * the rollback of a transaction whose commit was done, but never told, must
- * not be answered as if it had taken effect.
+ * The answer according to a row with this request's digest. If the request is
+ * the rollback of a transaction whose commit was done but never acknowledged,
+ * the answer must not be "rolled back".
  */
-static struct answer *told_by_row(struct run *run,
-				  const struct outcome_row *row,
-				  struct position p)
+static struct answer *answer_for_row(struct run *run,
+				     const struct outcome_row *row,
+				     struct position p)
 {
 	if (row->state != OUTCOME_ROW_DONE)
 		return not_run(run);
 	if (run->request->kind == REQUEST_ROLLBACK)
 		return answer_error(ERR_TRANSACTION_COMMITTED,
 				    "the transaction was committed before");
-	return done_before(run, row, p);
+	return earlier_result(run, row, p);
 }
 
 /*
- * The key's row was found at a position. A row with another digest is another
- * request's: this one is not done, and can't be while that row stands.
+ * Answers by the key's row, which was seen at position p. A row with another
+ * digest belongs to another request: this one is not done, and can't be as long
+ * as that row exists.
  */
 void settle_on_row(struct run *run, const struct outcome_row *row,
 		   struct position p, uint64_t now_us)
@@ -122,7 +125,7 @@
 				     "the Idempotency-Key was used before with "
 				     "another body");
 	else
-		reply = told_by_row(run, row, p);
+		reply = answer_for_row(run, row, p);
 	confirm(run, reply, p, now_us);
 }
 
@@ -135,19 +138,19 @@
 	bool ok;
 
 	if (!result->conn_usable) {
-		try_again(run, now_us);
+		schedule_retry(run, now_us);
 		return;
 	}
 	server_heard(run->server, c->started_us, now_us);
 	if (result->err.code) {
-		try_again(run, now_us);
+		schedule_retry(run, now_us);
 		return;
 	}
 	c->in_block = false;
 	ok = outcome_cut_position(result->results, &p) &&
 	     outcome_row_parse(result->results, &row);
 	if (!ok || row.state == OUTCOME_ROW_NONE) {
-		try_again(run, now_us);
+		schedule_retry(run, now_us);
 	} else {
 		run_detach(run, now_us);
 		settle_on_row(run, &row, p, now_us);
@@ -156,9 +159,9 @@
 		outcome_row_clear(&row);
 }
 
-static uint64_t try_timeout(const struct run *run, uint64_t now_us)
+static uint64_t try_timeout_us(const struct run *run, uint64_t now_us)
 {
-	return MIN(run->deadline_us - now_us, SETTLE_TRY_US);
+	return MIN(run->deadline_us - now_us, SETTLE_TRY_TIMEOUT_US);
 }
 
 static void read_row(struct run *run, uint64_t now_us)
@@ -172,7 +175,7 @@
 	conn_param_text(c, str_from_c(run->key));
 	conn_step(c, SQL_READ_POSITION, true);
 	conn_step(c, SQL_COMMIT, false);
-	conn_send(c, 0, try_timeout(run, now_us), on_row, run, now_us);
+	conn_send(c, 0, try_timeout_us(run, now_us), on_row, run, now_us);
 }
 
 static void on_tombstone(void *user, struct conn *c,
@@ -183,7 +186,7 @@
 	struct position p;
 
 	if (!result->conn_usable) {
-		try_again(run, now_us);
+		schedule_retry(run, now_us);
 		return;
 	}
 	server_heard(s, c->started_us, now_us);
@@ -193,7 +196,7 @@
 		    now_us < run->deadline_us)
 			read_row(run, now_us);
 		else
-			try_again(run, now_us);
+			schedule_retry(run, now_us);
 		return;
 	}
 	c->in_block = false;
@@ -201,7 +204,7 @@
 	    !position_parse(str_from_c(result->last_row[0]), &p) ||
 	    !write_is_new(c, p)) {
 		run_drop_conn(run);
-		try_again(run, now_us);
+		schedule_retry(run, now_us);
 		return;
 	}
 	c->commit = p;
@@ -210,7 +213,7 @@
 	confirm(run, not_run(run), p, now_us);
 }
 
-/* One try: a tombstone on the present primary. */
+/* Starts one try: inserts a tombstone on the present primary. */
 static void start(struct run *run, uint64_t now_us)
 {
 	struct conn *c = run->conn;
@@ -223,7 +226,7 @@
 	write_add_key(run, c, "tombstone");
 	conn_step(c, SQL_COMMIT, false);
 	conn_step(c, SQL_COMMIT_POSITION, false);
-	conn_send(c, 0, try_timeout(run, now_us), on_tombstone, run, now_us);
+	conn_send(c, 0, try_timeout_us(run, now_us), on_tombstone, run, now_us);
 }
 
 static void settle_one(struct run *run, uint64_t now_us)
@@ -249,7 +252,9 @@
 	start(run, now_us);
 }
 
-/* All uncertain writes whose next try is due. No slot is needed: few, urgent.
+/*
+ * Starts the next try of all uncertain writes for which it is due. They need no
+ * slot, as they are few and urgent.
  */
 void settle_all(struct group *g, uint64_t now_us)
 {
--- a/packages/core/src/group_status.c
+++ b/packages/core/src/group_status.c
@@ -18,7 +18,7 @@
 	unsigned n = 0;
 	GList *l;
 
-	for (l = s->work.head; l; l = l->next)
+	for (l = s->work_conns.head; l; l = l->next)
 		n += ((struct conn *)l->data)->state == CONN_BUSY;
 	return n;
 }
@@ -50,7 +50,7 @@
 			       server_up(s, now_us) ? "true" : "false",
 			       leaving ? "true" : "false", server_slots(s),
 			       admit_running(s->admit), admit_queued(s->admit),
-			       s->pinned, s->work.length, count_busy(s),
+			       s->pinned, s->work_conns.length, count_busy(s),
 			       s->latency_us);
 	write_age(out, fresh_age_us(g->fresh, i, now_us));
 	if (st)
@@ -111,7 +111,7 @@
 	g_string_append_c(out, '}');
 }
 
-/* One JSON object for operators. */
+/* Appends the group's state as one JSON object. */
 void group_write_status(struct group *g, GString *out, uint64_t now_us)
 {
 	const struct server *primary = group_primary(g);
--- a/packages/core/src/group_unknown.c
+++ b/packages/core/src/group_unknown.c
@@ -1,16 +1,17 @@
 #include "group_internal.h"
 
 /*
- * Keys whose outcome was told as unknown. A caller sends such a request again
- * under its key; when that try is refused before it runs (no primary, a full
- * queue), "not run" would be read as the truth about the key, while the first
- * try may be done. So the refusal of a remembered key is settled first.
+ * Keys of requests that were answered with an unknown outcome. A caller sends
+ * such a request again under its key. If that try is refused before it runs (no
+ * primary, a full queue), "not run" would be taken as the outcome of the key,
+ * although the first try may be done. So the refusal of a remembered key is
+ * settled before it is sent.
  */
 
-/* More keys than this are not remembered; the oldest go. */
-#define MAX_UNKNOWN 4096
+/* The most keys remembered; beyond it the oldest is dropped. */
+#define MAX_UNKNOWN_KEYS 4096
 
-/* Remembers a key. */
+/* Remembers a key that was answered as unknown. */
 void unknown_note(struct group *g, const char *key)
 {
 	char *copy;
@@ -18,7 +19,7 @@
 	if (!g->guards.remember_unknown ||
 	    g_hash_table_contains(g->unknown, key))
 		return;
-	if (g->unknown_order.length >= MAX_UNKNOWN)
+	if (g->unknown_order.length >= MAX_UNKNOWN_KEYS)
 		g_hash_table_remove(g->unknown,
 				    g_queue_pop_head(&g->unknown_order));
 	copy = g_strdup(key);
@@ -26,7 +27,7 @@
 	g_queue_push_tail(&g->unknown_order, copy);
 }
 
-/* Its outcome is known by now. */
+/* Forgets a key whose outcome is known by now. */
 void unknown_forget(struct group *g, const char *key)
 {
 	gpointer own = g_hash_table_lookup(g->unknown, key);
@@ -37,21 +38,22 @@
 	g_hash_table_remove(g->unknown, key);
 }
 
-/* Whether the key's outcome was told as unknown, and is so still. */
-bool unknown_has(const struct group *g, const char *key)
+/* Whether the key was answered as unknown and not settled since. */
+bool unknown_key_has(const struct group *g, const char *key)
 {
 	return g_hash_table_contains(g->unknown, key);
 }
 
 /*
- * Keys that writes in the table hold. Guards against the refusal of a repeat
- * that is told while the first try still runs: it waits for the first one's
- * key, and "rolled back" at its deadline would be read as the truth about the
- * key, which the first try commits a moment later. So it counts as sent before.
+ * Keys of the writes that are not answered yet. A request that is sent again
+ * while its first try still runs waits for the first one's lock on the key. If
+ * it were then answered "rolled back" at its deadline, that would be taken as
+ * the outcome of the key, which the first try may commit a moment later. So it
+ * is treated as sent before, and its refusal is settled.
  */
 
-/* A write with this key comes; whether another one holds it already. */
-bool unknown_enter(struct group *g, const char *key)
+/* Adds a write with this key; true if another one has it already. */
+bool running_key_add(struct group *g, const char *key)
 {
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(g->running_keys, key));
 
@@ -60,7 +62,7 @@
 	return n > 0;
 }
 
-/* It is answered. */
+/* Removes a write with this key, which was answered. */
 void unknown_leave(struct group *g, const char *key)
 {
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(g->running_keys, key));
