--- a/packages/core/tests/test_group_probes.c
+++ b/packages/core/tests/test_group_probes.c
@@ -5,22 +5,23 @@
 #include <check.h>
 #include <stdlib.h>
 
-/* How much the home asks of servers while it waits for them. */
+/* The rate at which a home probes servers while requests wait for them. */
 
 #define STEP_US 250
-#define WATCHED_US (800 * USEC_PER_MSEC)
-/* One each 5 ms, and those that are due anyway. */
-#define MOST_PROBES 200
+#define OBSERVATION_US (800 * USEC_PER_MSEC)
+/* Bounds the probes within the observed time: one each 5 ms and the regular
+ * ones. */
+#define MAX_PROBES 200
 
-/* Counts the probes of a server that start within the time. */
-static unsigned count_probes(struct rig *r, int server, uint64_t for_us)
+/* Runs for the given time and counts the probes of the server that start. */
+static unsigned count_probes(struct rig *r, int server, uint64_t duration_us)
 {
 	struct server *s = group_server(rig_group(r, 0), server);
 	uint64_t last_us = s->probe_started_us;
 	unsigned n = 0;
 	uint64_t t;
 
-	for (t = 0; t < for_us; t += STEP_US) {
+	for (t = 0; t < duration_us; t += STEP_US) {
 		rig_run_for(r, STEP_US);
 		if (s->probe_started_us != last_us)
 			n++;
@@ -31,9 +32,9 @@
 
 /*
  * A partition cuts the primary off from its replicas while a write waits for
- * its majority. Callers of other databases at this home see answers stall: the
- * home asks the isolated primary again as soon as it has answered, more than
- * 20,000 times a second on a fast link, and has time for nothing else.
+ * its majority. Without a limit the home probes the isolated primary again as
+ * soon as it has answered, more than 20,000 times a second on a fast link. That
+ * takes all of the home's time, so callers of its other databases wait too.
  */
 START_TEST(waiting_write_does_not_flood_the_primary)
 {
@@ -54,8 +55,8 @@
 		sim_block(rig_sim(r), i, 0, true);
 	}
 	c = rig_write(r, 0, 7);
-	probes = count_probes(r, 0, WATCHED_US);
-	ck_assert_uint_le(probes, MOST_PROBES);
+	probes = count_probes(r, 0, OBSERVATION_US);
+	ck_assert_uint_le(probes, MAX_PROBES);
 	ck_assert_uint_ge(probes, 2);
 	ck_assert(rig_wait(r, c, 6 * USEC_PER_SEC));
 	ck_assert_int_eq(c->code, ERR_SETTLED_NOT_RUN);
@@ -64,8 +65,9 @@
 END_TEST
 
 /*
- * Reads of age 0 wait for a majority to confirm the primary, and none answers.
- * The primary itself does, at once and in vain: it must not be asked on and on.
+ * Reads with a maximum age of 0 wait for a majority to confirm the primary
+ * while both replicas are down. The primary alone answers at once, which
+ * confirms nothing; it must not be probed again without a pause.
  */
 START_TEST(waiting_read_does_not_flood_the_primary)
 {
@@ -83,13 +85,13 @@
 	fake_sql_crash(rig_sql(r), 2, true);
 	for (i = 0; i < 5; i++)
 		rig_read(r, 0, 0, nothing);
-	ck_assert_uint_le(count_probes(r, 0, WATCHED_US), MOST_PROBES);
+	ck_assert_uint_le(count_probes(r, 0, OBSERVATION_US), MAX_PROBES);
 	rig_destroy(r);
 }
 END_TEST
 
-/* Takes the last server out, so that the home's failover starts anew. */
-static void take_one_out(struct rig *r)
+/* Removes the last server from the configuration: a new failover is created. */
+static void remove_last_server(struct rig *r)
 {
 	struct database_conf conf = *rig_conf(r);
 
@@ -98,12 +100,12 @@
 }
 
 /*
- * Operators take a server out while the home's failover has a grant on its way
- * and another one queued. The failover that starts anew never asked for them:
- * it must not be told of the first, and a server that takes the second fences
- * a primary that nobody means to replace.
+ * An operator removes a server while the home's failover has sent one grant and
+ * queued another. The failover that replaces it requested neither: it must not
+ * get the answer to the first, and the second must not be sent, since a server
+ * that accepts it fences a primary that nobody wants to replace.
  */
-START_TEST(calls_of_the_old_failover_are_forgotten)
+START_TEST(calls_of_replaced_failover_are_dropped)
 {
 	struct server_call call = { .kind = CALL_GRANT, .term = 9 };
 	struct rig_settings settings;
@@ -122,7 +124,7 @@
 	sent_us = s->probe->started_us;
 	call.term = 10;
 	probe_call(s, &call);
-	take_one_out(r);
+	remove_last_server(r);
 	ck_assert_uint_eq(s->calls.length, 0);
 	while (s->heard_us <= sent_us || s->call_running)
 		rig_run_for(r, STEP_US / 5);
@@ -145,7 +147,7 @@
 
 	tcase_add_test(tests, waiting_write_does_not_flood_the_primary);
 	tcase_add_test(tests, waiting_read_does_not_flood_the_primary);
-	tcase_add_test(tests, calls_of_the_old_failover_are_forgotten);
+	tcase_add_test(tests, calls_of_replaced_failover_are_dropped);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/packages/core/tests/test_group_reads.c
+++ b/packages/core/tests/test_group_reads.c
@@ -4,11 +4,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reads while replicas lag, jump back or are cut off. */
+/* Reads while replicas lag, lose entries that they had, or are cut off. */
 
 static const struct position nothing = { 0, 0 };
 
-static struct rig *make(unsigned n_homes)
+static struct rig *create_rig(unsigned n_homes)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -20,7 +20,7 @@
 	return r;
 }
 
-static struct rig_call *done(struct rig_call *c)
+static struct rig_call *wait_done(struct rig_call *c)
 {
 	ck_assert(rig_wait(c->rig, c, 6 * USEC_PER_SEC));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
@@ -28,20 +28,20 @@
 }
 
 /*
- * A plumber saves a trip through one proxy and drives off; the next summary is
- * asked through another one, and both replicas lag by a second.
+ * A session writes through one proxy and reads through another while both
+ * replicas lag by a second. The read must contain the write.
  */
 START_TEST(session_reads_own_write_past_lagging_replicas)
 {
-	struct rig *r = make(2);
+	struct rig *r = create_rig(2);
 	struct rig_call *w, *c;
 	uint64_t trip;
 
 	fdb_set_lag(rig_db(r), 1, USEC_PER_SEC);
 	fdb_set_lag(rig_db(r), 2, USEC_PER_SEC);
 	for (trip = 1; trip < 20; trip++) {
-		w = done(rig_write(r, 0, trip));
-		c = done(rig_read(r, 1, 60 * USEC_PER_SEC, w->seen));
+		w = wait_done(rig_write(r, 0, trip));
+		c = wait_done(rig_read(r, 1, 60 * USEC_PER_SEC, w->seen));
 		ck_assert(rig_sees(c, trip));
 	}
 	rig_destroy(r);
@@ -49,20 +49,20 @@
 END_TEST
 
 /*
- * Agents' lists may be 300 ms old. A replica lags by more than that: it must
- * not serve them, and does again once it has caught up.
+ * Reads with a maximum age of 300 ms must not be served by a replica that lags
+ * by more than that.
  */
-START_TEST(replica_too_old_is_passed_over)
+START_TEST(stale_replica_is_skipped)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 	uint64_t trip;
 
 	fdb_set_lag(rig_db(r), 1, 700 * USEC_PER_MSEC);
 	for (trip = 1; trip < 30; trip++) {
-		done(rig_write(r, 0, trip));
+		wait_done(rig_write(r, 0, trip));
 		rig_run_for(r, 50 * USEC_PER_MSEC);
-		c = done(rig_read(r, 0, 300 * USEC_PER_MSEC, nothing));
+		c = wait_done(rig_read(r, 0, 300 * USEC_PER_MSEC, nothing));
 		ck_assert_uint_le(c->age_us, 300 * USEC_PER_MSEC);
 		if (trip > 20)
 			ck_assert_str_ne(c->server, fdb_name(1));
@@ -72,19 +72,20 @@
 END_TEST
 
 /*
- * This proxy is cut off with one replica, whose data gets older and older. It
- * must not look fresh for want of news.
+ * A partition leaves the proxy with one replica, so nothing confirms any more
+ * how old its data is. The age must grow from the last confirmation, and reads
+ * that allow less must not run. Without news the replica must not look fresh.
  */
-START_TEST(replica_without_news_gets_too_old)
+START_TEST(replica_without_confirmation_becomes_stale)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	sim_block(rig_sim(r), rig_node(r, 0), 0, true);
 	sim_block(rig_sim(r), rig_node(r, 0), 2, true);
 	rig_run_for(r, 2 * USEC_PER_SEC);
 	c = rig_read(r, 0, 5 * USEC_PER_SEC, nothing);
-	done(c);
+	wait_done(c);
 	ck_assert_uint_ge(c->age_us, 1800 * USEC_PER_MSEC);
 	c = rig_read(r, 0, USEC_PER_SEC, nothing);
 	rig_wait(r, c, 6 * USEC_PER_SEC);
@@ -94,14 +95,15 @@
 END_TEST
 
 /*
- * A read was queued for a replica that qualified then; when its turn comes the
- * replica is too old, or is behind the session. It must be routed anew.
+ * A read was queued for a replica that qualified at the time. When the read is
+ * to start, the replica's data is too old or behind the session's position, so
+ * the read must not run there.
  */
-START_TEST(bounds_hold_when_the_read_starts)
+START_TEST(bounds_are_checked_when_the_read_starts)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct group *g = rig_group(r, 0);
-	struct rig_call *w = done(rig_write(r, 0, 7));
+	struct rig_call *w = wait_done(rig_write(r, 0, 7));
 	struct rig_call *c = rig_call(r, 0, ACCESS_READ, 0);
 	struct server *s = group_server(g, 1);
 	uint64_t now_us;
@@ -130,15 +132,15 @@
 END_TEST
 
 /*
- * A replica is rebuilt from an old copy between the choice and the statement,
- * and its connection outlives that. The agent would see a list without the
- * code that was in the last one.
+ * A replica is rebuilt from an old copy between the routing decision and the
+ * statement, and its connection survives that. Without the check of the
+ * position that was read, the session would miss data that it has seen before.
  */
-START_TEST(server_that_jumped_back_is_noticed)
+START_TEST(position_going_back_is_detected)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct group *g = rig_group(r, 0);
-	struct rig_call *w = done(rig_write(r, 0, 7));
+	struct rig_call *w = wait_done(rig_write(r, 0, 7));
 	struct rig_call *c = rig_call(r, 0, ACCESS_READ, 0);
 	struct server *s = group_server(g, 1);
 	struct position p = w->seen;
@@ -167,7 +169,7 @@
 }
 END_TEST
 
-/* Cuts the primary off from its replicas; the home still reaches all. */
+/* Cuts the primary off from its replicas; the home still reaches all three. */
 static void cut_off_primary(struct rig *r)
 {
 	int i;
@@ -180,12 +182,13 @@
 
 /*
  * A read at the primary sees a write that no replica has. If the primary is
- * lost, the write never was, and the session that saw it has no history. So
- * the read waits a moment for a majority to have what it saw.
+ * lost, so is the write, and the session's position is in no server's history
+ * any more. So the answer waits a limited time for a majority to have what the
+ * read saw.
  */
-START_TEST(primary_read_waits_for_what_it_saw)
+START_TEST(primary_read_waits_for_majority)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	cut_off_primary(r);
@@ -195,17 +198,17 @@
 	rig_run_for(r, 100 * USEC_PER_MSEC);
 	ck_assert_uint_eq(c->answers, 0);
 	sim_heal(rig_sim(r));
-	done(c);
+	wait_done(c);
 	ck_assert(rig_sees(c, 7));
 	ck_assert(fresh_majority_has(group_fresh(rig_group(r, 0)), c->seen));
 	rig_destroy(r);
 
-	r = make(1);
+	r = create_rig(1);
 	group_guards_of(rig_group(r, 0))->confirm_reads = false;
 	cut_off_primary(r);
 	rig_write(r, 0, 7);
 	rig_run_for(r, 10 * USEC_PER_MSEC);
-	c = done(rig_read(r, 0, 0, nothing));
+	c = wait_done(rig_read(r, 0, 0, nothing));
 	ck_assert(rig_sees(c, 7));
 	ck_assert(!fresh_majority_has(group_fresh(rig_group(r, 0)), c->seen));
 	rig_destroy(r);
@@ -213,12 +216,12 @@
 END_TEST
 
 /*
- * A replica's process dies under a read. Reads change nothing, so it is tried
- * again elsewhere, within its deadline.
+ * A replica's process crashes during a read. Reads change nothing, so the read
+ * is retried at another server within its deadline.
  */
-START_TEST(read_moves_on_when_its_server_dies)
+START_TEST(read_is_retried_when_its_server_crashes)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *calls[20];
 	unsigned i;
 
@@ -229,7 +232,7 @@
 		rig_run_for(r, USEC_PER_MSEC / 2);
 	}
 	for (i = 0; i < G_N_ELEMENTS(calls); i++) {
-		done(calls[i]);
+		wait_done(calls[i]);
 		ck_assert_uint_lt(calls[i]->answered_us - calls[i]->sent_us,
 				  USEC_PER_SEC);
 	}
@@ -237,10 +240,10 @@
 }
 END_TEST
 
-/* A session that has seen what was lost is told so, at once. */
-START_TEST(lost_history_is_told)
+/* A session whose position was lost in a failover gets that error at once. */
+START_TEST(lost_history_is_reported)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	fake_sql_crash(rig_sql(r), 0, false);
@@ -253,19 +256,19 @@
 END_TEST
 
 /*
- * An agent's list waits for a slot of a replica that gets nothing from the
- * primary any more. The answer states its age; without the time in the queue
- * the agent would take the list for younger than it is.
+ * A read waits for a slot of a replica that gets nothing from the primary any
+ * more. The age in the answer must include the time in the queue, or the caller
+ * takes the data for younger than it is.
  */
-START_TEST(told_age_counts_the_queue)
+START_TEST(reported_age_includes_queueing)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c[8];
-	uint64_t cut_us;
+	uint64_t cut_at_us;
 	unsigned i;
 
 	cut_off_primary(r);
-	cut_us = sim_now(rig_sim(r));
+	cut_at_us = sim_now(rig_sim(r));
 	rig_run_for(r, 10 * USEC_PER_MSEC);
 	rig_write(r, 0, 7);
 	rig_run_for(r, 10 * USEC_PER_MSEC);
@@ -277,12 +280,12 @@
 		rig_send(c[i]);
 	}
 	for (i = 0; i < G_N_ELEMENTS(c); i++) {
-		done(c[i]);
+		wait_done(c[i]);
 		if (rig_sees(c[i], 7))
 			continue;
-		/* It saw what it did not before 100 ms of its statement. */
+		/* The age is that at the statement's start, 100 ms ago. */
 		ck_assert_uint_ge(c[i]->age_us + 150 * USEC_PER_MSEC,
-				  c[i]->answered_us - cut_us);
+				  c[i]->answered_us - cut_at_us);
 	}
 	rig_destroy(r);
 }
@@ -293,13 +296,13 @@
 	TCase *t = tcase_create("reads");
 
 	tcase_add_test(t, session_reads_own_write_past_lagging_replicas);
-	tcase_add_test(t, replica_too_old_is_passed_over);
-	tcase_add_test(t, replica_without_news_gets_too_old);
-	tcase_add_test(t, bounds_hold_when_the_read_starts);
-	tcase_add_test(t, server_that_jumped_back_is_noticed);
-	tcase_add_test(t, primary_read_waits_for_what_it_saw);
-	tcase_add_test(t, read_moves_on_when_its_server_dies);
-	tcase_add_test(t, lost_history_is_told);
-	tcase_add_test(t, told_age_counts_the_queue);
+	tcase_add_test(t, stale_replica_is_skipped);
+	tcase_add_test(t, replica_without_confirmation_becomes_stale);
+	tcase_add_test(t, bounds_are_checked_when_the_read_starts);
+	tcase_add_test(t, position_going_back_is_detected);
+	tcase_add_test(t, primary_read_waits_for_majority);
+	tcase_add_test(t, read_is_retried_when_its_server_crashes);
+	tcase_add_test(t, lost_history_is_reported);
+	tcase_add_test(t, reported_age_includes_queueing);
 	return suite_main("group_reads", t);
 }
