--- a/packages/core/tests/test_group_transactions.c
+++ b/packages/core/tests/test_group_transactions.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Long transactions. */
+/* Long transactions: begin, several requests, then commit or rollback. */
 
-static struct rig *make(void)
+static struct rig *create_rig(void)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -29,30 +29,30 @@
 	return c;
 }
 
-/* A request within the transaction that the call began; not sent. */
-static struct rig_call *within(const struct rig_call *began,
-			       enum request_kind kind)
+/* A request in the transaction that began_call began; not sent yet. */
+static struct rig_call *in_transaction(const struct rig_call *began_call,
+				       enum request_kind kind)
 {
-	struct rig_call *c = rig_call(began->rig, 0, ACCESS_WRITE, 0);
+	struct rig_call *c = rig_call(began_call->rig, 0, ACCESS_WRITE, 0);
 	struct request *q = c->request;
 
 	q->kind = kind;
-	q->transaction =
-		request_keep(q, began->transaction, strlen(began->transaction));
+	q->transaction = request_keep(q, began_call->transaction,
+				      strlen(began_call->transaction));
 	return c;
 }
 
-static struct rig_call *run(struct rig_call *c)
+static struct rig_call *send_and_wait(struct rig_call *c)
 {
 	rig_send(c);
 	ck_assert(rig_wait(c->rig, c, 6 * USEC_PER_SEC));
 	return c;
 }
 
-static struct rig_call *write_within(const struct rig_call *began,
-				     uint64_t trip)
+static struct rig_call *write_in_transaction(const struct rig_call *began_call,
+					     uint64_t trip)
 {
-	struct rig_call *c = within(began, REQUEST_IN_TRANSACTION);
+	struct rig_call *c = in_transaction(began_call, REQUEST_IN_TRANSACTION);
 
 	rig_add(c, "WRITE $1", (int64_t)trip);
 	return c;
@@ -60,19 +60,19 @@
 
 START_TEST(commit_stores_what_was_written)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
 	ck_assert_int_eq(b->outcome, OUTCOME_DONE);
 	ck_assert_uint_gt(strlen(b->transaction), 32);
-	c = run(write_within(b, 7));
+	c = send_and_wait(write_in_transaction(b, 7));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 0);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 1);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	ck_assert(c->repeated);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 1);
@@ -83,14 +83,14 @@
 
 START_TEST(rollback_stores_nothing)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	run(write_within(b, 7));
-	c = run(within(b, REQUEST_ROLLBACK));
+	send_and_wait(write_in_transaction(b, 7));
+	c = send_and_wait(in_transaction(b, REQUEST_ROLLBACK));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->code, ERR_NO_SUCH_TRANSACTION);
 	ck_assert_int_eq(c->outcome, OUTCOME_ROLLED_BACK);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 0);
@@ -99,23 +99,23 @@
 END_TEST
 
 /*
- * The commit's answer is lost, and the caller sends it again, under another
- * key or none. Whatever the keys are, the transaction commits once, and the
- * second answer is as true as the first.
+ * The server's answer to the commit is lost, and the caller sends the commit
+ * again, under another key or none. Whatever the keys are, the transaction must
+ * commit once, and both answers must state that.
  */
 START_TEST(lost_commit_answer_is_settled)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	run(write_within(b, 7));
+	send_and_wait(write_in_transaction(b, 7));
 	fake_sql_lose_commits(rig_sql(r), 0, 1);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-	c = run(within(b, REQUEST_ROLLBACK));
+	c = send_and_wait(in_transaction(b, REQUEST_ROLLBACK));
 	ck_assert_int_ne(c->outcome, OUTCOME_ROLLED_BACK);
 	ck_assert_int_ne(c->outcome, OUTCOME_NOT_RUN);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 1);
@@ -124,23 +124,23 @@
 END_TEST
 
 /*
- * An app got no answer to its commit and takes the trip back to be sure. The
- * commit had been done: "done" for the rollback would make the driver enter
- * the trip again, and it would count twice.
+ * A caller got no answer to its commit and rolls back to be sure, but the
+ * commit had succeeded. If the rollback were answered with "done", the caller
+ * would write the same data again, and it would be stored twice.
  */
 START_TEST(rollback_after_the_commit_is_refused)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	run(write_within(b, 7));
-	c = run(within(b, REQUEST_COMMIT));
+	send_and_wait(write_in_transaction(b, 7));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-	c = run(within(b, REQUEST_ROLLBACK));
+	c = send_and_wait(in_transaction(b, REQUEST_ROLLBACK));
 	ck_assert_int_eq(c->code, ERR_TRANSACTION_COMMITTED);
 	ck_assert_int_eq(c->outcome, OUTCOME_UNKNOWN);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 1);
 	rig_destroy(r);
@@ -158,14 +158,14 @@
 }
 
 /*
- * A tax adviser's long transaction reads at a primary whose replicas lack the
- * last trip. That trip may go with the primary, and a session that holds its
- * position could read nothing afterwards. So an answer within waits a moment
- * for a majority, as that of a single read does.
+ * A long transaction reads at a primary whose replicas lack the last write. If
+ * the primary is lost, so is that write, and a session that holds its position
+ * could read nothing afterwards. So an answer in a transaction waits a limited
+ * time for a majority to have what was read, as that of a single read does.
  */
-START_TEST(primary_reads_within_are_confirmed)
+START_TEST(primary_reads_in_transaction_wait_for_majority)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b, *c;
 	unsigned i;
 
@@ -179,7 +179,7 @@
 	ck_assert_uint_eq(b->answers, 0);
 	ck_assert(rig_wait(r, b, USEC_PER_SEC));
 	ck_assert(b->by_primary);
-	c = within(b, REQUEST_IN_TRANSACTION);
+	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "READ", 0);
 	rig_send(c);
 	rig_run_for(r, 100 * USEC_PER_MSEC);
@@ -190,7 +190,7 @@
 	ck_assert(fresh_majority_has(group_fresh(rig_group(r, 0)), c->seen));
 	rig_destroy(r);
 
-	r = make();
+	r = create_rig();
 	group_guards_of(rig_group(r, 0))->confirm_reads = false;
 	for (i = 1; i < 3; i++) {
 		sim_block(rig_sim(r), 0, i, true);
@@ -206,30 +206,30 @@
 END_TEST
 
 /*
- * One member's app names the transaction of another member, by a slip or by
- * intent. It must neither see nor touch what is in it.
+ * A caller names the transaction of another caller, by mistake or on purpose.
+ * It must neither read nor change anything in it.
  */
 START_TEST(another_caller_is_refused)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	c = write_within(b, 8);
+	c = write_in_transaction(b, 8);
 	c->request->caller = STR("truck");
-	run(c);
+	send_and_wait(c);
 	ck_assert_int_eq(c->code, ERR_NOT_YOUR_TRANSACTION);
-	c = within(b, REQUEST_COMMIT);
+	c = in_transaction(b, REQUEST_COMMIT);
 	c->request->caller = STR("truck");
-	run(c);
+	send_and_wait(c);
 	ck_assert_int_eq(c->code, ERR_NOT_YOUR_TRANSACTION);
-	c = run(write_within(b, 7));
+	c = send_and_wait(write_in_transaction(b, 7));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 
 	group_guards_of(rig_group(r, 0))->check_caller = false;
-	c = write_within(b, 8);
+	c = write_in_transaction(b, 8);
 	c->request->caller = STR("truck");
-	run(c);
+	send_and_wait(c);
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	rig_destroy(r);
 }
@@ -237,53 +237,54 @@
 
 START_TEST(one_request_at_a_time)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
-	struct rig_call *slow = within(b, REQUEST_IN_TRANSACTION);
+	struct rig_call *slow = in_transaction(b, REQUEST_IN_TRANSACTION);
 	struct rig_call *c;
 
 	rig_add(slow, "SLOW $1", 100000);
 	rig_send(slow);
 	rig_run_for(r, 10 * USEC_PER_MSEC);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->code, ERR_TRANSACTION_BUSY);
 	ck_assert(rig_wait(r, slow, USEC_PER_SEC));
 	ck_assert_int_eq(slow->outcome, OUTCOME_DONE);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	rig_destroy(r);
 }
 END_TEST
 
 /*
- * A caller begins a transaction and is never heard of again. It holds a slot
- * and locks; after a while it is rolled back and the slot is free.
+ * A caller begins a transaction and sends nothing more. The transaction holds a
+ * slot and locks, so after its idle limit it must be rolled back and the slot
+ * be free.
  */
-START_TEST(idle_one_is_rolled_back)
+START_TEST(idle_transaction_is_rolled_back)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	run(write_within(b, 7));
+	send_and_wait(write_in_transaction(b, 7));
 	ck_assert(!group_is_idle(rig_group(r, 0)));
 	rig_run_for(r, 1100 * USEC_PER_MSEC);
 	ck_assert(group_is_idle(rig_group(r, 0)));
 	ck_assert_uint_eq(
 		admit_running(group_server(rig_group(r, 0), 0)->admit), 0);
-	c = run(write_within(b, 8));
+	c = send_and_wait(write_in_transaction(b, 8));
 	ck_assert_int_eq(c->code, ERR_NO_SUCH_TRANSACTION);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->code, ERR_NO_SUCH_TRANSACTION);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 0);
 	rig_destroy(r);
 }
 END_TEST
 
-/* Transactions may not take all slots: other writes still find one. */
-START_TEST(pinned_share_is_bounded)
+/* Long transactions must leave a slot free for other writes. */
+START_TEST(share_of_long_transactions_is_bounded)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *second = begin(r, ACCESS_WRITE);
 	struct rig_call *w;
@@ -294,54 +295,54 @@
 	w = rig_write(r, 0, 7);
 	ck_assert(rig_wait(r, w, USEC_PER_SEC));
 	ck_assert_int_eq(w->outcome, OUTCOME_DONE);
-	run(within(b, REQUEST_ROLLBACK));
+	send_and_wait(in_transaction(b, REQUEST_ROLLBACK));
 	b = begin(r, ACCESS_WRITE);
 	ck_assert_int_eq(b->outcome, OUTCOME_DONE);
 	rig_destroy(r);
 }
 END_TEST
 
-START_TEST(refused_statement_ends_it)
+START_TEST(failed_statement_rolls_back_transaction)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	run(write_within(b, 7));
-	c = within(b, REQUEST_IN_TRANSACTION);
+	send_and_wait(write_in_transaction(b, 7));
+	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "FAIL", 0);
-	run(c);
+	send_and_wait(c);
 	ck_assert_int_eq(c->outcome, OUTCOME_ROLLED_BACK);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_ROLLED_BACK);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 0);
 	rig_destroy(r);
 }
 END_TEST
 
-/* The primary's process dies under a transaction; its server rolls it back. */
-START_TEST(broken_connection_ends_it)
+/* The primary's process crashes during a transaction, which rolls it back. */
+START_TEST(broken_connection_rolls_back_transaction)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *b = begin(r, ACCESS_WRITE);
 	struct rig_call *c;
 
-	run(write_within(b, 7));
+	send_and_wait(write_in_transaction(b, 7));
 	fake_sql_crash(rig_sql(r), 0, false);
 	rig_run_for(r, 10 * USEC_PER_MSEC);
-	c = run(write_within(b, 8));
+	c = send_and_wait(write_in_transaction(b, 8));
 	ck_assert_int_eq(c->code, ERR_NO_SUCH_TRANSACTION);
 	ck_assert_int_eq(c->outcome, OUTCOME_ROLLED_BACK);
-	c = run(within(b, REQUEST_COMMIT));
+	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_ROLLED_BACK);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), rig_primary(r), 7), 0);
 	rig_destroy(r);
 }
 END_TEST
 
-START_TEST(reads_stay_on_their_server)
+START_TEST(reads_in_transaction_stay_on_their_server)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *w = rig_write(r, 0, 7);
 	struct rig_call *b, *c;
 
@@ -349,18 +350,18 @@
 	rig_run_for(r, 100 * USEC_PER_MSEC);
 	b = begin(r, ACCESS_READ);
 	ck_assert_int_eq(b->outcome, OUTCOME_DONE);
-	c = within(b, REQUEST_IN_TRANSACTION);
+	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "READ", 0);
-	run(c);
+	send_and_wait(c);
 	ck_assert(rig_sees(c, 7));
 	ck_assert_str_eq(c->server, b->server);
-	/* What it sees may be as old as its first snapshot. */
+	/* Its data may be as old as the transaction's first snapshot. */
 	rig_run_for(r, 300 * USEC_PER_MSEC);
-	c = within(b, REQUEST_IN_TRANSACTION);
+	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "READ", 0);
-	run(c);
+	send_and_wait(c);
 	ck_assert_uint_ge(c->age_us, 300 * USEC_PER_MSEC);
-	c = run(write_within(b, 8));
+	c = send_and_wait(write_in_transaction(b, 8));
 	ck_assert_int_eq(c->code, ERR_READ_ONLY);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 8), 0);
 	rig_destroy(r);
@@ -368,13 +369,13 @@
 END_TEST
 
 /*
- * An agent corrects a code in a long transaction, sees there what a colleague
- * saved a moment before, and takes the correction back. The next list, at a
- * replica that lags, must not be from before that: a session never goes back.
+ * A session reads another caller's recent write in a long write transaction and
+ * rolls the transaction back. Its next read, at a replica that lags, must not
+ * be from before that write: a session never goes back in time.
  */
-START_TEST(what_a_write_transaction_saw_is_kept)
+START_TEST(reads_in_write_transaction_raise_the_session)
 {
-	struct rig *r = make();
+	struct rig *r = create_rig();
 	struct rig_call *w, *b, *c;
 
 	fdb_set_lag(rig_db(r), 1, USEC_PER_SEC);
@@ -382,11 +383,11 @@
 	w = rig_write(r, 0, 7);
 	ck_assert(rig_wait(r, w, USEC_PER_SEC));
 	b = begin(r, ACCESS_WRITE);
-	c = within(b, REQUEST_IN_TRANSACTION);
+	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "READ", 0);
-	run(c);
+	send_and_wait(c);
 	ck_assert(rig_sees(c, 7));
-	run(within(b, REQUEST_ROLLBACK));
+	send_and_wait(in_transaction(b, REQUEST_ROLLBACK));
 	c = rig_read(r, 0, 60 * USEC_PER_SEC, c->seen);
 	ck_assert(rig_wait(r, c, 3 * USEC_PER_SEC));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
@@ -403,14 +404,14 @@
 	tcase_add_test(t, rollback_stores_nothing);
 	tcase_add_test(t, lost_commit_answer_is_settled);
 	tcase_add_test(t, rollback_after_the_commit_is_refused);
-	tcase_add_test(t, primary_reads_within_are_confirmed);
+	tcase_add_test(t, primary_reads_in_transaction_wait_for_majority);
 	tcase_add_test(t, another_caller_is_refused);
 	tcase_add_test(t, one_request_at_a_time);
-	tcase_add_test(t, idle_one_is_rolled_back);
-	tcase_add_test(t, pinned_share_is_bounded);
-	tcase_add_test(t, refused_statement_ends_it);
-	tcase_add_test(t, broken_connection_ends_it);
-	tcase_add_test(t, reads_stay_on_their_server);
-	tcase_add_test(t, what_a_write_transaction_saw_is_kept);
+	tcase_add_test(t, idle_transaction_is_rolled_back);
+	tcase_add_test(t, share_of_long_transactions_is_bounded);
+	tcase_add_test(t, failed_statement_rolls_back_transaction);
+	tcase_add_test(t, broken_connection_rolls_back_transaction);
+	tcase_add_test(t, reads_in_transaction_stay_on_their_server);
+	tcase_add_test(t, reads_in_write_transaction_raise_the_session);
 	return suite_main("group_transactions", t);
 }
--- a/packages/core/tests/test_group_writes.c
+++ b/packages/core/tests/test_group_writes.c
@@ -3,9 +3,9 @@
 #include <celeryquay/suite.h>
 #include <stdlib.h>
 
-/* Writes under failures; what is told must be true, whatever comes. */
+/* Writes under failures: the outcome in each answer must be true. */
 
-static struct rig *make(unsigned n_homes)
+static struct rig *create_rig(unsigned n_homes)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -23,13 +23,13 @@
 }
 
 /*
- * A plumber saves a trip; the server commits it, and its answer is lost with
- * the connection. The trip stands, so "not run" would be false, and a second
- * try would store it twice.
+ * The server commits a write, and its answer is lost with the connection. The
+ * write is stored, so "not run" would be false, and a second try would store it
+ * twice.
  */
 START_TEST(lost_commit_answer_is_settled)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	fake_sql_lose_commits(rig_sql(r), 0, 1);
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-/* Cuts the primary off from its replicas; the home still reaches all. */
+/* Cuts the primary off from its replicas; the home still reaches all three. */
 static void cut_off_primary(struct rig *r)
 {
 	int i;
@@ -61,13 +61,13 @@
 }
 
 /*
- * A partition leaves the primary without its replicas; it believes that it
- * leads and commits. Then another one is promoted, and what the old one has
- * committed is gone. The caller must not have been told "done".
+ * A partition cuts the primary off from its replicas, but it still believes
+ * that it leads and commits. Then a replica is promoted, and what the old
+ * primary has committed is lost. The write must not have been answered "done".
  */
 START_TEST(isolated_primary_acknowledges_nothing)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	cut_off_primary(r);
@@ -81,7 +81,7 @@
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), rig_primary(r), 7), 0);
 	rig_destroy(r);
 
-	r = make(1);
+	r = create_rig(1);
 	guards(r, 0)->confirm_writes = false;
 	cut_off_primary(r);
 	c = rig_write(r, 0, 7);
@@ -94,12 +94,12 @@
 END_TEST
 
 /*
- * Both replicas are gone. A write would run and end as unknown, for no
- * majority can have it: it is refused before it runs, at once.
+ * Both replicas are down. A write would run and its outcome be unknown, since
+ * no majority can have it, so it must be refused at once, before it runs.
  */
 START_TEST(write_without_majority_is_refused_early)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	fake_sql_crash(rig_sql(r), 1, false);
@@ -116,12 +116,13 @@
 END_TEST
 
 /*
- * A settled outcome was found on a primary that is cut off from its replicas.
- * Its row may be lost with it, so it must not be told before a majority has it.
+ * A repeated write finds the first one's outcome row on a primary that is cut
+ * off from its replicas. The row may be lost with the primary, so the outcome
+ * must not be answered before a majority has the row.
  */
-START_TEST(repeat_is_confirmed_as_a_write_is)
+START_TEST(repeated_write_waits_for_majority)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *first, *again;
 
 	cut_off_primary(r);
@@ -140,12 +141,12 @@
 END_TEST
 
 /*
- * The primary's process dies while trips come in. They wait for the next
- * primary instead of failing, as long as their deadlines allow.
+ * The primary's process crashes while writes arrive. They must wait for the
+ * next primary instead of failing, as long as their deadlines allow.
  */
 START_TEST(writes_wait_for_the_next_primary)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	fake_sql_crash(rig_sql(r), 0, false);
@@ -161,12 +162,13 @@
 END_TEST
 
 /*
- * The caller's statement would end the transaction by itself: what follows
- * would be stored although the answer says "rolled back". Nothing is run.
+ * A caller's statement would end the transaction by itself, and the others
+ * would be stored although the answer says "rolled back". Such a request must
+ * be refused before anything is run.
  */
 START_TEST(transaction_control_is_refused)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c = rig_call(r, 0, ACCESS_WRITE, 7);
 
 	rig_add(c, "WRITE $1", 7);
@@ -189,12 +191,12 @@
 END_TEST
 
 /*
- * A statement commits although its first word doesn't tell. A part of the
- * transaction is stored; "done" would be as false as "not run".
+ * A statement commits although its first word does not show it. A part of the
+ * transaction is stored, so "done" would be as false as "not run".
  */
-START_TEST(split_transaction_is_noticed)
+START_TEST(split_transaction_is_detected)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c = rig_call(r, 0, ACCESS_WRITE, 7);
 
 	rig_add(c, "WRITE $1", 7);
@@ -225,8 +227,8 @@
 }
 END_TEST
 
-/* A trip at home 0, sent again to home 1 when home 0 falls silent. */
-static struct rig_call *resend_past_silent_home(struct rig *r,
+/* A write at home 0, sent again to home 1 when home 0 does not answer. */
+static struct rig_call *resend_past_paused_home(struct rig *r,
 						struct rig_call **first)
 {
 	struct rig_call *again;
@@ -248,14 +250,14 @@
 }
 
 /*
- * A proxy is paused in the middle of a plumber's write, whose claim of the key
- * blocks the one that was sent to the next proxy. That one's time runs out; if
- * it told "rolled back", the first would wake up and commit.
+ * A proxy is paused in the middle of a write, whose claim of the key blocks the
+ * resent write at the next proxy until that one's deadline. If the resent write
+ * were answered "rolled back", the first could still commit after the pause.
  */
 START_TEST(refusal_of_a_resent_write_is_settled)
 {
-	struct rig *r = make(2);
-	struct rig_call *first, *again = resend_past_silent_home(r, &first);
+	struct rig *r = create_rig(2);
+	struct rig_call *first, *again = resend_past_paused_home(r, &first);
 
 	ck_assert_uint_eq(again->answers, 1);
 	if (fake_count_trip(rig_sql(r), rig_primary(r), 7))
@@ -263,33 +265,33 @@
 			  again->outcome == OUTCOME_DONE);
 	rig_destroy(r);
 
-	r = make(2);
+	r = create_rig(2);
 	guards(r, 1)->settle_resends = false;
-	again = resend_past_silent_home(r, &first);
+	again = resend_past_paused_home(r, &first);
 	ck_assert_int_eq(again->outcome, OUTCOME_ROLLED_BACK);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), rig_primary(r), 7), 1);
 	rig_destroy(r);
 }
 END_TEST
 
-/* Another proxy asks what became of a write that it had sent here. */
-START_TEST(settle_request_tells_done_or_never)
+/* Another proxy asks for the outcome of a write that it had sent here. */
+START_TEST(settle_request_returns_done_or_not_run)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *w = rig_write(r, 0, 7);
 	struct rig_call *done = rig_call(r, 0, ACCESS_WRITE, 7);
-	struct rig_call *never = rig_call(r, 0, ACCESS_WRITE, 8);
+	struct rig_call *not_run = rig_call(r, 0, ACCESS_WRITE, 8);
 
 	ck_assert(rig_wait(r, w, USEC_PER_SEC));
 	done->request->kind = REQUEST_SETTLE;
 	rig_send(done);
-	never->request->kind = REQUEST_SETTLE;
-	rig_send(never);
+	not_run->request->kind = REQUEST_SETTLE;
+	rig_send(not_run);
 	ck_assert(rig_wait(r, done, USEC_PER_SEC));
-	ck_assert(rig_wait(r, never, USEC_PER_SEC));
+	ck_assert(rig_wait(r, not_run, USEC_PER_SEC));
 	ck_assert_int_eq(done->outcome, OUTCOME_DONE);
 	ck_assert(done->repeated);
-	ck_assert_int_eq(never->code, ERR_SETTLED_NOT_RUN);
+	ck_assert_int_eq(not_run->code, ERR_SETTLED_NOT_RUN);
 	w = rig_write(r, 0, 8);
 	ck_assert(rig_wait(r, w, USEC_PER_SEC));
 	ck_assert_int_eq(w->code, ERR_SETTLED_NOT_RUN);
@@ -299,12 +301,13 @@
 END_TEST
 
 /*
- * The commit was sent, then every server was cut off from the proxy. Nothing
- * can be learned; the caller is told so, at its deadline and not later.
+ * The proxy is cut off from every server after it has sent the commit, so it
+ * cannot find out the outcome. The caller must get the unknown outcome at its
+ * deadline and not later.
  */
-START_TEST(unknown_is_told_by_the_deadline)
+START_TEST(unknown_outcome_is_answered_by_the_deadline)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c = rig_write(r, 0, 7);
 
 	while (!rig_group(r, 0)->runs[RUN_COMMITTING].length)
@@ -318,8 +321,11 @@
 }
 END_TEST
 
-/* A write whose commit is done, but told as unknown; then replicas go. */
-static struct rig_call *repeat_of_unknown(struct rig *r)
+/*
+ * A write is committed, but answered as unknown; then it is sent again while
+ * the proxy reaches only the primary. Returns the second call.
+ */
+static struct rig_call *repeat_unknown_write(struct rig *r)
 {
 	struct rig_call *c = rig_call(r, 0, ACCESS_WRITE, 7);
 	int node = rig_node(r, 0);
@@ -343,14 +349,15 @@
 }
 
 /*
- * A trip was stored, but its caller was told "unknown" and sends it again
- * under its key. Now the proxy reaches no majority and refuses before it runs.
- * "Not run" would make the caller store the trip under a new key.
+ * A write was stored, but answered as unknown, and its caller sends it again
+ * under its key. Now the proxy reaches no majority and refuses the write before
+ * it runs. If the answer said "not run", the caller would store the data a
+ * second time under a new key.
  */
 START_TEST(refusal_after_unknown_is_settled)
 {
-	struct rig *r = make(1);
-	struct rig_call *c = repeat_of_unknown(r);
+	struct rig *r = create_rig(1);
+	struct rig_call *c = repeat_unknown_write(r);
 
 	ck_assert_int_eq(c->outcome, OUTCOME_UNKNOWN);
 	sim_heal(rig_sim(r));
@@ -361,9 +368,9 @@
 	ck_assert(c->repeated);
 	rig_destroy(r);
 
-	r = make(1);
+	r = create_rig(1);
 	guards(r, 0)->remember_unknown = false;
-	c = repeat_of_unknown(r);
+	c = repeat_unknown_write(r);
 	ck_assert_int_eq(c->code, ERR_NO_MAJORITY);
 	ck_assert_int_eq(c->outcome, OUTCOME_NOT_RUN);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 7), 1);
@@ -371,28 +378,28 @@
 }
 END_TEST
 
-/* A write of the trip that takes so long, under the trip's key. */
+/* Sends a write of the trip, under the trip's key, that takes duration_us. */
 static struct rig_call *slow_write(struct rig *r, uint64_t trip,
-				   uint64_t took_us, uint64_t deadline_us)
+				   uint64_t duration_us, uint64_t deadline_us)
 {
 	struct rig_call *c = rig_call(r, 0, ACCESS_WRITE, trip);
 
 	rig_add(c, "WRITE $1", (int64_t)trip);
-	rig_add(c, "SLOW $1", (int64_t)took_us);
+	rig_add(c, "SLOW $1", (int64_t)duration_us);
 	c->request->deadline_left_us = deadline_us;
 	rig_send(c);
 	return c;
 }
 
 /*
- * A phone gives up on a slow save and sends it again under its key, while the
- * first try still runs. The second one waits for the first one's key until its
- * deadline. "Rolled back" would be taken for the truth about the trip, which
- * is stored a moment later.
+ * A client gives up on a slow write and sends it again under its key, while the
+ * first try still runs. The second one waits until its deadline for the key
+ * that the first one holds. "Rolled back" would be false: the first try stores
+ * the write a moment later.
  */
-START_TEST(repeat_beside_the_first_try_is_settled)
+START_TEST(resend_during_the_first_try_is_settled)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *first, *second;
 
 	first = slow_write(r, 7, USEC_PER_SEC, 3 * USEC_PER_SEC);
@@ -420,14 +427,15 @@
 END_TEST
 
 /*
- * A phone was told "unknown" and sends its trip again, while its home stops.
- * The next home that is asked knows nothing of that: its "no primary" would be
- * told as "not run", though the trip may stand. The stopping home has to say
- * that the key may stand, so that the entry asks for it to be settled.
+ * A write was answered as unknown, and its client sends it again while its home
+ * stops. The next home does not know of the first try: its "no primary" would
+ * be answered as "not run", though the write may be stored. The stopping home
+ * must report that the key's write may be stored, so that the entry proxy has
+ * the outcome settled.
  */
-START_TEST(stopping_home_tells_of_an_unknown_key)
+START_TEST(stopping_home_reports_key_of_unknown_outcome)
 {
-	struct rig *r = make(1);
+	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
 	cut_off_primary(r);
@@ -457,15 +465,15 @@
 	tcase_add_test(t, lost_commit_answer_is_settled);
 	tcase_add_test(t, isolated_primary_acknowledges_nothing);
 	tcase_add_test(t, write_without_majority_is_refused_early);
-	tcase_add_test(t, repeat_is_confirmed_as_a_write_is);
+	tcase_add_test(t, repeated_write_waits_for_majority);
 	tcase_add_test(t, writes_wait_for_the_next_primary);
 	tcase_add_test(t, transaction_control_is_refused);
-	tcase_add_test(t, split_transaction_is_noticed);
+	tcase_add_test(t, split_transaction_is_detected);
 	tcase_add_test(t, refusal_of_a_resent_write_is_settled);
-	tcase_add_test(t, settle_request_tells_done_or_never);
-	tcase_add_test(t, unknown_is_told_by_the_deadline);
+	tcase_add_test(t, settle_request_returns_done_or_not_run);
+	tcase_add_test(t, unknown_outcome_is_answered_by_the_deadline);
 	tcase_add_test(t, refusal_after_unknown_is_settled);
-	tcase_add_test(t, repeat_beside_the_first_try_is_settled);
-	tcase_add_test(t, stopping_home_tells_of_an_unknown_key);
+	tcase_add_test(t, resend_during_the_first_try_is_settled);
+	tcase_add_test(t, stopping_home_reports_key_of_unknown_outcome);
 	return suite_main("group_writes", t);
 }
