--- a/packages/core/tests/test_homes.c
+++ b/packages/core/tests/test_homes.c
@@ -6,7 +6,7 @@
 
 #define N_PROXIES 16
 #define N_DATABASES 2000
-#define HOMES 2
+#define N_HOMES 2
 
 static struct server_conf servers[] = {
 	{ .data_centre = "hall-a", .region = "fi-south" },
@@ -41,7 +41,7 @@
 	return homes_rank(&db, all, n, out, max);
 }
 
-START_TEST(test_near_ones_first_leaving_ones_last)
+START_TEST(test_near_proxies_first_leaving_ones_last)
 {
 	unsigned out[N_PROXIES];
 	unsigned i;
@@ -59,8 +59,8 @@
 }
 END_TEST
 
-/* Those in a server's data centre draw twice. */
-START_TEST(test_load_follows_weights)
+/* Proxies in the data centre of a server have twice the weight. */
+START_TEST(test_databases_follow_weights)
 {
 	unsigned count[N_PROXIES] = { 0 };
 	unsigned out[1];
@@ -79,14 +79,14 @@
 END_TEST
 
 /*
- * Story: one of many proxies is replaced and every database's connections are
- * opened anew elsewhere. Cause: homes that depend on how many proxies there
- * are. Here only the lost proxy's databases may move.
+ * If homes depended on the number of proxies, the loss of one of many would
+ * move every database, and all server connections would be opened again
+ * elsewhere. Only the lost proxy's databases may move.
  */
 START_TEST(test_only_the_lost_proxys_databases_move)
 {
 	struct home_candidate fewer[N_PROXIES - 1];
-	unsigned before[HOMES], after[HOMES];
+	unsigned before[N_HOMES], after[N_HOMES];
 	unsigned moved = 0;
 	unsigned i, k;
 
@@ -97,8 +97,8 @@
 	for (i = 0; i < N_DATABASES; i++) {
 		const char *old, *new;
 
-		rank(i, proxies, N_PROXIES, before, HOMES);
-		rank(i, fewer, N_PROXIES - 1, after, HOMES);
+		rank(i, proxies, N_PROXIES, before, N_HOMES);
+		rank(i, fewer, N_PROXIES - 1, after, N_HOMES);
 		old = proxies[before[0]].name;
 		new = fewer[after[0]].name;
 		if (before[0] == 5) {
@@ -114,19 +114,19 @@
 START_TEST(test_order_of_candidates_does_not_matter)
 {
 	struct home_candidate reversed[N_PROXIES];
-	unsigned a[HOMES], b[HOMES];
+	unsigned a[N_HOMES], b[N_HOMES];
 	unsigned i;
 
 	for (i = 0; i < N_PROXIES; i++)
 		reversed[i] = proxies[N_PROXIES - 1 - i];
 	for (i = 0; i < 200; i++) {
-		rank(i, proxies, N_PROXIES, a, HOMES);
-		rank(i, reversed, N_PROXIES, b, HOMES);
+		rank(i, proxies, N_PROXIES, a, N_HOMES);
+		rank(i, reversed, N_PROXIES, b, N_HOMES);
 		ck_assert_str_eq(proxies[a[0]].name, reversed[b[0]].name);
 		ck_assert_str_eq(proxies[a[1]].name, reversed[b[1]].name);
 	}
-	ck_assert_uint_eq(rank(1, proxies, 1, a, HOMES), 1);
-	ck_assert_uint_eq(rank(1, proxies, 0, a, HOMES), 0);
+	ck_assert_uint_eq(rank(1, proxies, 1, a, N_HOMES), 1);
+	ck_assert_uint_eq(rank(1, proxies, 0, a, N_HOMES), 0);
 }
 END_TEST
 
@@ -135,8 +135,8 @@
 	TCase *t = tcase_create("homes");
 
 	tcase_add_checked_fixture(t, setup, NULL);
-	tcase_add_test(t, test_near_ones_first_leaving_ones_last);
-	tcase_add_test(t, test_load_follows_weights);
+	tcase_add_test(t, test_near_proxies_first_leaving_ones_last);
+	tcase_add_test(t, test_databases_follow_weights);
 	tcase_add_test(t, test_only_the_lost_proxys_databases_move);
 	tcase_add_test(t, test_order_of_candidates_does_not_matter);
 	return suite_main("homes", t);
--- a/packages/core/tests/test_member.c
+++ b/packages/core/tests/test_member.c
@@ -6,59 +6,62 @@
 
 #define SEC USEC_PER_SEC
 
-/* What the hooks have seen, and which ways they block. */
-struct seen {
+/* What the fleet's hooks have counted, and which messages they block. */
+struct hook_state {
 	struct fleet *fleet;
-	unsigned suspects;
-	unsigned deaths;
-	unsigned deaths_of[16];
-	int deaf; /* nothing reaches this node; -1: none */
-	int cut_a, cut_b; /* no message passes between these two */
+	unsigned suspects; /* reports of a suspect member, by any node */
+	unsigned deaths; /* reports of a dead member, by any node */
+	unsigned deaths_of[16]; /* the same by the dead member's index */
+	int rx_blocked_node; /* receives no message; -1: none */
+	int cut_a, cut_b; /* ends of a broken link; -1: none */
 };
 
 static void on_changed(void *ctx, unsigned node, const struct member_info *m)
 {
-	struct seen *seen = ctx;
+	struct hook_state *hook_state = ctx;
 	unsigned index = (unsigned)strtoul(m->name + 1, NULL, 10);
 
 	(void)node;
-	seen->suspects += m->state == MEMBER_SUSPECT;
+	hook_state->suspects += m->state == MEMBER_SUSPECT;
 	if (m->state != MEMBER_DEAD)
 		return;
-	seen->deaths++;
-	if (index < G_N_ELEMENTS(seen->deaths_of))
-		seen->deaths_of[index]++;
+	hook_state->deaths++;
+	if (index < G_N_ELEMENTS(hook_state->deaths_of))
+		hook_state->deaths_of[index]++;
 }
 
 static bool is_blocked(void *ctx, unsigned from, unsigned to)
 {
-	struct seen *seen = ctx;
+	struct hook_state *hook_state = ctx;
 	int a = (int)from, b = (int)to;
 
-	return b == seen->deaf || (a == seen->cut_a && b == seen->cut_b) ||
-	       (a == seen->cut_b && b == seen->cut_a);
+	return b == hook_state->rx_blocked_node ||
+	       (a == hook_state->cut_a && b == hook_state->cut_b) ||
+	       (a == hook_state->cut_b && b == hook_state->cut_a);
 }
 
 static const struct fleet_hooks hooks = { .changed = on_changed,
 					  .blocked = is_blocked };
 
-static bool all_agree(struct fleet *f, void *ctx)
+static bool views_agree(struct fleet *f, void *ctx)
 {
 	(void)ctx;
 	return fleet_wrong_views(f) == 0;
 }
 
-/* A fleet whose nodes all know each other. */
-static struct fleet *start_fleet(struct fleet_settings *s, struct seen *seen)
+/* Starts a fleet and runs it until all nodes know each other. */
+static struct fleet *start_fleet(struct fleet_settings *s,
+				 struct hook_state *hook_state)
 {
 	struct fleet *f;
 
-	memset(seen, 0, sizeof(*seen));
-	seen->deaf = seen->cut_a = seen->cut_b = -1;
-	f = fleet_create(s, &hooks, seen);
-	seen->fleet = f;
+	memset(hook_state, 0, sizeof(*hook_state));
+	hook_state->rx_blocked_node = hook_state->cut_a = hook_state->cut_b =
+		-1;
+	f = fleet_create(s, &hooks, hook_state);
+	hook_state->fleet = f;
 	fleet_start_all(f, 0, s->n);
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC / 10, 60 * SEC));
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10, 60 * SEC));
 	fleet_run(f, 5 * SEC);
 	return f;
 }
@@ -74,17 +77,17 @@
 	return true;
 }
 
-START_TEST(nodes_find_each_other_and_stay)
+START_TEST(nodes_join_and_stay_alive)
 {
 	struct fleet_settings s;
 	struct fleet_counts counts;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	unsigned i;
 
 	fleet_settings_default(&s, 60);
 	s.data_centres = 4;
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	ck_assert(all_joined(f, &s.n));
 	for (i = 1; i < members_count(fleet_members(f, 7)); i++)
 		ck_assert_int_lt(
@@ -94,7 +97,7 @@
 	fleet_reset_counts(f);
 	fleet_run(f, 60 * SEC);
 	fleet_counts(f, &counts);
-	ck_assert_uint_eq(seen.suspects, 0);
+	ck_assert_uint_eq(hook_state.suspects, 0);
 	ck_assert_uint_eq(counts.malformed, 0);
 	ck_assert_uint_le(counts.largest[FLEET_GOSSIP],
 			  s.members.max_message_bytes);
@@ -104,7 +107,7 @@
 }
 END_TEST
 
-START_TEST(lone_node_takes_itself_for_the_first)
+START_TEST(lone_node_has_joined_when_no_seed_answers)
 {
 	struct fleet_settings s;
 	struct fleet *f;
@@ -121,26 +124,26 @@
 END_TEST
 
 /*
- * A home's VM is lost. Its databases have no home until the others notice, so
- * a caller waits for just that long. All must notice within seconds, and
- * nobody else may be taken for dead on the way.
+ * The VM of a home is lost. Its databases have no home, and their callers wait,
+ * until the other nodes have detected that. All must do so within seconds, and
+ * none may declare another node dead meanwhile.
  */
-START_TEST(crashed_node_is_dead_everywhere_within_seconds)
+START_TEST(crashed_node_is_dead_in_all_views_within_seconds)
 {
 	unsigned sizes[] = { 3, 8, 60 };
 	unsigned k, i;
 
 	for (k = 0; k < G_N_ELEMENTS(sizes); k++) {
 		struct fleet_settings s;
-		struct seen seen;
+		struct hook_state hook_state;
 		struct fleet *f;
 
 		fleet_settings_default(&s, sizes[k]);
-		f = start_fleet(&s, &seen);
+		f = start_fleet(&s, &hook_state);
 		fleet_kill(f, 1);
-		ck_assert(
-			fleet_run_until(f, all_agree, NULL, SEC / 10, 9 * SEC));
-		ck_assert_uint_eq(seen.deaths, sizes[k] - 1);
+		ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10,
+					  9 * SEC));
+		ck_assert_uint_eq(hook_state.deaths, sizes[k] - 1);
 		for (i = 0; i < sizes[k]; i++) {
 			if (i != 1)
 				ck_assert_int_eq(fleet_view(f, i, 1),
@@ -152,30 +155,30 @@
 END_TEST
 
 /*
- * The hypervisor stops a VM for a minute; the others declare it dead. When it
- * goes on, its clock has jumped and all its probes are unanswered. It must not
- * declare the others dead, and must be back in all tables soon.
+ * The hypervisor pauses a VM for a minute, and the others declare it dead. When
+ * it resumes, its clock has jumped and all its probes are unanswered. It must
+ * not declare the others dead, and must be alive in all tables soon.
  */
-START_TEST(paused_node_comes_back_and_blames_nobody)
+START_TEST(paused_node_returns_and_declares_none_dead)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	uint64_t before;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	before = members_self(fleet_members(f, 3))->incarnation;
 	fleet_pause(f, 3, true);
 	fleet_run(f, 60 * SEC);
-	ck_assert_uint_eq(seen.deaths, 7);
+	ck_assert_uint_eq(hook_state.deaths, 7);
 	ck_assert_int_eq(fleet_view(f, 0, 3), MEMBER_DEAD);
 	fleet_pause(f, 3, false);
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC / 10, 10 * SEC));
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10, 10 * SEC));
 	fleet_run(f, 30 * SEC);
 	ck_assert_uint_eq(fleet_wrong_views(f), 0);
-	ck_assert_uint_eq(seen.deaths, 7);
-	ck_assert_uint_eq(seen.deaths_of[3], 7);
+	ck_assert_uint_eq(hook_state.deaths, 7);
+	ck_assert_uint_eq(hook_state.deaths_of[3], 7);
 	ck_assert_uint_gt(members_self(fleet_members(f, 3))->incarnation,
 			  before);
 	fleet_destroy(f);
@@ -183,19 +186,20 @@
 END_TEST
 
 /*
- * A process is restarted under its name and address within a second, so that
- * nobody missed it. Connections to the old process are dead and its homes are
- * empty: the others must hear at once that this is a new one.
+ * A process is restarted under its name and address within a second, too soon
+ * for the others to detect its absence. Connections to the old process are
+ * broken and its homes are empty, so the others must learn at once that this is
+ * a new process.
  */
 START_TEST(restarted_process_replaces_the_old_one)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	uint64_t old, changes;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	old = members_find(fleet_members(f, 0), "n0005")->incarnation;
 	changes = members_changes(fleet_members(f, 0));
 	fleet_kill(f, 5);
@@ -207,30 +211,30 @@
 	ck_assert_uint_gt(members_changes(fleet_members(f, 0)), changes);
 	ck_assert_uint_eq(fleet_wrong_views(f), 0);
 	fleet_run(f, 30 * SEC);
-	ck_assert_uint_eq(seen.deaths, 0);
+	ck_assert_uint_eq(hook_state.deaths, 0);
 	fleet_destroy(f);
 }
 END_TEST
 
 /*
- * A VM is replaced and its clock stands an hour behind, so that the new
- * process starts with an incarnation below that of the old one, which the
- * others hold for dead. It must be seen all the same.
+ * A VM is replaced by one whose clock is an hour behind. The new process starts
+ * with an incarnation below that of the old one, which the others have declared
+ * dead. It must become alive in all tables nevertheless.
  */
-START_TEST(restart_with_a_clock_set_back_is_seen)
+START_TEST(restart_with_a_clock_set_back_is_alive)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	fleet_kill(f, 2);
 	fleet_run(f, 20 * SEC);
 	ck_assert_int_eq(fleet_view(f, 0, 2), MEMBER_DEAD);
 	fleet_clock(f, 2, -3600 * (int64_t)SEC);
 	fleet_start(f, 2);
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC / 10, 10 * SEC));
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10, 10 * SEC));
 	fleet_run(f, 30 * SEC);
 	ck_assert_uint_eq(fleet_wrong_views(f), 0);
 	fleet_destroy(f);
@@ -238,98 +242,100 @@
 END_TEST
 
 /*
- * Two regions lose each other for an hour, and each holds the other's nodes
- * for dead. When the network is whole again callers of one region still get
- * no service from homes in the other until they have found each other, and
- * while the tables merge no node may lose those of its own side.
+ * Two regions are partitioned for an hour, and each declares the other's nodes
+ * dead. After the partition callers of one region get no service from homes in
+ * the other until the nodes have found each other again. While the tables merge
+ * no node may declare nodes of its own side dead.
  */
-START_TEST(regions_find_each_other_after_an_hour)
+START_TEST(regions_rejoin_after_partition_of_an_hour)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	unsigned i;
 
 	fleet_settings_default(&s, 40);
 	s.data_centres = 4;
 	s.regions = 2;
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	for (i = 0; i < s.n; i += 2)
 		fleet_group(f, i, 1);
 	fleet_run(f, 3600 * SEC);
-	ck_assert_uint_eq(seen.deaths, 800);
+	ck_assert_uint_eq(hook_state.deaths, 800);
 	ck_assert_int_eq(fleet_view(f, 0, 1), MEMBER_DEAD);
 	for (i = 0; i < s.n; i += 2)
 		fleet_group(f, i, 0);
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC, 60 * SEC));
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC, 60 * SEC));
 	fleet_run(f, 60 * SEC);
-	ck_assert_uint_eq(seen.deaths, 800);
+	ck_assert_uint_eq(hook_state.deaths, 800);
 	fleet_destroy(f);
 }
 END_TEST
 
 /*
- * A side was away for longer than the dead are remembered. Nobody has a name
- * to try any more; only the seeds of the settings lead back.
+ * A partition lasts longer than dead members are kept in the tables, so no node
+ * knows a member of the other side to probe. Only the seeds in the settings
+ * reconnect the two sides.
  */
-START_TEST(seeds_lead_back_after_the_dead_are_forgotten)
+START_TEST(seeds_reconnect_after_the_dead_are_forgotten)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	unsigned i;
 
 	fleet_settings_default(&s, 12);
 	s.members.forget_dead_us = 120 * SEC;
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	for (i = 6; i < s.n; i++)
 		fleet_group(f, i, 1);
 	fleet_run(f, 600 * SEC);
 	ck_assert_uint_eq(members_count(fleet_members(f, 8)), 6);
 	for (i = 6; i < s.n; i++)
 		fleet_group(f, i, 0);
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC, 120 * SEC));
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC, 120 * SEC));
 	fleet_destroy(f);
 }
 END_TEST
 
 /*
- * One message in a hundred is lost for ten minutes. Nobody may be taken for
- * dead, else homes would move about all the time for nothing.
+ * One message in a hundred is lost for ten minutes, then one in ten for one
+ * minute. No node may be declared dead, or homes would move for no reason all
+ * the time.
  */
-START_TEST(loss_kills_nobody)
+START_TEST(message_loss_causes_no_death)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 
 	fleet_settings_default(&s, 60);
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	fleet_loss(f, 0.01);
 	fleet_run(f, 600 * SEC);
-	ck_assert_uint_eq(seen.deaths, 0);
+	ck_assert_uint_eq(hook_state.deaths, 0);
 	fleet_loss(f, 0.10);
 	fleet_run(f, 60 * SEC);
-	ck_assert_uint_eq(seen.deaths, 0);
+	ck_assert_uint_eq(hook_state.deaths, 0);
 	fleet_destroy(f);
 }
 END_TEST
 
 /*
- * A node's network card sends but receives nothing. It sees all probes fail
- * and would tell everybody that everybody is dead. The others must go on
- * believing in each other; it is itself what has to go.
+ * A node's network card sends but receives nothing. The node sees all its
+ * probes fail and would tell all others that every node is dead. The others
+ * must not declare each other dead; only this node may be declared dead.
  */
-START_TEST(deaf_node_kills_nobody_but_itself)
+START_TEST(node_that_receives_nothing_kills_no_other)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	unsigned i, j;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
-	seen.deaf = 4;
+	f = start_fleet(&s, &hook_state);
+	hook_state.rx_blocked_node = 4;
 	for (j = 0; j < 60; j++) {
 		fleet_run(f, SEC);
 		for (i = 0; i < 7; i++) {
@@ -338,42 +344,43 @@
 			ck_assert_int_ne(fleet_view(f, i, 6), MEMBER_DEAD);
 		}
 	}
-	seen.deaf = -1;
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC, 30 * SEC));
+	hook_state.rx_blocked_node = -1;
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC, 30 * SEC));
 	fleet_destroy(f);
 }
 END_TEST
 
 /*
- * The way between two nodes is broken while both reach all others. Without
- * indirect probes each would take the other for dead and tell everybody.
+ * The link between two nodes is broken while both reach all others. Without
+ * indirect probes each would declare the other dead and tell all nodes.
  */
-START_TEST(broken_way_between_two_is_no_death)
+START_TEST(broken_link_between_two_causes_no_death)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
-	seen.cut_a = 2;
-	seen.cut_b = 5;
+	f = start_fleet(&s, &hook_state);
+	hook_state.cut_a = 2;
+	hook_state.cut_b = 5;
 	fleet_run(f, 120 * SEC);
-	ck_assert_uint_eq(seen.deaths, 0);
+	ck_assert_uint_eq(hook_state.deaths, 0);
 	fleet_destroy(f);
 }
 END_TEST
 
-START_TEST(traffic_of_another_kind_proves_life)
+/* A member that answers no probes but sends other messages is alive. */
+START_TEST(other_traffic_keeps_member_alive)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	unsigned i;
 
 	fleet_settings_default(&s, 2);
-	f = start_fleet(&s, &seen);
-	seen.deaf = 1;
+	f = start_fleet(&s, &hook_state);
+	hook_state.rx_blocked_node = 1;
 	for (i = 0; i < 60; i++) {
 		fleet_run(f, SEC / 2);
 		members_on_alive(fleet_members(f, 0), "n0001", fleet_now(f));
@@ -384,19 +391,19 @@
 END_TEST
 
 /*
- * An operator stops a node. It says so before it stops working; from then on
- * it gets no new work, although it still answers, and after its last word it
- * does not count as a death that anybody acts on.
+ * An operator stops a node. It announces that before it stops working. From
+ * then on it gets no new work, although it still answers, and after its last
+ * message it is LEFT and not DEAD, so that no node acts on a death.
  */
-START_TEST(leaving_node_gets_no_work_and_is_no_death)
+START_TEST(leaving_node_gets_no_work_and_is_not_dead)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	unsigned i;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	members_leave(fleet_members(f, 6), fleet_now(f));
 	fleet_run(f, 3 * SEC);
 	for (i = 0; i < s.n; i++)
@@ -411,15 +418,16 @@
 		if (i != 6)
 			ck_assert_int_eq(fleet_view(f, i, 6), MEMBER_LEFT);
 	}
-	ck_assert_uint_eq(seen.deaths, 0);
+	ck_assert_uint_eq(hook_state.deaths, 0);
 	fleet_start(f, 6);
-	ck_assert(fleet_run_until(f, all_agree, NULL, SEC / 10, 10 * SEC));
+	ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10, 10 * SEC));
 	fleet_destroy(f);
 }
 END_TEST
 
-/* Gives a message to node 0 and returns the code of the refusal. */
-static enum err_code give(struct fleet *f, const void *data, size_t len)
+/* Delivers a message to node 0; ERR_NONE or the code of the refusal. */
+static enum err_code inject_message(struct fleet *f, const void *data,
+				    size_t len)
 {
 	struct str bytes = { .data = data, .len = len };
 	struct err err = { 0 };
@@ -429,23 +437,23 @@
 }
 
 /*
- * A peer of a broken build sends messages that are cut short or have flipped
- * bits. Whatever is malformed is refused whole; nothing may crash or fill the
- * table.
+ * A peer with a faulty build sends messages that are truncated or have flipped
+ * bits. A malformed message must be refused as a whole; none may crash the node
+ * or fill its table.
  */
 START_TEST(malformed_messages_are_refused)
 {
 	static const uint8_t huge_array[] = { 0x81, 0x0d, 0xdd, 0xff,
 					      0xff, 0xff, 0xff };
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	GRand *rng = g_rand_new_with_seed(7);
 	unsigned i, round;
 
 	fleet_settings_default(&s, 8);
-	f = start_fleet(&s, &seen);
-	ck_assert_int_eq(give(f, huge_array, sizeof(huge_array)),
+	f = start_fleet(&s, &hook_state);
+	ck_assert_int_eq(inject_message(f, huge_array, sizeof(huge_array)),
 			 ERR_BAD_MESSAGE);
 	for (round = 0; round < 40; round++) {
 		GBytes *last;
@@ -458,13 +466,14 @@
 		ck_assert_uint_gt(m.len, 0);
 		copy = g_memdup2(m.data, m.len);
 		for (i = 0; i < m.len; i++)
-			ck_assert_int_eq(give(f, copy, i), ERR_BAD_MESSAGE);
+			ck_assert_int_eq(inject_message(f, copy, i),
+					 ERR_BAD_MESSAGE);
 		for (i = 0; i < 200; i++) {
 			unsigned at = (unsigned)g_rand_int_range(rng, 0,
 								 (gint32)m.len);
 
 			copy[at] ^= 1U << g_rand_int_range(rng, 0, 8);
-			give(f, copy, m.len);
+			inject_message(f, copy, m.len);
 			copy[at] = (uint8_t)m.data[at];
 		}
 		g_free(copy);
@@ -475,11 +484,11 @@
 }
 END_TEST
 
-/* A later release adds a field and a type of message; this one goes on. */
-START_TEST(unknown_fields_and_types_are_no_fault)
+/* A field or a message type that a later release adds must be ignored. */
+START_TEST(unknown_fields_and_types_are_ignored)
 {
 	struct fleet_settings s;
-	struct seen seen;
+	struct hook_state hook_state;
 	struct fleet *f;
 	struct str m;
 	GByteArray *more = g_byte_array_new();
@@ -488,14 +497,15 @@
 					     0x06, 0xa1, 'h',  0x07, 0x05 };
 
 	fleet_settings_default(&s, 2);
-	f = start_fleet(&s, &seen);
+	f = start_fleet(&s, &hook_state);
 	m = str_from_bytes(fleet_last_message(f, FLEET_GOSSIP));
 	g_byte_array_append(more, (const uint8_t *)m.data, (guint)m.len);
 	ck_assert_int_eq(more->data[0] & 0xf0, 0x80);
 	more->data[0]++;
 	g_byte_array_append(more, field, sizeof(field));
-	ck_assert_int_eq(give(f, more->data, more->len), ERR_NONE);
-	ck_assert_int_eq(give(f, type_only, sizeof(type_only)), ERR_NONE);
+	ck_assert_int_eq(inject_message(f, more->data, more->len), ERR_NONE);
+	ck_assert_int_eq(inject_message(f, type_only, sizeof(type_only)),
+			 ERR_NONE);
 	g_byte_array_free(more, TRUE);
 	fleet_destroy(f);
 }
@@ -505,20 +515,20 @@
 {
 	TCase *tcase = tcase_create("member");
 
-	tcase_add_test(tcase, nodes_find_each_other_and_stay);
-	tcase_add_test(tcase, lone_node_takes_itself_for_the_first);
-	tcase_add_test(tcase, crashed_node_is_dead_everywhere_within_seconds);
-	tcase_add_test(tcase, paused_node_comes_back_and_blames_nobody);
+	tcase_add_test(tcase, nodes_join_and_stay_alive);
+	tcase_add_test(tcase, lone_node_has_joined_when_no_seed_answers);
+	tcase_add_test(tcase, crashed_node_is_dead_in_all_views_within_seconds);
+	tcase_add_test(tcase, paused_node_returns_and_declares_none_dead);
 	tcase_add_test(tcase, restarted_process_replaces_the_old_one);
-	tcase_add_test(tcase, restart_with_a_clock_set_back_is_seen);
-	tcase_add_test(tcase, regions_find_each_other_after_an_hour);
-	tcase_add_test(tcase, seeds_lead_back_after_the_dead_are_forgotten);
-	tcase_add_test(tcase, loss_kills_nobody);
-	tcase_add_test(tcase, deaf_node_kills_nobody_but_itself);
-	tcase_add_test(tcase, broken_way_between_two_is_no_death);
-	tcase_add_test(tcase, traffic_of_another_kind_proves_life);
-	tcase_add_test(tcase, leaving_node_gets_no_work_and_is_no_death);
+	tcase_add_test(tcase, restart_with_a_clock_set_back_is_alive);
+	tcase_add_test(tcase, regions_rejoin_after_partition_of_an_hour);
+	tcase_add_test(tcase, seeds_reconnect_after_the_dead_are_forgotten);
+	tcase_add_test(tcase, message_loss_causes_no_death);
+	tcase_add_test(tcase, node_that_receives_nothing_kills_no_other);
+	tcase_add_test(tcase, broken_link_between_two_causes_no_death);
+	tcase_add_test(tcase, other_traffic_keeps_member_alive);
+	tcase_add_test(tcase, leaving_node_gets_no_work_and_is_not_dead);
 	tcase_add_test(tcase, malformed_messages_are_refused);
-	tcase_add_test(tcase, unknown_fields_and_types_are_no_fault);
+	tcase_add_test(tcase, unknown_fields_and_types_are_ignored);
 	return suite_main("member", tcase);
 }
