--- a/packages/core/tests/test_model.c
+++ b/packages/core/tests/test_model.c
@@ -101,13 +101,13 @@
 }
 END_TEST
 
-struct bad {
+struct bad_item {
 	const char *key;
 	const char *json;
-	const char *complaint; /* a part of it */
+	const char *expected_error; /* text that the error message contains */
 };
 
-static const struct bad bad_items[] = {
+static const struct bad_item bad_items[] = {
 	{ "profile/p", "{\"change\":\"1\"}", "profile/p: access: missing" },
 	{ "profile/p", "{\"access\":\"read\"}", "profile/p: change" },
 	{ "profile/p", "{\"change\":\"1\",\"access\":\"rd\"}", "access" },
@@ -163,20 +163,21 @@
 	{ "limit/x", "{\"change\":\"1\",\"value\":1.5}", "value" },
 };
 
-START_TEST(test_bad_items_are_named)
+START_TEST(test_bad_items_are_refused)
 {
-	const struct bad *b = &bad_items[_i];
+	const struct bad_item *b = &bad_items[_i];
 	struct err err = { 0 };
 
 	ck_assert_ptr_null(item_parse(b->key, 1, str_from_c(b->json), &err));
 	ck_assert_int_eq(err.code, ERR_BAD_ITEM);
-	ck_assert_msg(strstr(err.message, b->complaint), "%s", err.message);
+	ck_assert_msg(strstr(err.message, b->expected_error), "%s",
+		      err.message);
 }
 END_TEST
 
 /*
- * Story: a proxy that takes a peer's item in dies. Cause: the JSON parser calls
- * itself for each "[" of a megabyte of them.
+ * A peer's item that is a megabyte of "[" crashes the proxy that parses it if
+ * the JSON parser recurses for each of them without a limit.
  */
 START_TEST(test_deep_item_is_refused)
 {
@@ -192,21 +193,22 @@
 END_TEST
 
 /*
- * Story: an operator lowers a limit; minutes later the old one is back on one
- * proxy. Cause: news that a peer sent before, in force after the change.
+ * An operator lowers a limit, and minutes later one proxy has the old value
+ * again: a peer's update from before the change arrived late and was applied.
+ * An item with a lower revision must change nothing.
  */
 START_TEST(test_higher_revision_wins)
 {
-	struct item *gone;
+	struct item *tombstone;
 
 	put_item(model, "limit/x", 5, "{\"change\":\"1\",\"value\":1}");
 	put_item(model, "limit/x", 4, "{\"change\":\"0\",\"value\":0}");
 	put_item(model, "limit/x", 5, "{\"change\":\"2\",\"value\":2}");
 	ck_assert_int_eq(model_limit(model, "x", 9), 1);
-	gone = item_tombstone("limit/x", 6);
-	ck_assert(model_put(model, gone));
-	ck_assert(!model_put(model, gone));
-	item_unref(gone);
+	tombstone = item_tombstone("limit/x", 6);
+	ck_assert(model_put(model, tombstone));
+	ck_assert(!model_put(model, tombstone));
+	item_unref(tombstone);
 	put_item(model, "limit/x", 5, "{\"change\":\"1\",\"value\":1}");
 	ck_assert_int_eq(model_limit(model, "x", 9), 9);
 	ck_assert(model_get(model, "limit/x")->removed);
@@ -216,17 +218,17 @@
 }
 END_TEST
 
-/* A request keeps what it began with while the operator changes it. */
+/* A request keeps the item that it began with while an operator changes it. */
 START_TEST(test_items_outlive_their_replacement)
 {
-	struct item *held;
+	struct item *old_item;
 
 	put_item(model, "limit/x", 5, "{\"change\":\"1\",\"value\":1}");
-	held = item_ref(model_get(model, "limit/x"));
+	old_item = item_ref(model_get(model, "limit/x"));
 	put_item(model, "limit/x", 6, "{\"change\":\"2\",\"value\":2}");
-	ck_assert_int_eq(held->u.limit.value, 1);
-	ck_assert_str_eq(held->json, "{\"change\":\"1\",\"value\":1}");
-	item_unref(held);
+	ck_assert_int_eq(old_item->u.limit.value, 1);
+	ck_assert_str_eq(old_item->json, "{\"change\":\"1\",\"value\":1}");
+	item_unref(old_item);
 }
 END_TEST
 
@@ -250,7 +252,7 @@
 START_TEST(test_caller_by_token)
 {
 	const struct caller_conf *c;
-	struct item *gone;
+	struct item *tombstone;
 
 	put_caller("vans", 1, "secret-1");
 	put_caller("desk", 2, "secret-2");
@@ -261,9 +263,9 @@
 	put_caller("desk", 3, "secret-3");
 	ck_assert_ptr_null(model_caller_by_token(model, STR("secret-2")));
 	ck_assert_ptr_nonnull(model_caller_by_token(model, STR("secret-3")));
-	gone = item_tombstone("caller/vans", 4);
-	model_put(model, gone);
-	item_unref(gone);
+	tombstone = item_tombstone("caller/vans", 4);
+	model_put(model, tombstone);
+	item_unref(tombstone);
 	ck_assert_ptr_null(model_caller_by_token(model, STR("secret-1")));
 }
 END_TEST
@@ -273,7 +275,7 @@
 	g_string_append_printf(ctx, "%s ", item->key);
 }
 
-START_TEST(test_each_in_order_of_keys)
+START_TEST(test_items_are_visited_in_order_of_keys)
 {
 	GString *keys = g_string_new(NULL);
 
@@ -295,12 +297,12 @@
 	tcase_add_test(t, test_write_profile_defaults);
 	tcase_add_test(t, test_database);
 	tcase_add_test(t, test_other_kinds);
-	tcase_add_loop_test(t, test_bad_items_are_named, 0,
+	tcase_add_loop_test(t, test_bad_items_are_refused, 0,
 			    G_N_ELEMENTS(bad_items));
 	tcase_add_test(t, test_deep_item_is_refused);
 	tcase_add_test(t, test_higher_revision_wins);
 	tcase_add_test(t, test_items_outlive_their_replacement);
 	tcase_add_test(t, test_caller_by_token);
-	tcase_add_test(t, test_each_in_order_of_keys);
+	tcase_add_test(t, test_items_are_visited_in_order_of_keys);
 	return suite_main("model", t);
 }
--- a/packages/core/tests/test_outcome.c
+++ b/packages/core/tests/test_outcome.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What the proxy reads of servers' answers: statuses, positions, rows. */
+/* Parsers of servers' answers: statuses, positions and outcome rows. */
 
 #define STATUS                                                             \
 	"{\"server\":\"codes-1-a\",\"term\":3,\"role\":\"replica\","       \
@@ -16,7 +16,7 @@
 	"\"following\":\"codes-1-b\",\"leaving\":false,\"connections\":7," \
 	"\"connection_limit\":20}"
 
-START_TEST(status_is_read)
+START_TEST(status_is_parsed)
 {
 	struct server_status st;
 	struct err err = { 0 };
@@ -34,8 +34,8 @@
 }
 END_TEST
 
-/* Each differs from a good status in one place. */
-START_TEST(half_a_status_is_none)
+/* Each case replaces one part of a valid status by an invalid one. */
+START_TEST(invalid_status_is_refused)
 {
 	static const struct {
 		const char *good;
@@ -74,13 +74,13 @@
 }
 END_TEST
 
-#define MUTANTS 20000
-/* One byte more than there is room for. */
+#define N_MUTATED_STATUSES 20000
+/* A JSON string of one byte more than a status has room for. */
 static const char long_name[] =
 	"\"0123456789012345678901234567890123456789012345678901"
 	"234567890123\"";
 
-/* Writes a status of random values, often the same ones and of odd sizes. */
+/* Writes a status of random values, many of them extreme or invalid. */
 static void random_status(GRand *rng, GString *out)
 {
 	static const char *const numbers[] = {
@@ -138,7 +138,7 @@
 			       histories[g_rand_int_range(rng, 0, 9)]);
 }
 
-/* Changes, removes or doubles up to two places. */
+/* Replaces, removes or inserts a byte in up to two places. */
 static void mutate(GRand *rng, GString *text)
 {
 	static const char bytes[] = "{}[],:\"\\ 0123456789-.entruls\n\303";
@@ -181,12 +181,12 @@
 }
 
 /*
- * Servers' statuses are read by a scanner of our own, and by the JSON library
- * where the scanner sees anything unusual. If both read a text differently, a
- * write could be confirmed by a position that no server has told. A blank
- * before the text sends it to the library.
+ * Servers' statuses are read by a scanner, and by the JSON library where the
+ * scanner does not accept the text. If the two read a text differently, a write
+ * could be confirmed by a position that no server has reported. A blank before
+ * the text makes status_parse() use the library.
  */
-START_TEST(scanner_reads_like_the_library)
+START_TEST(scanner_agrees_with_the_library)
 {
 	GRand *rng = g_rand_new_with_seed(20);
 	GString *text = g_string_new(NULL);
@@ -194,7 +194,7 @@
 	unsigned i, n_scanned = 0;
 	struct err err = { 0 };
 
-	for (i = 0; i < MUTANTS; i++) {
+	for (i = 0; i < N_MUTATED_STATUSES; i++) {
 		if (g_rand_boolean(rng))
 			g_string_assign(text, STATUS);
 		else
@@ -208,13 +208,13 @@
 			      "%s", text->str);
 		ck_assert_msg(same_status(&scanned, &st), "%s", text->str);
 	}
-	ck_assert_uint_gt(n_scanned, MUTANTS / 10);
+	ck_assert_uint_gt(n_scanned, N_MUTATED_STATUSES / 10);
 	g_string_free(text, TRUE);
 	g_rand_free(rng);
 }
 END_TEST
 
-START_TEST(scanner_knows_the_servers_form)
+START_TEST(scanner_accepts_the_servers_form)
 {
 	struct server_status st;
 
@@ -246,8 +246,9 @@
 	"{\"columns\":[\"c\"],\"rows\":[[" cell "]],\"rows_affected\":0}"
 
 /*
- * An agent's code list holds text that looks like the proxy's own element. The
- * position must be cut from the end, and the list be whole.
+ * A caller's result holds text that looks like the element with the position
+ * that the proxy adds. The position must be cut off the end, and the caller's
+ * result stay complete.
  */
 START_TEST(position_is_cut_off_the_end)
 {
@@ -271,7 +272,7 @@
 }
 END_TEST
 
-START_TEST(row_is_read)
+START_TEST(row_is_parsed)
 {
 	struct outcome_row row;
 	GString *s = g_string_new(
@@ -299,13 +300,13 @@
 {
 	GString *results = g_string_new(ELEMENT("1"));
 	GString *summary = outcome_summary(results);
-	GBytes *told;
+	GBytes *returned;
 	char *big;
 
 	ck_assert_str_eq(summary->str, "[" ELEMENT("1") "]");
-	told = outcome_results(summary->str);
-	ck_assert_uint_eq(g_bytes_get_size(told), summary->len);
-	g_bytes_unref(told);
+	returned = outcome_results(summary->str);
+	ck_assert_uint_eq(g_bytes_get_size(returned), summary->len);
+	g_bytes_unref(returned);
 	g_string_free(summary, TRUE);
 	big = g_strnfill(OUTCOME_SUMMARY_MAX, 'x');
 	g_string_printf(results,
@@ -319,13 +320,13 @@
 	g_string_free(summary, TRUE);
 	g_string_free(results, TRUE);
 	g_free(big);
-	told = outcome_results("damaged");
-	ck_assert_uint_eq(g_bytes_get_size(told), 2);
-	g_bytes_unref(told);
+	returned = outcome_results("damaged");
+	ck_assert_uint_eq(g_bytes_get_size(returned), 2);
+	g_bytes_unref(returned);
 }
 END_TEST
 
-/* Two callers' keys never meet, however their names and keys are chosen. */
+/* Keys of two callers never collide, however names and keys are chosen. */
 START_TEST(keys_of_callers_differ)
 {
 	char *a = outcome_key(STR("van"), STR("1/k"));
@@ -342,7 +343,7 @@
 }
 END_TEST
 
-START_TEST(first_word_tells_control)
+START_TEST(transaction_control_is_recognised)
 {
 	static const char *const control[] = {
 		"BEGIN",
@@ -389,13 +390,13 @@
 END_TEST
 
 /*
- * One caller's query makes a temporary table that has the name of a real one.
- * The next caller on that connection would read it in place of the real table,
- * and see the first one's rows.
+ * One caller's query creates a temporary table with the name of a real one. The
+ * next caller on that connection would read it in place of the real table and
+ * see the first caller's rows.
  */
-START_TEST(first_word_tells_state)
+START_TEST(statements_that_leave_state_are_recognised)
 {
-	static const char *const leaving[] = {
+	static const char *const stateful[] = {
 		"SET search_path = x",
 		"CREATE TEMP TABLE t (a int)",
 		"PREPARE p AS SELECT 1",
@@ -412,7 +413,7 @@
 		"SELECT dblink_connect('c', 'x')",
 		"SELECT setseed(0.5)",
 	};
-	static const char *const clean[] = {
+	static const char *const stateless[] = {
 		"SELECT 1",
 		" /* x */ insert into t values (1)",
 		"UPDATE t SET a = 1",
@@ -422,12 +423,12 @@
 	};
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(leaving); i++)
-		ck_assert_msg(group_sql_leaves_state(str_from_c(leaving[i])),
-			      "%s", leaving[i]);
-	for (i = 0; i < G_N_ELEMENTS(clean); i++)
-		ck_assert_msg(!group_sql_leaves_state(str_from_c(clean[i])),
-			      "%s", clean[i]);
+	for (i = 0; i < G_N_ELEMENTS(stateful); i++)
+		ck_assert_msg(group_sql_leaves_state(str_from_c(stateful[i])),
+			      "%s", stateful[i]);
+	for (i = 0; i < G_N_ELEMENTS(stateless); i++)
+		ck_assert_msg(!group_sql_leaves_state(str_from_c(stateless[i])),
+			      "%s", stateless[i]);
 }
 END_TEST
 
@@ -435,16 +436,16 @@
 {
 	TCase *t = tcase_create("outcome");
 
-	tcase_add_test(t, status_is_read);
-	tcase_add_test(t, half_a_status_is_none);
-	tcase_add_test(t, scanner_reads_like_the_library);
-	tcase_add_test(t, scanner_knows_the_servers_form);
+	tcase_add_test(t, status_is_parsed);
+	tcase_add_test(t, invalid_status_is_refused);
+	tcase_add_test(t, scanner_agrees_with_the_library);
+	tcase_add_test(t, scanner_accepts_the_servers_form);
 	tcase_add_test(t, position_is_two_numbers);
 	tcase_add_test(t, position_is_cut_off_the_end);
-	tcase_add_test(t, row_is_read);
+	tcase_add_test(t, row_is_parsed);
 	tcase_add_test(t, summary_is_bounded);
 	tcase_add_test(t, keys_of_callers_differ);
-	tcase_add_test(t, first_word_tells_control);
-	tcase_add_test(t, first_word_tells_state);
+	tcase_add_test(t, transaction_control_is_recognised);
+	tcase_add_test(t, statements_that_leave_state_are_recognised);
 	return suite_main("outcome", t);
 }
--- a/packages/core/tests/test_retry.c
+++ b/packages/core/tests/test_retry.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 
 /*
- * Story: all servers of a database fail for a minute, every request is tried
- * again, and the retries hit the servers that come back with twice the load.
- * Cause: retries without a bound. Here all first tries fail.
+ * All servers of a database fail for a minute and every request is retried.
+ * Without a bound the retries put twice the load on the servers that come back.
+ * Here all first tries fail.
  */
 START_TEST(test_retries_are_a_fraction_of_first_tries)
 {
--- a/packages/core/tests/test_route.c
+++ b/packages/core/tests/test_route.c
@@ -6,16 +6,16 @@
 #include <string.h>
 
 #define MS USEC_PER_MSEC
-#define N 3
+#define N_SERVERS 3
 
 static struct fresh *f;
 static GRand *rng;
-static struct route_server servers[N];
+static struct route_server servers[N_SERVERS];
 static struct profile profile;
 static struct route_request req;
 static struct route_choice choice;
 
-/* Server 0 leads term 1; all have 100 entries, confirmed at 100 ms. */
+/* Server 0 is the primary of term 1; all have 100 entries as of 100 ms. */
 static void setup(void)
 {
 	struct history h = history_of(1, 1, 0);
@@ -23,12 +23,12 @@
 	struct server_status r = replica_status(1, 100, 100, h);
 	unsigned i;
 
-	f = fresh_create(N);
+	f = fresh_create(N_SERVERS);
 	rng = g_rand_new_with_seed(1);
 	fresh_on_status(f, 0, 100 * MS, &p);
 	fresh_on_status(f, 1, 100 * MS, &r);
 	fresh_on_status(f, 2, 100 * MS, &r);
-	for (i = 0; i < N; i++)
+	for (i = 0; i < N_SERVERS; i++)
 		servers[i] = (struct route_server){ .up = true,
 						    .is_primary = !i,
 						    .slots = 3,
@@ -48,7 +48,7 @@
 
 static enum route_why route(uint64_t now_ms)
 {
-	route_choose(f, servers, N, &req, now_ms * MS, rng, &choice);
+	route_choose(f, servers, N_SERVERS, &req, now_ms * MS, rng, &choice);
 	return choice.why;
 }
 
@@ -57,12 +57,12 @@
 	fresh_on_status(f, server, ms * MS, &s);
 }
 
-static const char *passed(void)
+static const char *pass_letters(void)
 {
-	static char letters[N + 1];
+	static char letters[N_SERVERS + 1];
 	unsigned i;
 
-	for (i = 0; i < N; i++)
+	for (i = 0; i < N_SERVERS; i++)
 		letters[i] = route_pass_letter(choice.passed[i]);
 	return letters;
 }
@@ -72,29 +72,29 @@
 	profile.access = ACCESS_WRITE;
 	ck_assert_int_eq(route(150), ROUTE_PRIMARY_WRITE);
 	ck_assert_int_eq(choice.server, 0);
-	ck_assert_str_eq(passed(), "-rr");
+	ck_assert_str_eq(pass_letters(), "-rr");
 	servers[0].leaving = true;
 	ck_assert_int_eq(route(150), ROUTE_PRIMARY_WRITE);
 	servers[0].up = false;
 	ck_assert_int_eq(route(150), ROUTE_NONE_NO_PRIMARY);
 	ck_assert_int_eq(choice.server, -1);
-	ck_assert_str_eq(passed(), "drr");
+	ck_assert_str_eq(pass_letters(), "drr");
 }
 END_TEST
 
-/* The session saw a later term, so the primary known here is the old one. */
-START_TEST(test_writes_wait_when_the_session_knows_better)
+/* The session has seen a later term, so the known primary is an old one. */
+START_TEST(test_writes_wait_when_the_session_saw_a_later_term)
 {
 	profile.access = ACCESS_WRITE;
 	req.seen = (struct position){ 2, 101 };
 	ck_assert_int_eq(route(150), ROUTE_NONE_NO_PRIMARY);
-	ck_assert_str_eq(passed(), "brr");
+	ck_assert_str_eq(pass_letters(), "brr");
 }
 END_TEST
 
-START_TEST(test_reads_go_to_replicas_by_turns)
+START_TEST(test_reads_are_spread_over_replicas)
 {
-	unsigned count[N] = { 0 };
+	unsigned count[N_SERVERS] = { 0 };
 	unsigned i;
 
 	for (i = 0; i < 300; i++) {
@@ -108,12 +108,12 @@
 }
 END_TEST
 
-START_TEST(test_the_less_loaded_replica)
+START_TEST(test_less_loaded_replica_is_chosen)
 {
 	servers[1].running = 2;
 	ck_assert_int_eq(route(150), ROUTE_REPLICA_FRESH);
 	ck_assert_int_eq(choice.server, 2);
-	ck_assert_str_eq(passed(), "rs-");
+	ck_assert_str_eq(pass_letters(), "rs-");
 	servers[2].latency_us = 500 * MS;
 	servers[2].running = 1;
 	route(150);
@@ -122,8 +122,8 @@
 END_TEST
 
 /*
- * Story: a plumber saves a trip and the summary lacks it. The summary went to
- * a replica that had not applied the trip. The session's position rules it out.
+ * A session's read lacks the session's own write if it goes to a replica that
+ * has not applied the write. The session's position rules that replica out.
  */
 START_TEST(test_a_session_reads_its_own_write)
 {
@@ -134,11 +134,11 @@
 	req.seen = (struct position){ 1, 101 };
 	ck_assert_int_eq(route(150), ROUTE_REPLICA_FRESH);
 	ck_assert_int_eq(choice.server, 1);
-	ck_assert_str_eq(passed(), "r-b");
+	ck_assert_str_eq(pass_letters(), "r-b");
 	servers[1].up = false;
 	ck_assert_int_eq(route(150), ROUTE_PRIMARY_ONLY_FRESH);
 	ck_assert_int_eq(choice.server, 0);
-	ck_assert_str_eq(passed(), "-db");
+	ck_assert_str_eq(pass_letters(), "-db");
 }
 END_TEST
 
@@ -147,32 +147,32 @@
 	servers[1].leaving = true;
 	route(150);
 	ck_assert_int_eq(choice.server, 2);
-	ck_assert_str_eq(passed(), "rl-");
+	ck_assert_str_eq(pass_letters(), "rl-");
 	servers[2].leaving = true;
 	ck_assert_int_eq(route(150), ROUTE_PRIMARY_ONLY_FRESH);
 }
 END_TEST
 
-START_TEST(test_no_older_than_the_profile_allows)
+START_TEST(test_data_is_no_older_than_the_profile_allows)
 {
 	profile.max_age_us = 40 * MS;
 	/* All were confirmed at 100 ms: 50 ms old, for the primary too. */
 	ck_assert_int_eq(route(150), ROUTE_WAIT_CONFIRM);
-	ck_assert_str_eq(passed(), "ooo");
+	ck_assert_str_eq(pass_letters(), "ooo");
 	profile.max_age_us = 60 * MS;
 	ck_assert_int_eq(route(150), ROUTE_REPLICA_FRESH);
-	/* The wait for a slot counts. */
+	/* The expected wait for a slot counts as age. */
 	servers[1].running = servers[2].running = 3;
 	servers[1].queued = servers[2].queued = 10;
 	ck_assert_int_eq(route(150), ROUTE_PRIMARY_ONLY_FRESH);
-	ck_assert_str_eq(passed(), "-oo");
+	ck_assert_str_eq(pass_letters(), "-oo");
 }
 END_TEST
 
 /*
- * Story: an agent asks for the list as of now and gets one from before the
- * change that a colleague just finished. Only what was confirmed after the
- * request came may serve it.
+ * A read with a maximum age of 0 must see every write that was acknowledged
+ * before it came. Only a server confirmed after its arrival may serve it, or it
+ * could lack a write that another caller has just finished.
  */
 START_TEST(test_max_age_0_needs_a_later_confirmation)
 {
@@ -202,11 +202,11 @@
 	profile.wait_for_replica_us = 500 * MS;
 	ck_assert_int_eq(route(150), ROUTE_WAIT_REPLICA);
 	ck_assert_uint_gt(choice.wait_us, 0);
-	/* The limit counts from the arrival; then the primary serves it. */
+	/* The limit counts from the arrival; after it the primary is chosen. */
 	status(0, 640, primary_status(1, 101, h));
 	status(1, 640, replica_status(1, 101, 100, h));
 	ck_assert_int_eq(route(651), ROUTE_PRIMARY_ONLY_FRESH);
-	/* Both lag by more than the limit: no use in waiting. */
+	/* Both lag by more than the limit, so there is no wait. */
 	req.arrived_us = 650 * MS;
 	profile.wait_for_replica_us = 20 * MS;
 	ck_assert_int_eq(route(651), ROUTE_PRIMARY_ONLY_FRESH);
@@ -218,13 +218,17 @@
 	servers[1].running = servers[2].running = 3;
 	servers[1].queued = servers[2].queued = 900;
 	ck_assert_int_eq(route(150), ROUTE_PRIMARY_LESS_LOADED);
-	/* Its last free slot is for writes. */
+	/* The primary's last free slot is kept for writes. */
 	servers[0].running = 2;
 	ck_assert_int_eq(route(150), ROUTE_REPLICA_FRESH);
 }
 END_TEST
 
-/* Heavy reads are few, so the replicas' share hardly falls. */
+/*
+ * A read that would wait more than 500 ms for a replica goes to an idle
+ * primary. Such heavy reads are few, so the replicas' share of the reads hardly
+ * falls.
+ */
 START_TEST(test_primary_relieves_replicas_with_long_queues)
 {
 	servers[1].running = servers[2].running = 3;
@@ -245,7 +249,7 @@
 	status(1, 140, replica_status(2, 100, 100, h));
 	status(2, 140, replica_status(2, 100, 100, h));
 	ck_assert_int_eq(route(150), ROUTE_REPLICA_FRESH);
-	/* The deposed primary serves no reads: its tail may be removed. */
+	/* A deposed primary serves no reads: its log's end may be removed. */
 	ck_assert_int_eq(choice.passed[0], PASS_ROLE);
 	profile.access = ACCESS_WRITE;
 	ck_assert_int_eq(route(150), ROUTE_NONE_NO_PRIMARY);
@@ -255,7 +259,7 @@
 }
 END_TEST
 
-START_TEST(test_lost_history_is_told)
+START_TEST(test_lost_history_is_reported)
 {
 	struct history h2 = history_of(1, 1, 2, 101, 0);
 
@@ -268,7 +272,7 @@
 }
 END_TEST
 
-START_TEST(test_names)
+START_TEST(test_every_reason_has_a_name)
 {
 	int why;
 
@@ -283,19 +287,19 @@
 
 	tcase_add_checked_fixture(t, setup, teardown);
 	tcase_add_test(t, test_writes_go_to_the_primary);
-	tcase_add_test(t, test_writes_wait_when_the_session_knows_better);
-	tcase_add_test(t, test_reads_go_to_replicas_by_turns);
-	tcase_add_test(t, test_the_less_loaded_replica);
+	tcase_add_test(t, test_writes_wait_when_the_session_saw_a_later_term);
+	tcase_add_test(t, test_reads_are_spread_over_replicas);
+	tcase_add_test(t, test_less_loaded_replica_is_chosen);
 	tcase_add_test(t, test_a_session_reads_its_own_write);
 	tcase_add_test(t, test_leaving_replicas_get_no_reads);
-	tcase_add_test(t, test_no_older_than_the_profile_allows);
+	tcase_add_test(t, test_data_is_no_older_than_the_profile_allows);
 	tcase_add_test(t, test_max_age_0_needs_a_later_confirmation);
 	tcase_add_test(t, test_waits_for_a_replica_within_its_limit);
 	tcase_add_test(t,
 		       test_primary_relieves_replicas_that_miss_the_deadline);
 	tcase_add_test(t, test_primary_relieves_replicas_with_long_queues);
 	tcase_add_test(t, test_no_primary);
-	tcase_add_test(t, test_lost_history_is_told);
-	tcase_add_test(t, test_names);
+	tcase_add_test(t, test_lost_history_is_reported);
+	tcase_add_test(t, test_every_reason_has_a_name);
 	return suite_main("route", t);
 }
--- a/packages/core/tests/test_session.c
+++ b/packages/core/tests/test_session.c
@@ -43,21 +43,21 @@
 	return ok;
 }
 
-START_TEST(test_there_and_back)
+START_TEST(test_encoded_session_decodes_to_the_same)
 {
-	struct session s = { 0 }, back;
+	struct session s = { 0 }, decoded;
 	GString *text;
 
 	session_raise(&s, "ledger/miles-1", at(3, 120));
 	session_raise(&s, "codebook/codes-1", at(UINT64_MAX, UINT64_MAX));
 	text = encode(&s);
-	ck_assert(session_decode(keys, str_from_gstring(text), &back, NULL));
-	ck_assert_uint_eq(back.count, 2);
-	ck_assert_uint_eq(session_seen(&back, "ledger/miles-1").term, 3);
-	ck_assert_uint_eq(session_seen(&back, "ledger/miles-1").index, 120);
-	ck_assert_uint_eq(session_seen(&back, "codebook/codes-1").index,
+	ck_assert(session_decode(keys, str_from_gstring(text), &decoded, NULL));
+	ck_assert_uint_eq(decoded.count, 2);
+	ck_assert_uint_eq(session_seen(&decoded, "ledger/miles-1").term, 3);
+	ck_assert_uint_eq(session_seen(&decoded, "ledger/miles-1").index, 120);
+	ck_assert_uint_eq(session_seen(&decoded, "codebook/codes-1").index,
 			  UINT64_MAX);
-	ck_assert_uint_eq(session_seen(&back, "other/db").term, 0);
+	ck_assert_uint_eq(session_seen(&decoded, "other/db").term, 0);
 	g_string_free(text, TRUE);
 }
 END_TEST
@@ -71,7 +71,7 @@
 }
 END_TEST
 
-/* A roaming answer that comes late must not take a session back in time. */
+/* An answer that arrives late must not take a session back in time. */
 START_TEST(test_a_lower_position_changes_nothing)
 {
 	struct session s = { 0 };
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-START_TEST(test_the_one_not_seen_for_longest_goes)
+START_TEST(test_least_recently_seen_database_is_dropped)
 {
 	struct session s = { 0 };
 	char name[32];
@@ -107,10 +107,10 @@
 }
 END_TEST
 
-/* Names as long as can be: the token keeps to its bound, the newest stay. */
-START_TEST(test_token_is_bounded)
+/* With the longest names the token keeps its limit; the latest entries stay. */
+START_TEST(test_token_length_is_bounded)
 {
-	struct session s = { 0 }, back;
+	struct session s = { 0 }, decoded;
 	char name[96];
 	GString *text;
 	unsigned i;
@@ -120,15 +120,15 @@
 		session_raise(&s, name, at(UINT64_MAX, UINT64_MAX));
 	}
 	text = encode(&s);
-	ck_assert(session_decode(keys, str_from_gstring(text), &back, NULL));
-	ck_assert_uint_ge(back.count, 10);
-	ck_assert_uint_eq(session_seen(&back, name).term, UINT64_MAX);
+	ck_assert(session_decode(keys, str_from_gstring(text), &decoded, NULL));
+	ck_assert_uint_ge(decoded.count, 10);
+	ck_assert_uint_eq(session_seen(&decoded, name).term, UINT64_MAX);
 	g_string_free(text, TRUE);
 }
 END_TEST
 
-/* Every single wrong character is noticed, and so is every shorter text. */
-START_TEST(test_forged_tokens)
+/* A token with any one wrong character is refused, and so is a shorter one. */
+START_TEST(test_forged_tokens_are_refused)
 {
 	struct session s = { 0 };
 	GString *text;
@@ -155,7 +155,7 @@
 }
 END_TEST
 
-START_TEST(test_random_bytes)
+START_TEST(test_random_tokens_are_refused)
 {
 	static const char digits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdef-_0123";
 	GRand *rng = g_rand_new_with_seed(7);
@@ -179,14 +179,14 @@
 END_TEST
 
 /*
- * Story: the operator changes the keys; phones that were signed by the old one
- * lose their sessions. Cause: no time in which both are accepted.
+ * An operator changes the signing key. Clients whose tokens were signed with
+ * the old key lose their sessions unless both keys are accepted for a time.
  */
 START_TEST(test_keys_change_with_overlap)
 {
 	struct session s = { 0 };
 	GString *old, *new;
-	struct item *gone;
+	struct item *tombstone;
 
 	session_raise(&s, "a/b", at(1, 1));
 	old = encode(&s);
@@ -200,9 +200,9 @@
 	put_key(keys, "k1", 4, 1, "accepting");
 	ck_assert(decodes(old));
 	ck_assert(decodes(new));
-	gone = item_tombstone("key/k1", 5);
-	model_put(keys, gone);
-	item_unref(gone);
+	tombstone = item_tombstone("key/k1", 5);
+	model_put(keys, tombstone);
+	item_unref(tombstone);
 	ck_assert(!decodes(old));
 	ck_assert(decodes(new));
 	g_string_free(old, TRUE);
@@ -210,7 +210,7 @@
 }
 END_TEST
 
-START_TEST(test_no_key_no_token)
+START_TEST(test_no_token_without_a_signing_key)
 {
 	struct session s = { 0 };
 	GString *text = g_string_new(NULL);
@@ -229,14 +229,14 @@
 	TCase *t = tcase_create("session");
 
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, test_there_and_back);
+	tcase_add_test(t, test_encoded_session_decodes_to_the_same);
 	tcase_add_test(t, test_empty_text_is_an_empty_session);
 	tcase_add_test(t, test_a_lower_position_changes_nothing);
-	tcase_add_test(t, test_the_one_not_seen_for_longest_goes);
-	tcase_add_test(t, test_token_is_bounded);
-	tcase_add_test(t, test_forged_tokens);
-	tcase_add_test(t, test_random_bytes);
+	tcase_add_test(t, test_least_recently_seen_database_is_dropped);
+	tcase_add_test(t, test_token_length_is_bounded);
+	tcase_add_test(t, test_forged_tokens_are_refused);
+	tcase_add_test(t, test_random_tokens_are_refused);
 	tcase_add_test(t, test_keys_change_with_overlap);
-	tcase_add_test(t, test_no_key_no_token);
+	tcase_add_test(t, test_no_token_without_a_signing_key);
 	return suite_main("session", t);
 }
