--- a/packages/core/tests/test_group_probes.c
+++ b/packages/core/tests/test_group_probes.c
@@ -9,23 +9,22 @@
 
 #define STEP_US 250
 #define OBSERVATION_US (800 * USEC_PER_MSEC)
-/* Bounds the probes within the observed time: one each 5 ms and the regular
- * ones. */
+/* Probes within OBSERVATION_US: one each 5 ms, and the regular ones. */
 #define MAX_PROBES 200
 
 /* Runs for the given time and counts the probes of the server that start. */
 static unsigned count_probes(struct rig *r, int server, uint64_t duration_us)
 {
 	struct server *s = group_server(rig_group(r, 0), server);
-	uint64_t last_us = s->probe_started_us;
+	uint64_t last_started_at_us = s->probe_started_us;
 	unsigned n = 0;
 	uint64_t t;
 
 	for (t = 0; t < duration_us; t += STEP_US) {
 		rig_run_for(r, STEP_US);
-		if (s->probe_started_us != last_us)
+		if (s->probe_started_us != last_started_at_us)
 			n++;
-		last_us = s->probe_started_us;
+		last_started_at_us = s->probe_started_us;
 	}
 	return n;
 }
@@ -66,7 +65,7 @@
 
 /*
  * Reads with a maximum age of 0 wait for a majority to confirm the primary
- * while both replicas are down. The primary alone answers at once, which
+ * while neither replica answers. The primary alone answers at once, which
  * confirms nothing; it must not be probed again without a pause.
  */
 START_TEST(waiting_read_does_not_flood_the_primary)
@@ -112,7 +111,7 @@
 	struct server_status st;
 	struct rig *r;
 	struct server *s;
-	uint64_t sent_us;
+	uint64_t sent_at_us;
 
 	rig_settings_default(&settings);
 	r = rig_create(1, &settings);
@@ -121,12 +120,12 @@
 	probe_call(s, &call);
 	while (!s->call_running)
 		rig_run_for(r, STEP_US);
-	sent_us = s->probe->started_us;
+	sent_at_us = s->probe->started_us;
 	call.term = 10;
 	probe_call(s, &call);
 	remove_last_server(r);
 	ck_assert_uint_eq(s->calls.length, 0);
-	while (s->heard_us <= sent_us || s->call_running)
+	while (s->heard_us <= sent_at_us || s->call_running)
 		rig_run_for(r, STEP_US / 5);
 	ck_assert(!rig_group(r, 0)->failover->servers[1].known);
 	ck_assert_ptr_nonnull(fresh_status(rig_group(r, 0)->fresh, 1));
