--- a/packages/core/tests/support_fleet.c
+++ b/packages/core/tests/support_fleet.c
@@ -6,29 +6,30 @@
 #include <string.h>
 #include <time.h>
 
-#define SEEDS 3
+#define SEED_COUNT 3
 #define PORT_BASE 10000
-/* A link without traffic is closed, see docs/design/0013. */
+/* A link unused for this long counts as closed, see docs/design/0013. */
 #define LINK_IDLE_MS 15000
+/* Wall-clock time in ms since 1970 when the virtual clock is 0. */
 #define START_MS 1700000000000ULL
 
 struct node {
 	struct fleet *fleet;
 	unsigned index;
 	char name[16];
-	char place[16];
+	char dc[16];
 	char region[16];
 	struct members *members;
 	struct confsync *confsync;
 	struct model *model;
 	GRand *rng;
-	unsigned life; /* 0: not running */
-	unsigned lives;
-	unsigned group;
-	int64_t clock_off_us;
+	unsigned generation; /* counts processes from 1; 0: not running */
+	unsigned last_generation; /* processes started so far */
+	unsigned partition;
+	int64_t clock_offset_us; /* wall clock minus true time */
 	bool paused;
-	GQueue waiting; /* struct fleet_event, while it is paused */
-	uint64_t bytes[FLEET_KIND_COUNT];
+	GQueue pending; /* struct fleet_event, received while paused */
+	uint64_t bytes[FLEET_KIND_COUNT]; /* sent */
 };
 
 struct fleet {
@@ -39,12 +40,13 @@
 	uint64_t now_us;
 	struct node *nodes;
 	struct fleet_heap heap;
-	GBytes *last[FLEET_KIND_COUNT];
-	uint32_t *links; /* n times n: last use in ms and 1, 0 for never */
+	GBytes *last[FLEET_KIND_COUNT]; /* last message sent by any node */
+	/* [from * n + to]: last use of the link in ms, plus 1; 0: never. */
+	uint32_t *links;
 	struct fleet_counts counts;
 };
 
-/* Nodes as in the product, one data centre, no loss. */
+/* The product's default settings, one data centre, no loss. */
 void fleet_settings_default(struct fleet_settings *s, unsigned n)
 {
 	memset(s, 0, sizeof(*s));
@@ -56,41 +58,45 @@
 	confsync_settings_default(&s->spread);
 }
 
-/* One way: within a data centre, within a region, between regions. */
-static uint64_t delay(struct fleet *f, const struct node *a,
-		      const struct node *b)
+/*
+ * Random one-way delay: from 0.25 ms within a data centre, 1 ms within a
+ * region, 40 ms between regions, to half as much again.
+ */
+static uint64_t delivery_delay_us(struct fleet *f, const struct node *a,
+				  const struct node *b)
 {
 	double us = 40000;
 
-	if (!strcmp(a->place, b->place))
+	if (!strcmp(a->dc, b->dc))
 		us = 250;
 	else if (!strcmp(a->region, b->region))
 		us = 1000;
 	return (uint64_t)(us * g_rand_double_range(f->rng, 1.0, 1.5));
 }
 
-static struct node *find_node(struct fleet *f, uint16_t port)
+static struct node *find_node_by_port(struct fleet *f, uint16_t port)
 {
 	unsigned index = port - PORT_BASE;
 
 	return index < f->settings.n ? &f->nodes[index] : NULL;
 }
 
-/* Notes the use of the link from one node to another. */
+/* Records a use of the link; counts it as opened if it was closed. */
 static void use_link(struct fleet *f, unsigned from, unsigned to)
 {
-	uint32_t *used = &f->links[(size_t)from * f->settings.n + to];
+	uint32_t *last_use_ms = &f->links[(size_t)from * f->settings.n + to];
 	uint32_t now_ms = (uint32_t)(f->now_us / USEC_PER_MSEC) + 1;
 
-	f->counts.links_opened += !*used || now_ms - *used > LINK_IDLE_MS;
-	*used = now_ms;
+	f->counts.links_opened += !*last_use_ms ||
+				  now_ms - *last_use_ms > LINK_IDLE_MS;
+	*last_use_ms = now_ms;
 }
 
 static void send_message(struct node *from, const struct member_info *to,
 			 enum fleet_kind kind, GBytes *message)
 {
 	struct fleet *f = from->fleet;
-	struct node *node = find_node(f, to->peer_port);
+	struct node *node = find_node_by_port(f, to->peer_port);
 	size_t len = g_bytes_get_size(message);
 	struct fleet_event e = { .kind = kind, .from = from->index };
 
@@ -103,13 +109,13 @@
 	f->last[kind] = g_bytes_ref(message);
 	if (node)
 		use_link(f, from->index, node->index);
-	if (!node || !node->life || node->group != from->group ||
+	if (!node || !node->generation || node->partition != from->partition ||
 	    g_rand_double(f->rng) < f->settings.loss)
 		return;
 	if (f->hooks.blocked &&
 	    f->hooks.blocked(f->ctx, from->index, node->index))
 		return;
-	e.at_us = f->now_us + delay(f, from, node);
+	e.at_us = f->now_us + delivery_delay_us(f, from, node);
 	e.node = node->index;
 	e.message = g_bytes_ref(message);
 	fleet_heap_push(&f->heap, e);
@@ -159,12 +165,12 @@
 static const struct confsync_ops confsync_ops = { send_conf, on_in_force,
 						  on_rejected };
 
-/* A fleet of which no node runs yet. */
+/* Creates a fleet; no node is running yet. */
 struct fleet *fleet_create(const struct fleet_settings *settings,
 			   const struct fleet_hooks *hooks, void *ctx)
 {
 	struct fleet *f = g_new0(struct fleet, 1);
-	unsigned i, place;
+	unsigned i, dc;
 
 	f->settings = *settings;
 	if (hooks)
@@ -179,12 +185,12 @@
 
 		node->fleet = f;
 		node->index = i;
-		place = i % settings->data_centres;
+		dc = i % settings->data_centres;
 		g_snprintf(node->name, sizeof(node->name), "n%04u", i);
-		g_snprintf(node->place, sizeof(node->place), "dc-%02u", place);
+		g_snprintf(node->dc, sizeof(node->dc), "dc-%02u", dc);
 		g_snprintf(node->region, sizeof(node->region), "region-%u",
-			   place % settings->regions);
-		g_queue_init(&node->waiting);
+			   dc % settings->regions);
+		g_queue_init(&node->pending);
 	}
 	return f;
 }
@@ -204,16 +210,16 @@
 	model_destroy(node->model);
 	if (node->rng)
 		g_rand_free(node->rng);
-	g_queue_clear_full(&node->waiting, event_free);
+	g_queue_clear_full(&node->pending, event_free);
 	node->confsync = NULL;
 	node->members = NULL;
 	node->model = NULL;
 	node->rng = NULL;
-	node->life = 0;
+	node->generation = 0;
 	node->paused = false;
 }
 
-/* Ends all nodes. */
+/* Stops all nodes and frees the fleet. */
 void fleet_destroy(struct fleet *f)
 {
 	unsigned i;
@@ -231,12 +237,13 @@
 	g_free(f);
 }
 
-/* The virtual time. */
+/* The virtual time in us; it starts at 0. */
 uint64_t fleet_now(const struct fleet *f)
 {
 	return f->now_us;
 }
 
+/* CPU time of this process in ns. */
 static uint64_t cpu_now(void)
 {
 	struct timespec t;
@@ -259,7 +266,7 @@
 	f->counts.cpu_ns[FLEET_CONF] += t2 - t1;
 }
 
-/* Delivers bytes to a node as if a member had sent them. */
+/* Delivers a message to a node as if member `from` had sent it. */
 bool fleet_inject(struct fleet *f, unsigned node, enum fleet_kind kind,
 		  const char *from, struct str bytes, struct err *err)
 {
@@ -286,7 +293,7 @@
 {
 	struct fleet_event e = { .at_us = at_us,
 				 .node = node->index,
-				 .life = node->life };
+				 .generation = node->generation };
 
 	fleet_heap_push(&f->heap, e);
 }
@@ -296,25 +303,25 @@
 	struct node *node = &f->nodes[e->node];
 
 	if (!e->message) {
-		if (e->life != node->life || node->paused)
+		if (e->generation != node->generation || node->paused)
 			return;
 		run_tick(f, node);
 		schedule_tick(f, node, f->now_us + f->settings.tick_us);
 		return;
 	}
-	if (node->life && node->paused) {
-		g_queue_push_tail(&node->waiting, g_memdup2(e, sizeof(*e)));
+	if (node->generation && node->paused) {
+		g_queue_push_tail(&node->pending, g_memdup2(e, sizeof(*e)));
 		return;
 	}
-	if (node->life)
+	if (node->generation)
 		deliver(f, node, e);
 	g_bytes_unref(e->message);
 }
 
-/* Runs the clock on. */
-void fleet_run(struct fleet *f, uint64_t us)
+/* Advances the clock, running the events that fall due. */
+void fleet_run(struct fleet *f, uint64_t duration_us)
 {
-	uint64_t end_us = f->now_us + us;
+	uint64_t end_us = f->now_us + duration_us;
 
 	while (fleet_heap_next_us(&f->heap) <= end_us) {
 		struct fleet_event e = fleet_heap_pop(&f->heap);
@@ -325,7 +332,7 @@
 	f->now_us = end_us;
 }
 
-/* Runs until the condition holds; false when the limit came first. */
+/* Runs until the condition holds; false if it does not within limit_us. */
 bool fleet_run_until(struct fleet *f, fleet_condition_fn condition, void *ctx,
 		     uint64_t step_us, uint64_t limit_us)
 {
@@ -341,14 +348,15 @@
 
 static void make_info(const struct node *node, struct member_info *info)
 {
-	uint64_t clock_us = node->fleet->now_us + (uint64_t)node->clock_off_us;
+	uint64_t clock_us =
+		node->fleet->now_us + (uint64_t)node->clock_offset_us;
 
 	memset(info, 0, sizeof(*info));
 	g_strlcpy(info->name, node->name, sizeof(info->name));
 	g_snprintf(info->host, sizeof(info->host), "10.0.%u.%u",
 		   node->index / 250, node->index % 250 + 1);
 	info->peer_port = (uint16_t)(PORT_BASE + node->index);
-	g_strlcpy(info->data_centre, node->place, sizeof(info->data_centre));
+	g_strlcpy(info->data_centre, node->dc, sizeof(info->data_centre));
 	g_strlcpy(info->region, node->region, sizeof(info->region));
 	memset(info->curve_public, 'k', sizeof(info->curve_public) - 1);
 	info->incarnation = START_MS + (uint64_t)((int64_t)clock_us / 1000);
@@ -360,7 +368,7 @@
 	struct fleet *f = node->fleet;
 	unsigned i;
 
-	for (i = 0; i < MIN(SEEDS, f->settings.n); i++) {
+	for (i = 0; i < MIN(SEED_COUNT, f->settings.n); i++) {
 		struct member_info seed;
 
 		if (i == node->index)
@@ -379,7 +387,7 @@
 	uint64_t phase;
 
 	node_clear(node);
-	node->life = ++node->lives;
+	node->generation = ++node->last_generation;
 	node->rng = g_rand_new_with_seed(g_rand_int(f->rng));
 	make_info(node, &self);
 	node->members = members_create(&f->settings.members, &self, &member_ops,
@@ -396,7 +404,7 @@
 	schedule_tick(f, node, f->now_us + phase);
 }
 
-/* Starts some nodes at once. */
+/* Starts n nodes at the same time, from node `first` on. */
 void fleet_start_all(struct fleet *f, unsigned first, unsigned n)
 {
 	unsigned i;
@@ -405,19 +413,19 @@
 		fleet_start(f, i);
 }
 
-/* The next process of this node has a clock that is off by so much. */
-void fleet_clock(struct fleet *f, unsigned node, int64_t off_us)
+/* Sets the clock error that the node's next process starts with. */
+void fleet_clock(struct fleet *f, unsigned node, int64_t offset_us)
 {
-	f->nodes[node].clock_off_us = off_us;
+	f->nodes[node].clock_offset_us = offset_us;
 }
 
-/* The process is gone at once. */
+/* Ends the process without notice to the other nodes. */
 void fleet_kill(struct fleet *f, unsigned node)
 {
 	node_clear(&f->nodes[node]);
 }
 
-/* On waking a process first runs its timers, then reads what came in. */
+/* A resumed process first runs its timers, then reads the queued messages. */
 void fleet_pause(struct fleet *f, unsigned index, bool paused)
 {
 	struct node *node = &f->nodes[index];
@@ -428,16 +436,16 @@
 		return;
 	run_tick(f, node);
 	schedule_tick(f, node, f->now_us + f->settings.tick_us);
-	while ((e = g_queue_pop_head(&node->waiting))) {
+	while ((e = g_queue_pop_head(&node->pending))) {
 		deliver(f, node, e);
 		event_free(e);
 	}
 }
 
-/* Nodes of different groups do not hear each other. */
-void fleet_group(struct fleet *f, unsigned node, unsigned group)
+/* Messages between nodes of different partitions are lost. */
+void fleet_group(struct fleet *f, unsigned node, unsigned partition)
 {
-	f->nodes[node].group = group;
+	f->nodes[node].partition = partition;
 }
 
 /* Sets the share of messages that are lost. */
@@ -446,61 +454,58 @@
 	f->settings.loss = loss;
 }
 
-/* How many nodes there can be. */
+/* The number of nodes, running or not. */
 unsigned fleet_size(const struct fleet *f)
 {
 	return f->settings.n;
 }
 
-/* Number of the node's running process, from 1; 0 when none runs. */
-unsigned fleet_life(const struct fleet *f, unsigned node)
+/* Counts the node's processes from 1; 0 while the node is not running. */
+unsigned fleet_generation(const struct fleet *f, unsigned node)
 {
-	return f->nodes[node].life;
+	return f->nodes[node].generation;
 }
 
-/* Whether the process runs, paused or not. */
+/* Whether the node has a process, paused or not. */
 bool fleet_is_up(const struct fleet *f, unsigned node)
 {
-	return f->nodes[node].life != 0;
+	return f->nodes[node].generation != 0;
 }
 
-/* The node's name. */
 const char *fleet_name(const struct fleet *f, unsigned node)
 {
 	return f->nodes[node].name;
 }
 
-/* The node's data centre. */
-const char *fleet_place(const struct fleet *f, unsigned node)
+const char *fleet_data_centre(const struct fleet *f, unsigned node)
 {
-	return f->nodes[node].place;
+	return f->nodes[node].dc;
 }
 
-/* The node's region. */
 const char *fleet_region(const struct fleet *f, unsigned node)
 {
 	return f->nodes[node].region;
 }
 
-/* NULL when it does not run. */
+/* NULL when the node is not running. */
 struct members *fleet_members(struct fleet *f, unsigned node)
 {
 	return f->nodes[node].members;
 }
 
-/* NULL when it does not run. */
+/* NULL when the node is not running or has no confsync. */
 struct confsync *fleet_confsync(struct fleet *f, unsigned node)
 {
 	return f->nodes[node].confsync;
 }
 
-/* NULL when it does not run. */
+/* NULL when the node is not running or has no confsync. */
 struct model *fleet_model(struct fleet *f, unsigned node)
 {
 	return f->nodes[node].model;
 }
 
-/* How node a sees node b; MEMBER_LEFT when it does not know it. */
+/* The state of node b in node a's table; MEMBER_LEFT if it is not there. */
 enum member_state fleet_view(struct fleet *f, unsigned a, unsigned b)
 {
 	const struct member_info *m =
@@ -517,11 +522,11 @@
 
 	for (i = 0; i < n; i++) {
 		const struct member_info *m = members_at(node->members, i);
-		const struct node *other = find_node(f, m->peer_port);
+		const struct node *other = find_node_by_port(f, m->peer_port);
 
 		if (!member_is_live(m))
 			continue;
-		if (other && other->life)
+		if (other && other->generation)
 			right++;
 		else
 			wrong++;
@@ -529,21 +534,24 @@
 	return wrong + (up - right);
 }
 
-/* How many pairs of running nodes see each other wrongly. */
+/*
+ * Wrong entries in the tables of all running nodes: a running node not seen as
+ * live, or a stopped one seen as live.
+ */
 unsigned fleet_wrong_views(struct fleet *f)
 {
 	unsigned i, up = 0, wrong = 0;
 
 	for (i = 0; i < f->settings.n; i++)
-		up += f->nodes[i].life != 0;
+		up += f->nodes[i].generation != 0;
 	for (i = 0; i < f->settings.n; i++) {
-		if (f->nodes[i].life)
+		if (f->nodes[i].generation)
 			wrong += wrong_views_of(f, &f->nodes[i], up);
 	}
 	return wrong;
 }
 
-/* Counts begin at 0 again. */
+/* Sets all counts to 0. */
 void fleet_reset_counts(struct fleet *f)
 {
 	unsigned i;
@@ -553,7 +561,7 @@
 		memset(f->nodes[i].bytes, 0, sizeof(f->nodes[i].bytes));
 }
 
-/* What was sent and spent since the counts were reset. */
+/* Traffic and CPU time since fleet_reset_counts(). */
 void fleet_counts(const struct fleet *f, struct fleet_counts *out)
 {
 	unsigned i, kind;
@@ -566,7 +574,7 @@
 	}
 }
 
-/* The last message of a kind that any node sent; for mutation. */
+/* The last message of a kind that any node sent; for mutation tests. */
 GBytes *fleet_last_message(struct fleet *f, enum fleet_kind kind)
 {
 	return f->last[kind];
--- a/packages/core/tests/support_fleet_heap.c
+++ b/packages/core/tests/support_fleet_heap.c
@@ -4,16 +4,16 @@
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
-	return a->order < b->order;
+	return a->sequence < b->sequence;
 }
 
-/* Adds an event, behind others at the same time. */
+/* Adds an event; events of the same time are popped in push order. */
 void fleet_heap_push(struct fleet_heap *h, struct fleet_event e)
 {
 	struct fleet_event *events;
 	unsigned i;
 
-	e.order = h->order++;
+	e.sequence = h->sequence++;
 	g_array_append_val(h->events, e);
 	events = (struct fleet_event *)h->events->data;
 	for (i = h->events->len - 1; i; i = (i - 1) / 2) {
@@ -24,7 +24,7 @@
 	events[i] = e;
 }
 
-/* Takes the first event out; there must be one. */
+/* Removes and returns the first event; the heap must not be empty. */
 struct fleet_event fleet_heap_pop(struct fleet_heap *h)
 {
 	struct fleet_event *events = (struct fleet_event *)h->events->data;
@@ -48,14 +48,13 @@
 	return first;
 }
 
-/* An empty heap. */
 void fleet_heap_init(struct fleet_heap *h)
 {
 	h->events = g_array_new(FALSE, FALSE, sizeof(struct fleet_event));
-	h->order = 0;
+	h->sequence = 0;
 }
 
-/* Frees it with the messages that are under way. */
+/* Frees the events and their messages. */
 void fleet_heap_clear(struct fleet_heap *h)
 {
 	guint i;
@@ -70,7 +69,7 @@
 	g_array_free(h->events, TRUE);
 }
 
-/* The time of the first event. */
+/* The time of the first event; UINT64_MAX when there is none. */
 uint64_t fleet_heap_next_us(const struct fleet_heap *h)
 {
 	if (!h->events->len)
--- a/packages/core/tests/support_fleet_store.c
+++ b/packages/core/tests/support_fleet_store.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-#define STEP_US (50 * USEC_PER_MSEC)
+/* Interval at which the store answers lists and watches. */
+#define WATCH_STEP_US (50 * USEC_PER_MSEC)
 
 struct value {
 	uint64_t revision;
@@ -15,19 +16,19 @@
 };
 
 struct watch {
-	unsigned life; /* of the process that watches; 0: none */
-	unsigned next; /* event */
-	bool cut;
+	unsigned generation; /* of the watching process; 0: no watch */
+	unsigned next_event; /* index of the next event to deliver */
+	bool unreachable; /* the node can not reach the store */
 };
 
 struct fleet_store {
 	struct fleet *fleet;
 	unsigned n;
 	GHashTable *keys; /* key -> struct value */
-	GArray *events; /* struct store_event */
-	struct watch *watches;
-	uint64_t revision;
-	uint64_t lists;
+	GArray *events; /* struct store_event, all changes so far */
+	struct watch *watches; /* one per node */
+	uint64_t revision; /* of the last change */
+	uint64_t list_count;
 	bool down;
 };
 
@@ -39,7 +40,7 @@
 	g_free(value);
 }
 
-/* An empty store at revision 1. */
+/* Creates an empty store at revision 1. */
 struct fleet_store *fleet_store_create(struct fleet *f)
 {
 	struct fleet_store *s = g_new0(struct fleet_store, 1);
@@ -54,7 +55,7 @@
 	return s;
 }
 
-/* Frees it; the fleet lives on. */
+/* Frees the store, not the fleet. */
 void fleet_store_destroy(struct fleet_store *s)
 {
 	unsigned i;
@@ -72,7 +73,7 @@
 	g_free(s);
 }
 
-/* Writes a value (NULL: removes the key); the watches tell it later. */
+/* Writes a value (NULL: removes the key); watches get it at the next step. */
 uint64_t fleet_store_put(struct fleet_store *s, const char *key,
 			 const char *json)
 {
@@ -87,14 +88,14 @@
 	return s->revision;
 }
 
-static void list(struct fleet_store *s, unsigned node)
+static void answer_list(struct fleet_store *s, unsigned node)
 {
 	struct confsync *c = fleet_confsync(s->fleet, node);
-	uint64_t now = fleet_now(s->fleet);
+	uint64_t now_us = fleet_now(s->fleet);
 	GHashTableIter iter;
 	gpointer key, data;
 
-	s->lists++;
+	s->list_count++;
 	confsync_list_begin(c);
 	g_hash_table_iter_init(&iter, s->keys);
 	while (g_hash_table_iter_next(&iter, &key, &data)) {
@@ -102,21 +103,22 @@
 
 		if (value->json)
 			confsync_from_store(c, key, value->revision, false,
-					    str_from_c(value->json), now, NULL);
+					    str_from_c(value->json), now_us,
+					    NULL);
 	}
-	confsync_list_done(c, s->revision, now);
-	s->watches[node].life = fleet_life(s->fleet, node);
-	s->watches[node].next = s->events->len;
+	confsync_list_done(c, s->revision, now_us);
+	s->watches[node].generation = fleet_generation(s->fleet, node);
+	s->watches[node].next_event = s->events->len;
 }
 
-static void deliver(struct fleet_store *s, unsigned node)
+static void deliver_events(struct fleet_store *s, unsigned node)
 {
 	struct confsync *c = fleet_confsync(s->fleet, node);
 	struct watch *w = &s->watches[node];
 
-	while (w->next < s->events->len) {
+	while (w->next_event < s->events->len) {
 		const struct store_event *e = &g_array_index(
-			s->events, struct store_event, w->next++);
+			s->events, struct store_event, w->next_event++);
 
 		confsync_from_store(c, e->key, e->value.revision,
 				    !e->value.json, str_from_c(e->value.json),
@@ -124,76 +126,79 @@
 	}
 }
 
-static void serve(struct fleet_store *s, unsigned node)
+static void update_watch(struct fleet_store *s, unsigned node)
 {
 	struct watch *w = &s->watches[node];
 	struct confsync *c = fleet_confsync(s->fleet, node);
-	bool wanted = c && !s->down && !w->cut && confsync_is_watcher(c);
+	bool wanted = c && !s->down && !w->unreachable &&
+		      confsync_is_watcher(c);
 
-	if (!wanted || w->life != fleet_life(s->fleet, node))
-		w->life = 0;
+	if (!wanted || w->generation != fleet_generation(s->fleet, node))
+		w->generation = 0;
 	if (!wanted)
 		return;
-	if (!w->life)
-		list(s, node);
+	if (!w->generation)
+		answer_list(s, node);
 	else
-		deliver(s, node);
+		deliver_events(s, node);
 }
 
-/* Runs the fleet, and the watches in steps. */
-void fleet_store_run(struct fleet_store *s, uint64_t us)
+/* Runs the fleet; lists and watches are answered every 50 ms. */
+void fleet_store_run(struct fleet_store *s, uint64_t duration_us)
 {
-	uint64_t end = fleet_now(s->fleet) + us;
+	uint64_t end_us = fleet_now(s->fleet) + duration_us;
 	unsigned i;
 
-	while (fleet_now(s->fleet) < end) {
+	while (fleet_now(s->fleet) < end_us) {
 		for (i = 0; i < s->n; i++)
-			serve(s, i);
-		fleet_run(s->fleet, MIN(STEP_US, end - fleet_now(s->fleet)));
+			update_watch(s, i);
+		fleet_run(s->fleet,
+			  MIN(WATCH_STEP_US, end_us - fleet_now(s->fleet)));
 	}
 }
 
-/* While it is down there are no lists and no events. */
-void fleet_store_down(struct fleet_store *s, bool down)
+/* While the store is down it answers no lists and delivers no events. */
+void fleet_store_set_down(struct fleet_store *s, bool down)
 {
 	s->down = down;
 }
 
-/* The node can not reach the store. */
-void fleet_store_cut(struct fleet_store *s, unsigned node, bool cut)
+/* Sets whether the node can not reach the store. */
+void fleet_store_set_unreachable(struct fleet_store *s, unsigned node,
+				 bool unreachable)
 {
-	s->watches[node].cut = cut;
+	s->watches[node].unreachable = unreachable;
 }
 
-/* Whether a node holds a watch now. */
+/* Whether a node has a watch. */
 bool fleet_store_watched_by(const struct fleet_store *s, unsigned node)
 {
-	return s->watches[node].life != 0;
+	return s->watches[node].generation != 0;
 }
 
-/* How many nodes hold a watch now. */
+/* The number of nodes that have a watch. */
 unsigned fleet_store_watches(const struct fleet_store *s)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < s->n; i++)
-		n += s->watches[i].life != 0;
+		n += s->watches[i].generation != 0;
 	return n;
 }
 
-/* Lists answered so far. */
+/* The number of lists answered so far. */
 uint64_t fleet_store_lists(const struct fleet_store *s)
 {
-	return s->lists;
+	return s->list_count;
 }
 
-/* Of the last change. */
+/* The revision of the last change. */
 uint64_t fleet_store_revision(const struct fleet_store *s)
 {
 	return s->revision;
 }
 
-/* How many running nodes are not yet complete up to the revision. */
+/* The number of running nodes whose own revision is below this one. */
 unsigned fleet_store_lagging(struct fleet_store *s, uint64_t revision)
 {
 	unsigned i, n = 0;
@@ -215,16 +220,16 @@
 	while (g_hash_table_iter_next(&iter, &key, &data)) {
 		struct value *value = data;
 		struct item *item = model_get(model, key);
-		bool live = item && !item->removed;
+		bool exists = item && !item->removed;
 
-		if (live != (value->json != NULL) ||
-		    (live && item->revision != value->revision))
+		if (exists != (value->json != NULL) ||
+		    (exists && item->revision != value->revision))
 			return true;
 	}
 	return false;
 }
 
-/* How many running nodes have another model than the store has. */
+/* The number of running nodes whose model differs from the store. */
 unsigned fleet_store_differing(struct fleet_store *s)
 {
 	unsigned i, n = 0;
@@ -236,7 +241,7 @@
 	return n;
 }
 
-/* A valid value of a database with three servers, about 600 bytes. */
+/* The JSON of a valid database item with three servers, about 600 bytes. */
 char *fleet_store_database(unsigned change)
 {
 	GString *json = g_string_new(NULL);
--- a/packages/core/tests/support_fleet_store.h
+++ b/packages/core/tests/support_fleet_store.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_CORE_SUPPORT_FLEET_STORE_H
 
 /*
- * The platform's store as a fleet sees it: keys with revisions, and the
- * watchers' lists and watches, which end when the store is down.
+ * A simulated configuration store: keys with revisions, and the lists and
+ * watches of the nodes that are watchers. All watches end when the store goes
+ * down.
  */
 
 #include "support_fleet.h"
@@ -15,21 +16,27 @@
 /* Writes a value (NULL: removes the key); returns the revision. */
 uint64_t fleet_store_put(struct fleet_store *s, const char *key,
 			 const char *json);
-/* Runs the fleet, and the watches in steps. */
-void fleet_store_run(struct fleet_store *s, uint64_t us);
-void fleet_store_down(struct fleet_store *s, bool down);
-/* The node can not reach the store. */
-void fleet_store_cut(struct fleet_store *s, unsigned node, bool cut);
-/* Whether a node holds a watch now, and how many do. */
+/* Runs the fleet; lists and watches are answered every 50 ms. */
+void fleet_store_run(struct fleet_store *s, uint64_t duration_us);
+void fleet_store_set_down(struct fleet_store *s, bool down);
+/* Whether the node can not reach the store. */
+void fleet_store_set_unreachable(struct fleet_store *s, unsigned node,
+				 bool unreachable);
+/* Whether a node has a watch, and the number of nodes that have one. */
 bool fleet_store_watched_by(const struct fleet_store *s, unsigned node);
 unsigned fleet_store_watches(const struct fleet_store *s);
+/* The number of lists answered so far. */
 uint64_t fleet_store_lists(const struct fleet_store *s);
+/* The revision of the last change. */
 uint64_t fleet_store_revision(const struct fleet_store *s);
-/* How many running nodes are not yet complete up to the revision. */
+/* The number of running nodes whose own revision is below this one. */
 unsigned fleet_store_lagging(struct fleet_store *s, uint64_t revision);
-/* How many running nodes have another model than the store has. */
+/* The number of running nodes whose model differs from the store. */
 unsigned fleet_store_differing(struct fleet_store *s);
-/* A valid value of a database with three servers, about 600 bytes. */
+/*
+ * The JSON of a valid database item with three servers, about 600 bytes. The
+ * names in it contain the number `change`.
+ */
 char *fleet_store_database(unsigned change);
 
 #endif
--- a/packages/core/tests/test_confsync.c
+++ b/packages/core/tests/test_confsync.c
@@ -32,9 +32,9 @@
 	return revision;
 }
 
-/* A fleet with the store up and three limits in force everywhere. */
-static struct fleet_store *start(struct fleet_settings *settings,
-				 struct fleet **out)
+/* Starts a fleet and its store; three limits are in force on all nodes. */
+static struct fleet_store *start_fleet(struct fleet_settings *settings,
+				       struct fleet **out)
 {
 	struct fleet *f;
 	struct fleet_store *s;
@@ -55,7 +55,7 @@
 	return s;
 }
 
-static void end(struct fleet_store *s, struct fleet *f)
+static void end_fleet(struct fleet_store *s, struct fleet *f)
 {
 	fleet_store_destroy(s);
 	fleet_destroy(f);
@@ -66,7 +66,11 @@
 	return model_limit(fleet_model(f, node), name, -1);
 }
 
-START_TEST(change_is_in_force_everywhere_within_seconds)
+/*
+ * A change and a removal are in force on all 60 nodes within 3 s, and 6 s later
+ * each node reports their revision as complete.
+ */
+START_TEST(change_is_in_force_on_all_nodes_within_3_s)
 {
 	struct fleet_settings settings;
 	struct fleet_store *s;
@@ -77,7 +81,7 @@
 	fleet_settings_default(&settings, 60);
 	settings.data_centres = 10;
 	settings.regions = 4;
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	ck_assert_uint_eq(fleet_store_watches(s), 8);
 	put_limit(s, "a", 10);
 	revision = fleet_store_put(s, "limit/b", NULL);
@@ -89,11 +93,12 @@
 	}
 	fleet_store_run(s, 6 * SEC);
 	ck_assert_uint_eq(fleet_store_lagging(s, revision), 0);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
-START_TEST(change_arrives_in_spite_of_loss)
+/* With 20 % of the messages lost, digests repair what the pushes missed. */
+START_TEST(change_arrives_despite_message_loss)
 {
 	struct fleet_settings settings;
 	struct fleet_store *s;
@@ -102,7 +107,7 @@
 
 	fleet_settings_default(&settings, 60);
 	settings.data_centres = 4;
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	fleet_loss(f, 0.2);
 	for (i = 0; i < 20; i++) {
 		put_limit(s, "a", 100 + (int)i);
@@ -110,15 +115,15 @@
 	}
 	fleet_store_run(s, 15 * SEC);
 	ck_assert_uint_eq(fleet_store_differing(s), 0);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * At rest nothing but a header goes to one member each interval, however many
- * items there are.
+ * While nothing changes, a node sends only a digest header to one member per
+ * interval, at most 200 bytes even with 3000 items.
  */
-START_TEST(digest_at_rest_is_small)
+START_TEST(idle_digest_is_small)
 {
 	struct fleet_settings settings;
 	struct fleet_counts counts;
@@ -127,33 +132,34 @@
 	unsigned i;
 
 	fleet_settings_default(&settings, 4);
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	for (i = 0; i < 3000; i++) {
 		char name[16];
 
 		g_snprintf(name, sizeof(name), "x%u", i);
 		put_limit(s, name, 5);
 	}
-	/* Through an outage, so that it comes as one list. */
-	fleet_store_down(s, true);
+	/* A store outage makes the watchers read the items as one list. */
+	fleet_store_set_down(s, true);
 	fleet_store_run(s, SEC);
-	fleet_store_down(s, false);
+	fleet_store_set_down(s, false);
 	fleet_store_run(s, 300 * SEC);
 	ck_assert_uint_eq(fleet_store_differing(s), 0);
 	fleet_reset_counts(f);
 	fleet_store_run(s, 60 * SEC);
 	fleet_counts(f, &counts);
 	ck_assert_uint_le(counts.largest[FLEET_CONF], 200);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * An operator's script writes garbage straight into the store. Every proxy
- * must go on with the last good value, say that it rejected the new one, and
- * not claim to have all in force until it is mended.
+ * An invalid value is written directly into the store. Every node must keep
+ * the last good value, the nodes that read the bad one must report it as
+ * rejected, and no node may report its revision as complete until a valid
+ * value replaces it.
  */
-START_TEST(bad_item_leaves_the_last_good_one_in_force)
+START_TEST(rejected_item_leaves_last_good_value_in_force)
 {
 	struct fleet_settings settings;
 	struct fleet_store *s;
@@ -162,12 +168,12 @@
 	unsigned i;
 
 	fleet_settings_default(&settings, 8);
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	bad = fleet_store_put(s, "limit/a", "{\"change\":\"x\",\"value\":[]}");
 	fleet_store_run(s, 10 * SEC);
 	for (i = 0; i < settings.n; i++)
 		ck_assert_int_eq(limit_at(f, i, "a"), 1);
-	/* Only the watchers have seen it. */
+	/* Only the two watchers read the value from the store. */
 	ck_assert_uint_eq(n_rejected, 2);
 	ck_assert_uint_eq(fleet_store_lagging(s, bad), 8);
 	put_limit(s, "b", 20);
@@ -178,13 +184,13 @@
 	fleet_store_run(s, 10 * SEC);
 	ck_assert_uint_eq(fleet_store_lagging(s, good), 0);
 	ck_assert_int_eq(limit_at(f, 5, "a"), 7);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * A VM is replaced while the store is down. The new process must serve with
- * the configuration that all others have, taken from them.
+ * A VM is replaced while the store is down. The new process must get the whole
+ * configuration from the other nodes.
  */
 START_TEST(node_starts_while_the_store_is_down)
 {
@@ -196,7 +202,7 @@
 
 	fleet_settings_default(&settings, 8);
 	settings.spread.max_message_bytes = 2000;
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	for (i = 0; i < 40; i++) {
 		char *key = g_strdup_printf("database/ledger/miles-%u", i);
 		char *json = fleet_store_database(i);
@@ -207,7 +213,7 @@
 	}
 	fleet_store_run(s, 60 * SEC);
 	ck_assert_uint_eq(fleet_store_differing(s), 0);
-	fleet_store_down(s, true);
+	fleet_store_set_down(s, true);
 	fleet_kill(f, 5);
 	fleet_store_run(s, SEC);
 	fleet_start(f, 5);
@@ -217,17 +223,17 @@
 	confsync_stats(fleet_confsync(f, 5), &stats);
 	ck_assert_uint_eq(stats.items, 43);
 	ck_assert_uint_eq(fleet_store_lagging(s, fleet_store_revision(s)), 0);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * A proxy is cut off for an hour. Meanwhile an operator removes a caller's
- * item and so many others that the tombstone is forgotten. When the proxy is
- * back it still has the item, and must not give it to the others again: the
- * caller's access would be restored behind the operator's back.
+ * A proxy is partitioned for an hour. Meanwhile an operator removes an item,
+ * and so many others that its tombstone is dropped. The returning proxy still
+ * has the item and must not spread it again: if the item is a caller's, the
+ * caller would regain the access that the operator revoked.
  */
-START_TEST(stale_node_brings_no_removed_item_back)
+START_TEST(stale_node_does_not_restore_removed_item)
 {
 	struct fleet_settings settings;
 	struct confsync_stats stats;
@@ -237,9 +243,9 @@
 
 	fleet_settings_default(&settings, 6);
 	settings.spread.max_tombstones = 4;
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	fleet_group(f, 3, 1);
-	fleet_store_cut(s, 3, true);
+	fleet_store_set_unreachable(s, 3, true);
 	fleet_store_run(s, 60 * SEC);
 	fleet_store_put(s, "limit/a", NULL);
 	for (i = 0; i < 20; i++) {
@@ -256,7 +262,7 @@
 	confsync_stats(fleet_confsync(f, 0), &stats);
 	ck_assert_uint_eq(stats.tombstones, 4);
 	ck_assert_int_eq(limit_at(f, 3, "a"), 1);
-	fleet_store_down(s, true);
+	fleet_store_set_down(s, true);
 	fleet_group(f, 3, 0);
 	for (i = 0; i < 60; i++) {
 		fleet_store_run(s, SEC);
@@ -264,15 +270,15 @@
 	}
 	ck_assert_int_eq(limit_at(f, 3, "a"), -1);
 	ck_assert_uint_eq(fleet_store_differing(s), 0);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * An item is removed while the store and its watches are down for the fleet;
- * the event is gone when they are up again. Only the list shows it.
+ * An item is removed while no node can reach the store, so no watch delivers
+ * the removal. The list read afterwards must reveal it.
  */
-START_TEST(list_shows_what_was_removed_meanwhile)
+START_TEST(list_reveals_removals_during_outage)
 {
 	struct fleet_settings settings;
 	struct fleet_store *s;
@@ -280,28 +286,28 @@
 	unsigned i;
 
 	fleet_settings_default(&settings, 8);
-	s = start(&settings, &f);
-	fleet_store_down(s, true);
+	s = start_fleet(&settings, &f);
+	fleet_store_set_down(s, true);
 	fleet_store_run(s, 5 * SEC);
 	fleet_store_put(s, "limit/c", NULL);
 	put_limit(s, "b", 9);
-	fleet_store_down(s, false);
+	fleet_store_set_down(s, false);
 	fleet_store_run(s, 5 * SEC);
 	for (i = 0; i < settings.n; i++) {
 		ck_assert_int_eq(limit_at(f, i, "c"), -1);
 		ck_assert_int_eq(limit_at(f, i, "b"), 9);
 	}
 	ck_assert_uint_eq(fleet_store_differing(s), 0);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * Two regions lose each other, and only one of them reaches the store. Each
- * change since then must be in force on the other side soon after they are
- * together again, and the older value must win nowhere.
+ * Two regions are partitioned and only one of them receives changes from the
+ * store. Within 60 s of the partition's end each change must be in force in the
+ * other region too, and no node may fall back to the older value.
  */
-START_TEST(region_catches_up_after_a_cut)
+START_TEST(region_catches_up_after_partition)
 {
 	struct fleet_settings settings;
 	struct fleet_store *s;
@@ -310,12 +316,12 @@
 
 	fleet_settings_default(&settings, 12);
 	settings.data_centres = settings.regions = 2;
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	for (i = 0; i < settings.n; i += 2)
 		fleet_group(f, i, 1);
-	fleet_store_down(s, true);
+	fleet_store_set_down(s, true);
 	fleet_store_run(s, 30 * SEC);
-	/* One side hears of both changes, the other keeps the old values. */
+	/* One region gets both changes, the other keeps the old values. */
 	for (i = 0; i < 2; i++) {
 		char *json =
 			g_strdup_printf("{\"change\":\"n%u\",\"value\":8}", i);
@@ -335,11 +341,15 @@
 		ck_assert_int_eq(limit_at(f, i, "a"), 8);
 		ck_assert_int_eq(limit_at(f, i, "b"), 8);
 	}
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
-START_TEST(late_and_repeated_news_change_nothing)
+/*
+ * A value with an older revision is ignored. One with the same revision but
+ * other content is ignored too, and counted as a conflict.
+ */
+START_TEST(old_or_conflicting_values_change_nothing)
 {
 	struct fleet_settings settings;
 	struct confsync_stats stats;
@@ -348,7 +358,7 @@
 	struct confsync *c;
 
 	fleet_settings_default(&settings, 3);
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	c = fleet_confsync(f, 0);
 	put_limit(s, "a", 10);
 	fleet_store_run(s, 3 * SEC);
@@ -364,13 +374,13 @@
 	ck_assert_int_eq(limit_at(f, 0, "a"), 10);
 	confsync_stats(c, &stats);
 	ck_assert_uint_eq(stats.conflicts, 1);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * A watcher's VM dies. The store must go on being watched by as many nodes,
- * and the others' watches must not be disturbed.
+ * A watcher's VM dies. Another node must take its place, so that as many nodes
+ * as before watch the store, and the other watches must not be restarted.
  */
 START_TEST(dead_watcher_is_replaced)
 {
@@ -381,7 +391,7 @@
 	unsigned i, victim = 0;
 
 	fleet_settings_default(&settings, 20);
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	ck_assert_uint_eq(fleet_store_watches(s), 2);
 	lists = fleet_store_lists(s);
 	while (!fleet_store_watched_by(s, victim))
@@ -396,16 +406,16 @@
 		if (i != victim)
 			ck_assert_int_eq(limit_at(f, i, "a"), 77);
 	}
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
 /*
- * An operator waits until a change is in force everywhere. One proxy is cut
- * off; it must be among those that lag, and nobody may be called complete
- * that is not.
+ * An operator waits until a change is in force on all nodes while one proxy is
+ * partitioned. That proxy must be reported as lagging, and no node may report a
+ * revision whose changes it does not have in force.
  */
-START_TEST(revision_names_who_lags)
+START_TEST(revision_identifies_lagging_node)
 {
 	struct fleet_settings settings;
 	struct fleet_store *s;
@@ -414,16 +424,17 @@
 	unsigned i, j;
 
 	fleet_settings_default(&settings, 8);
-	s = start(&settings, &f);
+	s = start_fleet(&settings, &f);
 	fleet_group(f, 6, 1);
-	fleet_store_cut(s, 6, true);
+	fleet_store_set_unreachable(s, 6, true);
 	for (i = 0; i < 30; i++) {
 		revision = put_limit(s, i % 2 ? "a" : "b", (int)i);
 		fleet_store_run(s, SEC / 5);
 		for (j = 0; j < settings.n; j++) {
-			uint64_t r = confsync_revision(fleet_confsync(f, j));
+			uint64_t member_revision =
+				confsync_revision(fleet_confsync(f, j));
 
-			if (r >= revision)
+			if (member_revision >= revision)
 				ck_assert_int_eq(
 					limit_at(f, j, i % 2 ? "a" : "b"), i);
 		}
@@ -440,11 +451,11 @@
 	ck_assert_uint_eq(confsync_member_revision(fleet_confsync(f, 0),
 						   "n0006"),
 			  revision);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
-static enum err_code give(struct fleet *f, const void *data, size_t len)
+static enum err_code inject(struct fleet *f, const void *data, size_t len)
 {
 	struct str bytes = { .data = data, .len = len };
 	struct err err = { 0 };
@@ -454,8 +465,9 @@
 }
 
 /*
- * A peer of a broken build sends messages that are cut short or have flipped
- * bits. Whatever is malformed is refused whole.
+ * A faulty peer sends truncated messages and messages with flipped bits. Every
+ * truncated one must be refused, and none may crash the node. A message of an
+ * unknown type is accepted and ignored.
  */
 START_TEST(malformed_messages_are_refused)
 {
@@ -467,8 +479,9 @@
 	unsigned i, round;
 
 	fleet_settings_default(&settings, 4);
-	s = start(&settings, &f);
-	ck_assert_int_eq(give(f, unknown_type, sizeof(unknown_type)), ERR_NONE);
+	s = start_fleet(&settings, &f);
+	ck_assert_int_eq(inject(f, unknown_type, sizeof(unknown_type)),
+			 ERR_NONE);
 	for (round = 0; round < 20; round++) {
 		GBytes *last;
 		struct str m;
@@ -481,20 +494,20 @@
 		ck_assert_uint_gt(m.len, 0);
 		copy = g_memdup2(m.data, m.len);
 		for (i = 0; i < m.len; i++)
-			ck_assert_int_eq(give(f, copy, i), ERR_BAD_MESSAGE);
+			ck_assert_int_eq(inject(f, copy, i), ERR_BAD_MESSAGE);
 		for (i = 0; i < 200; i++) {
 			unsigned at = (unsigned)g_rand_int_range(rng, 0,
 								 (gint32)m.len);
 
 			copy[at] ^= 1U << g_rand_int_range(rng, 0, 8);
-			give(f, copy, m.len);
+			inject(f, copy, m.len);
 			copy[at] = (uint8_t)m.data[at];
 		}
 		g_free(copy);
 		g_bytes_unref(last);
 	}
 	g_rand_free(rng);
-	end(s, f);
+	end_fleet(s, f);
 }
 END_TEST
 
@@ -502,17 +515,17 @@
 {
 	TCase *tcase = tcase_create("confsync");
 
-	tcase_add_test(tcase, change_is_in_force_everywhere_within_seconds);
-	tcase_add_test(tcase, change_arrives_in_spite_of_loss);
-	tcase_add_test(tcase, digest_at_rest_is_small);
-	tcase_add_test(tcase, bad_item_leaves_the_last_good_one_in_force);
+	tcase_add_test(tcase, change_is_in_force_on_all_nodes_within_3_s);
+	tcase_add_test(tcase, change_arrives_despite_message_loss);
+	tcase_add_test(tcase, idle_digest_is_small);
+	tcase_add_test(tcase, rejected_item_leaves_last_good_value_in_force);
 	tcase_add_test(tcase, node_starts_while_the_store_is_down);
-	tcase_add_test(tcase, stale_node_brings_no_removed_item_back);
-	tcase_add_test(tcase, list_shows_what_was_removed_meanwhile);
-	tcase_add_test(tcase, region_catches_up_after_a_cut);
-	tcase_add_test(tcase, late_and_repeated_news_change_nothing);
+	tcase_add_test(tcase, stale_node_does_not_restore_removed_item);
+	tcase_add_test(tcase, list_reveals_removals_during_outage);
+	tcase_add_test(tcase, region_catches_up_after_partition);
+	tcase_add_test(tcase, old_or_conflicting_values_change_nothing);
 	tcase_add_test(tcase, dead_watcher_is_replaced);
-	tcase_add_test(tcase, revision_names_who_lags);
+	tcase_add_test(tcase, revision_identifies_lagging_node);
 	tcase_add_test(tcase, malformed_messages_are_refused);
 	return suite_main("confsync", tcase);
 }
