--- a/packages/core/tests/test_admit.c
+++ b/packages/core/tests/test_admit.c
@@ -6,10 +6,10 @@
 
 #define MS USEC_PER_MSEC
 #define SLOTS 2
-#define ENTRIES 4096
+#define MAX_ENTRIES 4096
 
 static struct admit *a;
-static struct admit_entry entries[ENTRIES];
+static struct admit_entry entries[MAX_ENTRIES];
 static unsigned n_entries;
 static uint64_t retry_us;
 
@@ -51,7 +51,7 @@
 	return ERR_NONE;
 }
 
-/* The next entry, done at once after a service time. */
+/* Pops the next entry and completes it with the given service time. */
 static struct admit_entry *serve(uint64_t now_ms, uint64_t service_ms)
 {
 	struct admit_entry *e = admit_pop(a, now_ms * MS);
@@ -74,7 +74,7 @@
 		;
 }
 
-START_TEST(test_slots_are_the_limit)
+START_TEST(test_slots_limit_running_requests)
 {
 	struct admit_entry *e;
 
@@ -99,10 +99,10 @@
 END_TEST
 
 /*
- * Story: one adviser's export of a whole year floods the queue, and a phone
- * that sends one trip waits behind all of it. Cause: one queue for all.
+ * A caller's bulk export fills the queue. With one queue for all callers,
+ * another caller's single request would wait behind the whole export.
  */
-START_TEST(test_one_request_beside_a_flood_is_next)
+START_TEST(test_flood_does_not_delay_other_caller)
 {
 	unsigned i;
 
@@ -115,8 +115,8 @@
 }
 END_TEST
 
-/* Fair by time, not by count: b's requests take four times as long. */
-START_TEST(test_callers_pay_for_the_time_they_take)
+/* Turns are shared by service time: b's requests take four times as long. */
+START_TEST(test_fairness_counts_service_time)
 {
 	unsigned count[2] = { 0 };
 	unsigned i;
@@ -174,7 +174,7 @@
 }
 END_TEST
 
-START_TEST(test_a_profiles_share_holds_while_others_wait)
+START_TEST(test_profile_share_holds_while_others_wait)
 {
 	struct admit_entry *first;
 
@@ -183,22 +183,23 @@
 	push("b", &normal, 0, 100000);
 	first = admit_pop(a, 0);
 	ck_assert_ptr_eq(first, &entries[0]);
-	/* One of two slots is its share. */
+	/* Its share of 50 % is one of the two slots. */
 	ck_assert_ptr_eq(admit_pop(a, 0), &entries[2]);
 	admit_done(a, &entries[2], 5 * MS);
-	/* Nobody else waits: the slot doesn't stay empty. */
+	/* No other profile waits, so it may use the free slot. */
 	ck_assert_ptr_eq(admit_pop(a, 0), &entries[1]);
 }
 END_TEST
 
 /*
- * Story: after an hour of exports in the one slot that they may have, a phone's
- * reads are refused for minutes. Cause: the exports' caller collected credit
- * for turns that its share forbade, and then came first until that was used up.
+ * A caller's exports run for an hour in the one slot that their profile's share
+ * allows. If the caller earned credit for the turns that the share denied it,
+ * it would then be served before all others until the credit is used up, and
+ * another caller's reads would be refused for minutes.
  */
-START_TEST(test_a_share_earns_no_credit)
+START_TEST(test_caller_at_profile_share_earns_no_credit)
 {
-	unsigned lights = 0;
+	unsigned light_count = 0;
 	struct admit_entry *heavy;
 	unsigned i;
 
@@ -213,13 +214,13 @@
 	for (i = 0; i < 10; i++)
 		push("light", &normal, 0, 1000000);
 	for (i = 0; i < 10; i++)
-		lights += next_caller(0, 5) == 'l';
-	ck_assert_uint_ge(lights, 4);
+		light_count += next_caller(0, 5) == 'l';
+	ck_assert_uint_ge(light_count, 4);
 }
 END_TEST
 
-/* Two profiles at their share and a slot free: it doesn't stay empty. */
-START_TEST(test_shares_give_way_to_an_empty_slot)
+/* With every waiting profile at its share, a free slot is used nevertheless. */
+START_TEST(test_free_slot_overrides_profile_shares)
 {
 	static struct profile other = { .name = "other", .share = 1 };
 
@@ -234,7 +235,8 @@
 }
 END_TEST
 
-START_TEST(test_queues_are_bounded_and_leave_room_for_others)
+/* The queue holds 128 entries per slot; one caller alone may use half of it. */
+START_TEST(test_queue_is_bounded_and_keeps_room_for_others)
 {
 	unsigned i;
 
@@ -249,8 +251,8 @@
 }
 END_TEST
 
-/* Refused at the door, with the time after which the queue is short enough. */
-START_TEST(test_what_can_not_meet_its_deadline_is_refused_at_once)
+/* Refused when pushed, with the time after which the queue is short enough. */
+START_TEST(test_unmeetable_deadline_is_refused_at_once)
 {
 	unsigned i;
 
@@ -260,18 +262,18 @@
 	}
 	for (i = 0; i < 20; i++)
 		ck_assert_int_eq(push("a", &normal, 0, 100000), ERR_NONE);
-	/* 20 of 10 ms before 2 slots: 100 ms. */
+	/* 20 requests of 10 ms in 2 slots: a wait of 100 ms. */
 	ck_assert_int_eq(push("a", &normal, 0, 60), ERR_OVERLOADED);
 	ck_assert_uint_ge(retry_us, 30 * MS);
 	ck_assert_uint_le(retry_us, 100 * MS);
 	ck_assert_int_eq(push("a", &normal, 0, 150), ERR_NONE);
-	/* Another caller is not behind them. */
+	/* Another caller's request does not wait behind them. */
 	ck_assert_int_eq(push("b", &normal, 0, 60), ERR_NONE);
 	ck_assert_uint_eq(admit_queued(a), 22);
 }
 END_TEST
 
-START_TEST(test_what_waits_too_long_is_given_up)
+START_TEST(test_queued_entries_expire)
 {
 	push("a", &normal, 0, 1000);
 	push("a", &normal, 0, 50);
@@ -285,7 +287,7 @@
 }
 END_TEST
 
-START_TEST(test_nothing_given_up_is_run)
+START_TEST(test_expired_entry_is_not_run)
 {
 	push("a", &normal, 0, 50);
 	ck_assert_ptr_null(admit_pop(a, 50 * MS));
@@ -294,11 +296,12 @@
 END_TEST
 
 /*
- * Story: a server stalls for a minute, its requests take that long; when it is
- * well again the proxy refuses every request for good. Cause: the estimate is
- * past all deadlines, so nothing runs and nothing corrects it.
+ * A server stalls for a minute, so the estimated service time rises beyond
+ * every deadline. If that estimate refused all requests, none would run to
+ * correct it, and the proxy would refuse them for ever after the server's
+ * recovery.
  */
-START_TEST(test_a_bad_estimate_is_mended)
+START_TEST(test_too_high_estimate_is_corrected)
 {
 	unsigned i;
 
@@ -314,7 +317,7 @@
 }
 END_TEST
 
-START_TEST(test_removed_entries_are_out)
+START_TEST(test_removed_entry_is_not_run)
 {
 	push("a", &normal, 0, 1000);
 	push("a", &normal, 0, 1000);
@@ -325,36 +328,38 @@
 }
 END_TEST
 
-/* Pushes, pops, removals and expiries at random: nothing lost or doubled. */
-START_TEST(test_random_use)
+/* Random pushes, pops, completions and expiries lose or repeat no entry. */
+START_TEST(test_random_operations_keep_counts)
 {
 	static const char *const callers[] = { "a", "b", "c", "d", "e" };
 	const struct profile *profiles[] = { &normal, &urgent, &capped };
 	GRand *rng = g_rand_new_with_seed(3);
 	GPtrArray *running = g_ptr_array_new();
-	unsigned in = 0, out = 0;
+	unsigned pushed = 0, finished = 0;
 	uint64_t ms;
 
-	for (ms = 0; n_entries < ENTRIES; ms++) {
+	for (ms = 0; n_entries < MAX_ENTRIES; ms++) {
 		struct admit_entry *e;
-		int what = g_rand_int_range(rng, 0, 10);
-
-		if (what < 5)
-			in += push(callers[g_rand_int_range(rng, 0, 5)],
-				   profiles[g_rand_int_range(rng, 0, 3)], ms,
-				   ms + g_rand_int_range(rng, 1, 300)) ==
-			      ERR_NONE;
-		else if (what < 9 && (e = admit_pop(a, ms * MS)))
+		int action = g_rand_int_range(rng, 0, 10);
+
+		if (action < 5)
+			pushed += push(callers[g_rand_int_range(rng, 0, 5)],
+				       profiles[g_rand_int_range(rng, 0, 3)],
+				       ms,
+				       ms + g_rand_int_range(rng, 1, 300)) ==
+				  ERR_NONE;
+		else if (action < 9 && (e = admit_pop(a, ms * MS)))
 			g_ptr_array_add(running, e);
 		while ((e = admit_expired(a, ms * MS)))
-			out++;
+			finished++;
 		if (running->len && g_rand_int_range(rng, 0, 2)) {
 			e = g_ptr_array_remove_index(running, 0);
 			admit_done(a, e, g_rand_int_range(rng, 0, 20) * MS);
-			out++;
+			finished++;
 		}
 		ck_assert_uint_eq(admit_running(a), running->len);
-		ck_assert_uint_eq(admit_queued(a) + running->len + out, in);
+		ck_assert_uint_eq(admit_queued(a) + running->len + finished,
+				  pushed);
 	}
 	g_ptr_array_free(running, TRUE);
 	g_rand_free(rng);
@@ -366,21 +371,20 @@
 	TCase *t = tcase_create("admit");
 
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, test_slots_are_the_limit);
-	tcase_add_test(t, test_one_request_beside_a_flood_is_next);
-	tcase_add_test(t, test_callers_pay_for_the_time_they_take);
+	tcase_add_test(t, test_slots_limit_running_requests);
+	tcase_add_test(t, test_flood_does_not_delay_other_caller);
+	tcase_add_test(t, test_fairness_counts_service_time);
 	tcase_add_test(t, test_shares_are_weights);
 	tcase_add_test(t, test_priority_counts_within_a_caller_only);
-	tcase_add_test(t, test_a_profiles_share_holds_while_others_wait);
-	tcase_add_test(t, test_a_share_earns_no_credit);
-	tcase_add_test(t, test_shares_give_way_to_an_empty_slot);
-	tcase_add_test(t, test_queues_are_bounded_and_leave_room_for_others);
-	tcase_add_test(t,
-		       test_what_can_not_meet_its_deadline_is_refused_at_once);
-	tcase_add_test(t, test_what_waits_too_long_is_given_up);
-	tcase_add_test(t, test_nothing_given_up_is_run);
-	tcase_add_test(t, test_a_bad_estimate_is_mended);
-	tcase_add_test(t, test_removed_entries_are_out);
-	tcase_add_test(t, test_random_use);
+	tcase_add_test(t, test_profile_share_holds_while_others_wait);
+	tcase_add_test(t, test_caller_at_profile_share_earns_no_credit);
+	tcase_add_test(t, test_free_slot_overrides_profile_shares);
+	tcase_add_test(t, test_queue_is_bounded_and_keeps_room_for_others);
+	tcase_add_test(t, test_unmeetable_deadline_is_refused_at_once);
+	tcase_add_test(t, test_queued_entries_expire);
+	tcase_add_test(t, test_expired_entry_is_not_run);
+	tcase_add_test(t, test_too_high_estimate_is_corrected);
+	tcase_add_test(t, test_removed_entry_is_not_run);
+	tcase_add_test(t, test_random_operations_keep_counts);
 	return suite_main("admit", t);
 }
--- a/packages/core/tests/test_conn_pool.c
+++ b/packages/core/tests/test_conn_pool.c
@@ -4,12 +4,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The table of connections, with an upstream that only takes notes. */
+/* The connection pool, with a mock upstream that only records the calls. */
 
 struct upstream {
 	unsigned opened;
 	unsigned closed;
-	conn_id last; /* the one that was opened or run last */
+	conn_id last_id; /* connection that was opened or used last */
 };
 
 struct request_mock {
@@ -26,7 +26,7 @@
 	(void)target;
 	(void)timeout_us;
 	u->opened++;
-	u->last = id;
+	u->last_id = id;
 }
 
 static void run_steps(struct upstream *u, conn_id id,
@@ -37,7 +37,7 @@
 	(void)n_steps;
 	(void)max_bytes;
 	(void)timeout_us;
-	u->last = id;
+	u->last_id = id;
 }
 
 static void close_conn(struct upstream *u, conn_id id)
@@ -151,11 +151,11 @@
 }
 
 /*
- * An agent's statement runs into its deadline; the agent is told so. The rows
- * come after all, while the next agent's statement is running. They belong to
- * nobody by then: the connection they come on must be gone.
+ * A statement times out and its caller is told so; its rows arrive later, while
+ * the next caller's statement runs. That caller must not get them, so the
+ * connection is closed at the timeout.
  */
-START_TEST(late_answer_reaches_nobody)
+START_TEST(late_answer_reaches_no_request)
 {
 	struct request_mock slow = { 0 }, next = { 0 };
 	struct conn *c = open_one(0);
@@ -178,7 +178,11 @@
 }
 END_TEST
 
-START_TEST(late_answer_without_the_guard)
+/*
+ * The failure above, with the guard switched off: on a connection that stays
+ * open after the timeout, the next request gets the late rows.
+ */
+START_TEST(late_answer_reaches_next_request_without_guard)
 {
 	struct request_mock slow = { 0 }, next = { 0 };
 	struct conn *c = open_one(0);
@@ -192,7 +196,8 @@
 }
 END_TEST
 
-START_TEST(broken_connection_ends_its_run_once)
+/* A loss that is reported twice ends the request once, with its error. */
+START_TEST(lost_connection_ends_its_run_once)
 {
 	struct err err = { .code = ERR_CONNECTION_LOST };
 	struct request_mock m = { 0 };
@@ -211,7 +216,8 @@
 }
 END_TEST
 
-START_TEST(closing_tells_nobody)
+/* After conn_close() neither an answer nor the deadline reports a result. */
+START_TEST(closing_drops_the_answer)
 {
 	struct request_mock m = { 0 };
 	struct conn *c = open_one(0);
@@ -226,7 +232,7 @@
 }
 END_TEST
 
-START_TEST(opening_that_hangs_is_given_up)
+START_TEST(opening_times_out)
 {
 	struct upstream_target target = { 0 };
 
@@ -241,7 +247,7 @@
 }
 END_TEST
 
-START_TEST(pools_know_their_own)
+START_TEST(pool_owns_only_its_connections)
 {
 	struct conn_pool *other = conn_pool_create(&mock, &ops, &events, NULL);
 	struct conn *c = open_one(0);
@@ -257,11 +263,11 @@
 	TCase *t = tcase_create("conn_pool");
 
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, late_answer_reaches_nobody);
-	tcase_add_test(t, late_answer_without_the_guard);
-	tcase_add_test(t, broken_connection_ends_its_run_once);
-	tcase_add_test(t, closing_tells_nobody);
-	tcase_add_test(t, opening_that_hangs_is_given_up);
-	tcase_add_test(t, pools_know_their_own);
+	tcase_add_test(t, late_answer_reaches_no_request);
+	tcase_add_test(t, late_answer_reaches_next_request_without_guard);
+	tcase_add_test(t, lost_connection_ends_its_run_once);
+	tcase_add_test(t, closing_drops_the_answer);
+	tcase_add_test(t, opening_times_out);
+	tcase_add_test(t, pool_owns_only_its_connections);
 	return suite_main("conn_pool", t);
 }
--- a/packages/core/tests/test_fresh.c
+++ b/packages/core/tests/test_fresh.c
@@ -6,7 +6,9 @@
 #define MS USEC_PER_MSEC
 #define UNKNOWN UINT64_MAX
 
-/* Server 0 is the primary of term 1, 1 and 2 are its replicas. */
+/*
+ * At first server 0 is the primary of term 1, servers 1 and 2 are its replicas.
+ */
 static struct fresh *f;
 
 static void setup(void)
@@ -40,7 +42,7 @@
 	fresh_on_status(f, server, ms * MS, &s);
 }
 
-/* One probe of each server, started at the same time, all caught up. */
+/* Probes each server once, all started at `ms`; the replicas have caught up. */
 static void probe_all(uint64_t ms, uint64_t index)
 {
 	struct history h = history_of(1, 1, 0);
@@ -57,7 +59,7 @@
 	return age_us == UNKNOWN ? UNKNOWN : age_us / MS;
 }
 
-START_TEST(test_nothing_is_known_at_first)
+START_TEST(test_nothing_is_known_without_status)
 {
 	ck_assert_int_eq(fresh_primary(f), -1);
 	ck_assert_uint_eq(fresh_term(f), 0);
@@ -70,7 +72,7 @@
 }
 END_TEST
 
-START_TEST(test_a_sample_counts_once_a_majority_confirms_it)
+START_TEST(test_sample_counts_once_a_majority_confirms_it)
 {
 	struct history h = history_of(1, 1, 0);
 
@@ -87,7 +89,7 @@
 }
 END_TEST
 
-START_TEST(test_an_idle_primary_refreshes_who_has_caught_up)
+START_TEST(test_idle_primary_refreshes_replica_that_caught_up)
 {
 	struct history h = history_of(1, 1, 0);
 	uint64_t ms;
@@ -103,7 +105,7 @@
 }
 END_TEST
 
-START_TEST(test_a_replica_that_lags_is_as_old_as_the_sample_it_covers)
+START_TEST(test_lagging_replica_has_age_of_sample_it_covers)
 {
 	struct history h = history_of(1, 1, 0);
 
@@ -115,18 +117,18 @@
 	ck_assert_uint_eq(age_ms(2, 35), 15);
 	fresh_on_applied(f, 2, at(1, 12));
 	ck_assert_uint_eq(age_ms(2, 35), 5);
-	/* It was told 8 only, so its end is not known to be further. */
+	/* Its log is only known to reach index 8: index 12 does not count. */
 	fresh_on_applied(f, 1, at(1, 12));
 	ck_assert_uint_eq(age_ms(1, 35), 15);
 }
 END_TEST
 
 /*
- * Story: an agent reads a retired code as if it were fresh. The proxy is cut
- * off together with the old primary; a new primary elsewhere commits, while
- * every probe of the old one still looks well. Cause: trust in one server.
+ * The proxy is partitioned together with the old primary while a new primary
+ * commits elsewhere. Every probe of the old one still succeeds: if probes of
+ * one server alone counted, callers would get outdated data as fresh.
  */
-START_TEST(test_cut_off_with_the_old_primary_ages_grow)
+START_TEST(test_ages_grow_when_partitioned_with_old_primary)
 {
 	struct history h = history_of(1, 1, 0);
 	uint64_t ms;
@@ -140,7 +142,8 @@
 }
 END_TEST
 
-START_TEST(test_one_grant_does_not_depose_two_do)
+/* One server's grant of a higher term does not depose the primary, two do. */
+START_TEST(test_majority_of_grants_deposes_primary)
 {
 	struct history h = history_of(1, 1, 0);
 
@@ -159,8 +162,8 @@
 }
 END_TEST
 
-/* What was confirmed in the old term stays good while the next one begins. */
-START_TEST(test_failover_keeps_ages_and_takes_the_new_primary)
+/* Ages confirmed in the old term stay valid while the next term begins. */
+START_TEST(test_failover_keeps_ages_and_finds_new_primary)
 {
 	struct history h1 = history_of(1, 1, 0);
 	struct history h2 = history_of(1, 1, 2, 6, 0);
@@ -176,14 +179,14 @@
 	ck_assert_uint_eq(fresh_confirmed_us(f), 30 * MS);
 	ck_assert_uint_eq(age_ms(1, 40), 10);
 	ck_assert_uint_eq(age_ms(2, 40), 30);
-	/* The old one wakes and still thinks that it leads. */
+	/* The old primary answers again and still reports itself as primary. */
 	on_primary(0, 40, 1, 9, h1);
 	ck_assert_int_eq(fresh_primary(f), 1);
 	ck_assert_uint_eq(age_ms(0, 50), 40);
 }
 END_TEST
 
-START_TEST(test_a_late_status_does_not_bring_back_the_old_role)
+START_TEST(test_late_status_does_not_restore_old_role)
 {
 	struct history h1 = history_of(1, 1, 0);
 	struct history h2 = history_of(1, 1, 2, 6, 0);
@@ -197,7 +200,11 @@
 }
 END_TEST
 
-START_TEST(test_a_server_is_taken_at_its_word_when_it_falls_back)
+/*
+ * A server that reports less than before, or was forgotten, is not taken to
+ * have applied what it reported earlier.
+ */
+START_TEST(test_shorter_log_replaces_known_log)
 {
 	struct history h = history_of(1, 1, 0);
 
@@ -224,7 +231,10 @@
 	ck_assert(fresh_has_applied(f, 1, at(3, 7)));
 	ck_assert(!fresh_has_applied(f, 1, at(3, 8)));
 	ck_assert(!fresh_has_applied(f, 1, at(1, 6)));
-	/* The primary has all of its own term, seen or not, and no other. */
+	/*
+	 * The primary has every entry of its own term, seen or not, and no
+	 * entry that is not in its history.
+	 */
 	ck_assert(fresh_has_applied(f, 0, at(3, 900)));
 	ck_assert(!fresh_has_applied(f, 0, at(4, 9)));
 	ck_assert(!fresh_has_applied(f, 0, at(2, 6)));
@@ -247,8 +257,11 @@
 }
 END_TEST
 
-/* A grant seen after the log keeps what was shown before it, no more. */
-START_TEST(test_after_a_grant_a_log_proves_what_it_showed_before)
+/*
+ * Entries first seen in a log after its server granted a higher term may come
+ * from a later primary; only those seen before count towards a majority.
+ */
+START_TEST(test_log_seen_after_a_grant_proves_nothing_new)
 {
 	struct history h = history_of(1, 1, 0);
 
@@ -261,12 +274,13 @@
 END_TEST
 
 /*
- * Story: a trip that was acknowledged is gone after the second failover. It
- * stood on the old primary alone; the primary of term 3 had it from there and
- * copied it to one more server, which is a majority of copies. But the third
- * server's log ends in term 2, is higher, and wins the next promotion.
+ * An acknowledged write is lost in the second failover. It was on the old
+ * primary alone; the primary of term 3 got it from there and copied it to one
+ * more server, which makes a majority of copies. But the third server's log
+ * ends in term 2, so it ranks higher than that copy and wins the next
+ * promotion.
  */
-START_TEST(test_copies_of_an_old_entry_are_no_majority)
+START_TEST(test_copies_of_old_term_entry_are_no_majority)
 {
 	struct history h1 = history_of(1, 1, 0);
 	struct history h2 = history_of(1, 1, 2, 5, 0);
@@ -276,14 +290,18 @@
 	on_primary(0, 20, 3, 6, h3);
 	on_replica(1, 20, 3, 5, 5, h1);
 	ck_assert(!fresh_majority_has(f, at(1, 5)));
-	/* With the first entry of term 3 the copy holds. */
+	/* Once the copy includes the first entry of term 3, it is safe. */
 	on_replica(1, 30, 3, 6, 6, h3);
 	ck_assert(fresh_majority_has(f, at(1, 5)));
 	ck_assert(!fresh_majority_has(f, at(2, 5)));
 }
 END_TEST
 
-START_TEST(test_lost_once_the_next_term_is_safe_without_it)
+/*
+ * An entry that the next term's history lacks is lost once a majority has an
+ * entry of that term.
+ */
+START_TEST(test_entry_is_lost_once_next_term_is_on_majority)
 {
 	struct history h2 = history_of(1, 1, 2, 6, 0);
 
@@ -300,8 +318,11 @@
 }
 END_TEST
 
-/* Thousands of probes, few samples: bounds stay close to the lag. */
-START_TEST(test_many_samples_keep_close_bounds)
+/*
+ * Few samples are kept of thousands of probes; the age must still exceed the
+ * true lag by no more than a fifth and 10 ms.
+ */
+START_TEST(test_thinned_samples_keep_close_bounds)
 {
 	static const uint64_t lags_ms[] = { 10, 100, 2000, 60000 };
 	struct history h = history_of(1, 1, 0);
@@ -333,7 +354,7 @@
 		on_primary(0, ms, 1, ms, h);
 		on_replica(1, ms, 1, ms, ms > 100 ? ms - 100 : 0, h);
 	}
-	/* Written at 985, not seen yet; 100 ms of lag, a sample each 10 ms. */
+	/* Index 995 is not seen yet; lag 100 ms, a sample each 10 ms. */
 	ms = fresh_catch_up_us(f, 1, at(1, 995), 0, 990 * MS) / MS;
 	ck_assert_uint_ge(ms, 90);
 	ck_assert_uint_le(ms, 120);
@@ -346,24 +367,21 @@
 	TCase *t = tcase_create("fresh");
 
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, test_nothing_is_known_at_first);
-	tcase_add_test(t, test_a_sample_counts_once_a_majority_confirms_it);
-	tcase_add_test(t, test_an_idle_primary_refreshes_who_has_caught_up);
-	tcase_add_test(
-		t, test_a_replica_that_lags_is_as_old_as_the_sample_it_covers);
-	tcase_add_test(t, test_cut_off_with_the_old_primary_ages_grow);
-	tcase_add_test(t, test_one_grant_does_not_depose_two_do);
-	tcase_add_test(t, test_failover_keeps_ages_and_takes_the_new_primary);
-	tcase_add_test(t, test_a_late_status_does_not_bring_back_the_old_role);
-	tcase_add_test(t,
-		       test_a_server_is_taken_at_its_word_when_it_falls_back);
+	tcase_add_test(t, test_nothing_is_known_without_status);
+	tcase_add_test(t, test_sample_counts_once_a_majority_confirms_it);
+	tcase_add_test(t, test_idle_primary_refreshes_replica_that_caught_up);
+	tcase_add_test(t, test_lagging_replica_has_age_of_sample_it_covers);
+	tcase_add_test(t, test_ages_grow_when_partitioned_with_old_primary);
+	tcase_add_test(t, test_majority_of_grants_deposes_primary);
+	tcase_add_test(t, test_failover_keeps_ages_and_finds_new_primary);
+	tcase_add_test(t, test_late_status_does_not_restore_old_role);
+	tcase_add_test(t, test_shorter_log_replaces_known_log);
 	tcase_add_test(t, test_has_applied);
 	tcase_add_test(t, test_majority_has);
-	tcase_add_test(t,
-		       test_after_a_grant_a_log_proves_what_it_showed_before);
-	tcase_add_test(t, test_copies_of_an_old_entry_are_no_majority);
-	tcase_add_test(t, test_lost_once_the_next_term_is_safe_without_it);
-	tcase_add_loop_test(t, test_many_samples_keep_close_bounds, 0, 4);
+	tcase_add_test(t, test_log_seen_after_a_grant_proves_nothing_new);
+	tcase_add_test(t, test_copies_of_old_term_entry_are_no_majority);
+	tcase_add_test(t, test_entry_is_lost_once_next_term_is_on_majority);
+	tcase_add_loop_test(t, test_thinned_samples_keep_close_bounds, 0, 4);
 	tcase_add_test(t, test_catch_up_estimate);
 	return suite_main("fresh", t);
 }
--- a/packages/core/tests/test_fresh_histories.c
+++ b/packages/core/tests/test_fresh_histories.c
@@ -1,8 +1,9 @@
 /*
  * Random histories of a group: writes, log pulls, ballots that overlap or stop
- * half-way, promotions that come late, servers that follow, probes whose
- * answers are late, lost or out of order. After every step what fresh says is
- * held against what is true of all logs. CQ_HISTORIES sets how many.
+ * half-way, late promotions, servers that follow a new primary, probes whose
+ * answers are late, lost or out of order. After every step the ages, majorities
+ * and losses that fresh reports are checked against the logs of all servers.
+ * The environment variable CQ_HISTORIES sets the number of histories.
  */
 #include "support_status.h"
 
@@ -21,25 +22,27 @@
 
 struct server {
 	uint64_t log[LOG_MAX]; /* term of the entry, 1-based */
-	uint64_t received;
-	uint64_t applied;
-	uint64_t granted;
-	uint64_t term; /* as primary, 0: replica */
-	int following;
-	uint64_t following_term;
-	uint64_t proven[TERMS_MAX]; /* last index had before a higher grant */
+	uint64_t received; /* index of the last entry */
+	uint64_t applied; /* index of the last applied entry */
+	uint64_t granted; /* the highest term granted */
+	uint64_t term; /* term in which it is primary; 0: replica */
+	int following; /* index of its primary; -1: none */
+	uint64_t following_term; /* the term of that primary */
+	/* [term]: last index of the term received before a higher grant. */
+	uint64_t proven[TERMS_MAX];
 };
 
 struct probe {
 	unsigned server;
 	uint64_t started_us;
-	bool taken;
+	bool status_taken; /* the probe has reached its server */
 	struct server_status status;
 };
 
+/* A position that became acknowledged or was reported lost. */
 struct claim {
 	struct position at;
-	uint64_t time_us;
+	uint64_t time_us; /* when that was recorded */
 };
 
 struct claims {
@@ -52,34 +55,35 @@
 	uint64_t now_us;
 	unsigned n;
 	struct server servers[MAX_SERVERS];
-	uint64_t ballot; /* term of the last one */
-	bool granted_ballot[MAX_SERVERS];
-	int winner;
+	uint64_t ballot; /* term of the last ballot */
+	bool granted_current[MAX_SERVERS]; /* the server granted it */
+	int winner; /* of the last ballot; -1: none yet */
 	unsigned n_probes;
 	struct probe probes[PROBES_MAX];
 	struct fresh *fresh;
-	struct claims acked; /* true: on a majority */
-	struct claims lost; /* fresh said so */
+	struct claims acked; /* received by a majority within their term */
+	struct claims lost; /* reported by fresh_lost() */
 	unsigned seed;
 	unsigned ages_checked;
 	unsigned claims_checked;
 	unsigned promotions;
 } g;
 
-/* As ck_assert(), which is too slow for the inner loops. */
-static void must(bool holds, const char *what)
+/* Like ck_assert(), which is too slow for the inner loops. */
+static void require(bool condition, const char *what)
 {
-	if (!holds)
+	if (!condition)
 		ck_abort_msg("seed %u at %d us: %s", g.seed, (int)g.now_us,
 			     what);
 }
 
-static unsigned rnd(unsigned n)
+static unsigned random_below(unsigned n)
 {
 	return (unsigned)g_rand_int_range(g.rng, 0, (gint32)n);
 }
 
-static bool holds(const struct server *s, struct position p, uint64_t end)
+/* Whether the server's log up to index `end` contains the position. */
+static bool log_has(const struct server *s, struct position p, uint64_t end)
 {
 	return p.index <= end && s->log[p.index] == p.term;
 }
@@ -89,14 +93,14 @@
 	if (c->count && c->list[c->count - 1].at.term == p.term &&
 	    c->list[c->count - 1].at.index >= p.index)
 		return;
-	must(c->count < CLAIMS_MAX, "too many claims");
+	require(c->count < CLAIMS_MAX, "too many claims");
 	c->list[c->count++] = (struct claim){ p, g.now_us };
 }
 
-/* What a majority ever held of the term is acknowledged from now on. */
-static void note_acked(uint64_t term)
+/* Records as acknowledged the last entry of the term a majority ever had. */
+static void update_acked(uint64_t term)
 {
-	uint64_t best = 0;
+	uint64_t highest = 0;
 	unsigned i, k;
 
 	for (i = 0; i < g.n; i++) {
@@ -106,23 +110,23 @@
 		for (k = 0; k < g.n; k++)
 			count += g.servers[k].proven[term] >= index;
 		if (count > g.n / 2)
-			best = MAX(best, index);
+			highest = MAX(highest, index);
 	}
-	if (best)
-		claim(&g.acked, (struct position){ term, best });
+	if (highest)
+		claim(&g.acked, (struct position){ term, highest });
 }
 
 static void append(struct server *s, uint64_t term)
 {
-	must(s->received + 1 < LOG_MAX, "the log is too long");
+	require(s->received + 1 < LOG_MAX, "the log is too long");
 	s->log[++s->received] = term;
 	if (s->granted <= term) {
 		s->proven[term] = s->received;
-		note_acked(term);
+		update_acked(term);
 	}
 }
 
-static void write_some(struct server *s)
+static void append_write(struct server *s)
 {
 	if (s->term && s->granted <= s->term) {
 		append(s, s->term);
@@ -130,10 +134,10 @@
 	}
 }
 
-static void pull_some(struct server *s)
+static void pull_entries(struct server *s)
 {
 	const struct server *from;
-	unsigned count = 1 + rnd(4);
+	unsigned count = 1 + random_below(4);
 
 	if (s->term || s->following < 0 || s->granted > s->following_term)
 		return;
@@ -165,12 +169,12 @@
 
 static void start_ballot(void)
 {
-	must(++g.ballot < TERMS_MAX, "too many ballots");
-	memset(g.granted_ballot, 0, sizeof(g.granted_ballot));
+	require(++g.ballot < TERMS_MAX, "too many ballots");
+	memset(g.granted_current, 0, sizeof(g.granted_current));
 	g.winner = -1;
 }
 
-static bool log_above(const struct server *a, const struct server *b)
+static bool log_is_newer(const struct server *a, const struct server *b)
 {
 	uint64_t x = a->received ? a->log[a->received] : 0;
 	uint64_t y = b->received ? b->log[b->received] : 0;
@@ -186,20 +190,23 @@
 	if (!g.ballot || g.servers[i].granted >= g.ballot || g.winner >= 0)
 		return;
 	g.servers[i].granted = g.ballot;
-	g.granted_ballot[i] = true;
+	g.granted_current[i] = true;
 	for (k = 0; k < g.n; k++)
-		count += g.granted_ballot[k];
+		count += g.granted_current[k];
 	if (count <= g.n / 2)
 		return;
 	g.winner = (int)i;
 	for (k = 0; k < g.n; k++) {
-		if (g.granted_ballot[k] &&
-		    log_above(&g.servers[k], &g.servers[g.winner]))
+		if (g.granted_current[k] &&
+		    log_is_newer(&g.servers[k], &g.servers[g.winner]))
 			g.winner = (int)k;
 	}
 }
 
-/* Every acknowledged entry must be in the log, nothing that is called lost. */
+/*
+ * The new primary's log must contain every acknowledged entry, and none that
+ * was reported lost.
+ */
 static void promote(void)
 {
 	struct server *s;
@@ -211,11 +218,11 @@
 	if (s->granted != g.ballot || s->term == g.ballot)
 		return;
 	for (i = 0; i < g.acked.count; i++)
-		must(holds(s, g.acked.list[i].at, s->received),
-		     "an acknowledged write is gone");
+		require(log_has(s, g.acked.list[i].at, s->received),
+			"the new primary lacks an acknowledged write");
 	for (i = 0; i < g.lost.count; i++)
-		must(!holds(s, g.lost.list[i].at, s->received),
-		     "a lost write is back");
+		require(!log_has(s, g.lost.list[i].at, s->received),
+			"the new primary has a write reported as lost");
 	s->term = g.ballot;
 	s->following = -1;
 	append(s, s->term);
@@ -234,7 +241,7 @@
 	for (i = 1; i <= s->received; i++) {
 		if (h->count && h->entries[h->count - 1].term == s->log[i])
 			continue;
-		must(h->count < HISTORY_MAX, "too many terms");
+		require(h->count < HISTORY_MAX, "too many terms");
 		h->entries[h->count].term = s->log[i];
 		h->entries[h->count++].start = i;
 	}
@@ -255,23 +262,23 @@
 	p = &g.probes[g.n_probes++];
 	p->server = i;
 	p->started_us = g.now_us;
-	p->taken = false;
+	p->status_taken = false;
 }
 
-/* A probe reaches its server, or its answer arrives, or is lost. */
-static void move_probe(void)
+/* A random probe reaches its server, or its answer arrives or is lost. */
+static void advance_probe(void)
 {
 	struct probe *p;
 
 	if (!g.n_probes)
 		return;
-	p = &g.probes[rnd(g.n_probes)];
-	if (!p->taken) {
-		p->taken = true;
+	p = &g.probes[random_below(g.n_probes)];
+	if (!p->status_taken) {
+		p->status_taken = true;
 		p->status = status_of(&g.servers[p->server]);
 		return;
 	}
-	if (rnd(8))
+	if (random_below(8))
 		fresh_on_status(g.fresh, p->server, p->started_us, &p->status);
 	*p = g.probes[--g.n_probes];
 }
@@ -289,11 +296,12 @@
 		const struct claim *c = &g.acked.list[k];
 
 		if (c->time_us < g.now_us - age_us)
-			must(holds(s, c->at, s->applied), "older than its age");
+			require(log_has(s, c->at, s->applied),
+				"the data is older than the reported age");
 	}
 }
 
-/* Whether an acknowledged entry of the term, or a later one, covers p. */
+/* Whether an entry at or after p, or of a later term, is acknowledged. */
 static bool is_acked(struct position p)
 {
 	unsigned i;
@@ -312,7 +320,7 @@
 {
 	if (fresh_majority_has(g.fresh, p)) {
 		g.claims_checked++;
-		must(is_acked(p), "no majority has it");
+		require(is_acked(p), "no majority has the reported position");
 		claim(&g.acked, p);
 	}
 	if (fresh_lost(g.fresh, p) && g.lost.count < CLAIMS_MAX)
@@ -321,13 +329,13 @@
 
 static void step(void)
 {
-	unsigned i = rnd(g.n);
+	unsigned i = random_below(g.n);
 	struct server *s = &g.servers[i];
 
-	g.now_us += 1 + rnd(3);
-	switch (rnd(32)) {
+	g.now_us += 1 + random_below(3);
+	switch (random_below(32)) {
 	case 0:
-		if (!rnd(4))
+		if (!random_below(4))
 			start_ballot();
 		break;
 	case 1:
@@ -341,20 +349,21 @@
 	case 5:
 	case 6:
 	case 7:
-		follow(s, rnd(g.n));
+		follow(s, random_below(g.n));
 		break;
 	case 8:
 	case 9:
-		write_some(s);
+		append_write(s);
 		break;
 	case 10:
-		s->applied += rnd((unsigned)(s->received - s->applied) + 1);
+		s->applied +=
+			random_below((unsigned)(s->received - s->applied) + 1);
 		break;
 	case 11:
 	case 12:
 	case 13:
 	case 14:
-		pull_some(s);
+		pull_entries(s);
 		break;
 	case 15:
 	case 16:
@@ -363,7 +372,7 @@
 		send_probe(i);
 		break;
 	default:
-		move_probe();
+		advance_probe();
 		break;
 	}
 }
@@ -382,11 +391,11 @@
 	for (i = 0; i < g.n; i++)
 		g.servers[i].following = -1;
 	for (i = 0; i < STEPS; i++) {
-		const struct server *s = &g.servers[rnd(g.n)];
-		uint64_t index = 1 + rnd((unsigned)s->received + 1);
+		const struct server *s = &g.servers[random_below(g.n)];
+		uint64_t index = 1 + random_below((unsigned)s->received + 1);
 
 		step();
-		check_age(rnd(g.n));
+		check_age(random_below(g.n));
 		if (index <= s->received)
 			check_position(
 				(struct position){ s->log[index], index });
@@ -395,7 +404,7 @@
 	g_rand_free(g.rng);
 }
 
-START_TEST(test_what_is_said_is_true)
+START_TEST(test_reports_match_all_logs)
 {
 	const char *count = getenv("CQ_HISTORIES");
 	unsigned n = count ? (unsigned)atoi(count) : HISTORIES;
@@ -422,6 +431,6 @@
 {
 	TCase *t = tcase_create("fresh_histories");
 
-	tcase_add_test(t, test_what_is_said_is_true);
+	tcase_add_test(t, test_reports_match_all_logs);
 	return suite_main("fresh_histories", t);
 }
--- a/packages/core/tests/test_group.c
+++ b/packages/core/tests/test_group.c
@@ -5,9 +5,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What callers get from a home while nothing fails. */
+/*
+ * Requests through a home, the proxy that runs a database's requests, while its
+ * servers and links work.
+ */
 
-static struct rig *make(void)
+static struct rig *start_rig(void)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -18,9 +21,9 @@
 	return r;
 }
 
-START_TEST(write_is_done_once_a_majority_has_it)
+START_TEST(write_is_done_once_majority_has_it)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *c = rig_write(r, 0, 7);
 	unsigned i, n = 0;
 
@@ -38,7 +41,7 @@
 
 START_TEST(session_reads_own_write_from_a_replica)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *w = rig_write(r, 0, 7);
 	struct rig_call *c;
 
@@ -56,7 +59,7 @@
 START_TEST(read_of_age_0_sees_all_that_was_acknowledged)
 {
 	struct position nothing = { 0, 0 };
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *w, *c;
 	uint64_t trip;
 
@@ -72,9 +75,9 @@
 }
 END_TEST
 
-START_TEST(repeated_key_tells_the_first_outcome)
+START_TEST(repeated_key_returns_first_outcome)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *first = rig_write(r, 0, 7);
 	struct rig_call *again;
 
@@ -90,13 +93,14 @@
 END_TEST
 
 /*
- * An operator turns a profile from reads to writes; the home has heard of it,
- * the entry has not. The entry tells a read that it gave up on as not run: if
- * the home ran it as a write, the trip would stand all the same.
+ * An operator changes a profile from read to write access. The home already has
+ * the change, the proxy that the caller is connected to does not, so it reports
+ * a request that it gives up on as a read that did not run. If the home ran it
+ * as a write, the trip would be stored all the same.
  */
-START_TEST(read_of_an_older_profile_is_no_write)
+START_TEST(read_under_older_profile_does_not_write)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *c = rig_call(r, 0, ACCESS_WRITE, 7);
 
 	rig_add(c, "WRITE $1", 7);
@@ -111,12 +115,13 @@
 END_TEST
 
 /*
- * A phone's app sends a second trip under the key of the first, by a slip.
- * The second is not stored, and must not be told as done.
+ * A faulty client sends a second trip under the idempotency key of the first.
+ * The second is not stored, so it must not be reported as done. With the digest
+ * check switched off it is.
  */
 START_TEST(key_with_another_body_is_refused)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *first = rig_write(r, 0, 7);
 	struct rig_call *other = rig_call(r, 0, ACCESS_WRITE, 7);
 
@@ -140,9 +145,10 @@
 }
 END_TEST
 
-START_TEST(refused_statement_rolls_all_back)
+/* A failed statement rolls back the whole write, and its key stays usable. */
+START_TEST(failed_statement_rolls_back_whole_request)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *c = rig_call(r, 0, ACCESS_WRITE, 7);
 
 	rig_add(c, "WRITE $1", 7);
@@ -160,9 +166,10 @@
 }
 END_TEST
 
+/* A write statement under a read profile fails and stores nothing. */
 START_TEST(read_profile_writes_nothing)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *c = rig_call(r, 0, ACCESS_READ, 7);
 
 	rig_add(c, "WRITE $1", 7);
@@ -176,12 +183,12 @@
 END_TEST
 
 /*
- * A queue that can't meet the deadline refuses at once, with the time after
- * which a retry makes sense; what is refused did not run.
+ * A queue that can't meet a request's deadline refuses it within 10 ms, with
+ * the time after which a retry makes sense. A refused request did not run.
  */
 START_TEST(overload_is_refused_at_once)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *slow[40];
 	unsigned i, refused = 0;
 
@@ -214,7 +221,7 @@
 
 START_TEST(status_is_json)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	GString *out = g_string_new(NULL);
 	JsonParser *parser = json_parser_new();
 
@@ -228,12 +235,12 @@
 END_TEST
 
 /*
- * A proxy is told to stop while a caller's write runs. New work is refused,
- * the write is finished, and then the group is idle.
+ * A proxy is told to stop while a write runs. New requests are refused, the
+ * write is completed, and then the group is idle.
  */
-START_TEST(stop_finishes_what_runs)
+START_TEST(stop_finishes_running_request)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *running = rig_write(r, 0, 7);
 	struct rig_call *late;
 
@@ -250,10 +257,13 @@
 }
 END_TEST
 
-/* A caller that hung up costs nothing when its request did not begin. */
-START_TEST(cancel_drops_what_waits)
+/*
+ * A request whose caller disconnects while it waits for a primary is answered
+ * at once as not run, and is not run later.
+ */
+START_TEST(cancel_drops_waiting_request)
 {
-	struct rig *r = make();
+	struct rig *r = start_rig();
 	struct rig_call *c;
 
 	fake_sql_crash(rig_sql(r), 0, true);
@@ -274,17 +284,17 @@
 {
 	TCase *t = tcase_create("group");
 
-	tcase_add_test(t, write_is_done_once_a_majority_has_it);
+	tcase_add_test(t, write_is_done_once_majority_has_it);
 	tcase_add_test(t, session_reads_own_write_from_a_replica);
 	tcase_add_test(t, read_of_age_0_sees_all_that_was_acknowledged);
-	tcase_add_test(t, repeated_key_tells_the_first_outcome);
-	tcase_add_test(t, read_of_an_older_profile_is_no_write);
+	tcase_add_test(t, repeated_key_returns_first_outcome);
+	tcase_add_test(t, read_under_older_profile_does_not_write);
 	tcase_add_test(t, key_with_another_body_is_refused);
-	tcase_add_test(t, refused_statement_rolls_all_back);
+	tcase_add_test(t, failed_statement_rolls_back_whole_request);
 	tcase_add_test(t, read_profile_writes_nothing);
 	tcase_add_test(t, overload_is_refused_at_once);
 	tcase_add_test(t, status_is_json);
-	tcase_add_test(t, stop_finishes_what_runs);
-	tcase_add_test(t, cancel_drops_what_waits);
+	tcase_add_test(t, stop_finishes_running_request);
+	tcase_add_test(t, cancel_drops_waiting_request);
 	return suite_main("group", t);
 }
--- a/packages/core/tests/test_group_clean.c
+++ b/packages/core/tests/test_group_clean.c
@@ -4,13 +4,16 @@
 #include <check.h>
 #include <stdlib.h>
 
-/* How long the keys of writes are kept. */
+/* Retention and removal of the idempotency keys of writes. */
 
 #define RETENTION_US (120 * USEC_PER_SEC)
-/* A removal is tried each minute; beyond the retention a minute is waited. */
-#define LATEST_US (RETENTION_US + 200 * USEC_PER_SEC)
+/*
+ * By when an expired key is removed: one minute is added to the retention, and
+ * removals are tried once a minute.
+ */
+#define REMOVAL_LIMIT_US (RETENTION_US + 200 * USEC_PER_SEC)
 
-static struct rig *make(unsigned n_homes)
+static struct rig *start_rig(unsigned n_homes)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -32,14 +35,14 @@
 }
 
 /*
- * A phone sends its trip again after an hour without a network. The home's
- * clock is a day ahead, or was set after it started: by that clock the trip's
- * key is older than the retention. Removed, the trip would be stored twice.
- * Nothing but the time that passed may remove a key, and that does.
+ * A client repeats a write after an hour without a network. If the home's clock
+ * is a day ahead, or was set after the home started, the write's key seems
+ * older than the retention; were it removed, the write would be stored twice.
+ * So only elapsed time may expire a key, and it must do so.
  */
-START_TEST(key_is_kept_for_the_retention)
+START_TEST(key_is_kept_for_retention)
 {
-	struct rig *r = make(1);
+	struct rig *r = start_rig(1);
 	uint64_t trip;
 
 	for (trip = 1; trip <= 40; trip++) {
@@ -50,19 +53,20 @@
 			ck_assert(!fake_sql_removed(rig_sql(r), trip - 11));
 	}
 	ck_assert(fake_sql_removed(rig_sql(r), 1));
-	rig_run_for(r, LATEST_US);
+	rig_run_for(r, REMOVAL_LIMIT_US);
 	ck_assert(fake_sql_removed(rig_sql(r), 39));
 	rig_destroy(r);
 }
 END_TEST
 
 /*
- * Nothing is written for longer than the retention, then a trip. The log
- * stands where it stood all the time: the mark of back then must not take it.
+ * A write comes after a time without writes that is longer than the retention.
+ * The log did not move meanwhile, so marks older than the retention have the
+ * log's position of just before the write. They must not remove its key.
  */
-START_TEST(key_after_a_quiet_time_is_kept)
+START_TEST(key_written_after_idle_time_is_kept)
 {
-	struct rig *r = make(1);
+	struct rig *r = start_rig(1);
 
 	rig_run_for(r, RETENTION_US + 30 * USEC_PER_SEC);
 	write_trip(r, 0, 7);
@@ -73,12 +77,12 @@
 END_TEST
 
 /*
- * A home starts anew and knows nothing of how long the keys stand: it waits
+ * A home that restarts does not know the age of the stored keys, so it waits
  * for the whole retention, whatever its clock says.
  */
-START_TEST(home_that_starts_waits_for_the_retention)
+START_TEST(restarted_home_waits_for_whole_retention)
 {
-	struct rig *r = make(1);
+	struct rig *r = start_rig(1);
 
 	write_trip(r, 0, 7);
 	rig_run_for(r, 100 * USEC_PER_SEC);
@@ -86,26 +90,26 @@
 	rig_restart_home(r, 0);
 	rig_run_for(r, 100 * USEC_PER_SEC);
 	ck_assert(!fake_sql_removed(rig_sql(r), 7));
-	rig_run_for(r, LATEST_US);
+	rig_run_for(r, REMOVAL_LIMIT_US);
 	write_trip(r, 0, 8);
-	rig_run_for(r, LATEST_US);
+	rig_run_for(r, REMOVAL_LIMIT_US);
 	ck_assert(fake_sql_removed(rig_sql(r), 7));
 	rig_destroy(r);
 }
 END_TEST
 
 /*
- * An isolated primary's log goes on, and a failover takes its end away. The
- * new primary's rows stand where that end stood: a mark that the home made
- * there must not remove them.
+ * An isolated primary appends to its log, and a failover discards that tail.
+ * The new primary's rows take the same log positions, so a mark that the home
+ * made in the discarded tail must not remove them.
  */
-START_TEST(mark_in_a_lost_tail_removes_nothing)
+START_TEST(mark_in_lost_log_tail_removes_nothing)
 {
-	struct rig *r = make(1);
+	struct rig *r = start_rig(1);
 	struct group *g = rig_group(r, 0);
 	const struct clean_mark *mark;
 	struct position at;
-	uint64_t key, in_tail;
+	uint64_t key, mark_index;
 	int i;
 
 	write_trip(r, 0, 1);
@@ -119,11 +123,12 @@
 	g_queue_clear_full(&g->clean_marks, g_free);
 	rig_run_for(r, 5 * USEC_PER_MSEC);
 	mark = g_queue_peek_head(&g->clean_marks);
-	in_tail = mark->at.index;
+	mark_index = mark->at.index;
 	rig_run_for(r, 10 * USEC_PER_SEC);
 	ck_assert_uint_ne(rig_primary(r), 0);
 	rig_run_for(r, RETENTION_US + 20 * USEC_PER_SEC);
-	ck_assert_uint_gt(in_tail, fdb_log_length(rig_db(r), rig_primary(r)));
+	ck_assert_uint_gt(mark_index,
+			  fdb_log_length(rig_db(r), rig_primary(r)));
 	write_trip(r, 0, 7);
 	rig_run_for(r, RETENTION_US - 10 * USEC_PER_SEC);
 	ck_assert(!fake_sql_removed(rig_sql(r), 7));
@@ -135,9 +140,9 @@
 {
 	TCase *t = tcase_create("clean");
 
-	tcase_add_test(t, key_is_kept_for_the_retention);
-	tcase_add_test(t, key_after_a_quiet_time_is_kept);
-	tcase_add_test(t, home_that_starts_waits_for_the_retention);
-	tcase_add_test(t, mark_in_a_lost_tail_removes_nothing);
+	tcase_add_test(t, key_is_kept_for_retention);
+	tcase_add_test(t, key_written_after_idle_time_is_kept);
+	tcase_add_test(t, restarted_home_waits_for_whole_retention);
+	tcase_add_test(t, mark_in_lost_log_tail_removes_nothing);
 	return suite_main("group_clean", t);
 }
--- a/packages/core/tests/test_group_conns.c
+++ b/packages/core/tests/test_group_conns.c
@@ -5,9 +5,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Connections: limits, silence, what is left in them, servers that go. */
+/*
+ * Connections to servers: their limit, ones that stop answering, session state
+ * left in them, servers that leave or are removed.
+ */
 
-static struct rig *make(unsigned n_homes, unsigned connections)
+static struct rig *start_rig(unsigned n_homes, unsigned connections)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -20,8 +23,8 @@
 	return r;
 }
 
-static struct rig_call *run_one(struct rig *r, enum access access,
-				const char *sql, int64_t param)
+static struct rig_call *run_statement(struct rig *r, enum access access,
+				      const char *sql, int64_t param)
 {
 	static uint64_t trips = 1000;
 	struct rig_call *c = rig_call(r, 0, access, ++trips);
@@ -33,14 +36,15 @@
 	return c;
 }
 
-START_TEST(homes_share_the_limit)
+/* Two homes together never open more connections than a server allows. */
+START_TEST(homes_share_connection_limit)
 {
 	static const unsigned limits[] = { 6, 8, 12, 20 };
 	struct rig *r;
 	unsigned i, k;
 
 	for (i = 0; i < G_N_ELEMENTS(limits); i++) {
-		r = make(2, limits[i]);
+		r = start_rig(2, limits[i]);
 		for (k = 0; k < 30; k++) {
 			rig_write(r, 0, 100 + k);
 			rig_write(r, 1, 200 + k);
@@ -62,13 +66,13 @@
 END_TEST
 
 /*
- * Something between proxy and servers forgets the open connections: what is
- * sent on them vanishes, while new ones work. Installers must not wait for
- * their deadlines on each of them.
+ * A device between proxy and servers loses track of the open connections: what
+ * is sent on them vanishes, while new connections work. Callers must not wait
+ * until their deadlines on each of the old ones.
  */
 START_TEST(silent_connections_are_replaced)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct rig_call *c;
 	unsigned i;
 
@@ -77,10 +81,10 @@
 		fake_upstream_mute(rig_upstream(r, 0), i);
 	rig_run_for(r, USEC_PER_SEC);
 	for (i = 0; i < 10; i++) {
-		c = run_one(r, ACCESS_WRITE, "WRITE $1", i + 1);
+		c = run_statement(r, ACCESS_WRITE, "WRITE $1", i + 1);
 		ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 		ck_assert_uint_lt(c->answered_us - c->sent_us, USEC_PER_SEC);
-		c = run_one(r, ACCESS_READ, "READ", 0);
+		c = run_statement(r, ACCESS_READ, "READ", 0);
 		ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 		ck_assert_uint_lt(c->answered_us - c->sent_us, USEC_PER_SEC);
 	}
@@ -89,24 +93,24 @@
 END_TEST
 
 /*
- * One caller sets a variable of its session; the next caller's statement on
- * the same connection must not run under it.
+ * One caller sets a session variable. The next caller's statement on the same
+ * connection must not see it; with the guard switched off it does.
  */
 START_TEST(session_state_does_not_leak)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct rig_call *c;
 	unsigned i, leaks = 0;
 
 	for (i = 0; i < 20; i++) {
-		run_one(r, ACCESS_WRITE, "SET x $1", 42);
-		c = run_one(r, ACCESS_WRITE, "SHOW", 0);
+		run_statement(r, ACCESS_WRITE, "SET x $1", 42);
+		c = run_statement(r, ACCESS_WRITE, "SHOW", 0);
 		ck_assert_ptr_nonnull(strstr(c->results, "[\"\"]"));
 	}
 	group_guards_of(rig_group(r, 0))->clean_state = false;
 	for (i = 0; i < 20; i++) {
-		run_one(r, ACCESS_WRITE, "SET x $1", 42);
-		c = run_one(r, ACCESS_WRITE, "SHOW", 0);
+		run_statement(r, ACCESS_WRITE, "SET x $1", 42);
+		c = run_statement(r, ACCESS_WRITE, "SHOW", 0);
 		leaks += strstr(c->results, "[\"42\"]") != NULL;
 	}
 	ck_assert_uint_gt(leaks, 0);
@@ -115,10 +119,10 @@
 END_TEST
 
 /*
- * By a slip, two addresses in the configuration lead to one server. It would
- * count twice, and a "majority" would be that server alone.
+ * By mistake, all addresses in the configuration lead to one server. If it were
+ * counted once per address, it would make a majority alone.
  */
-static struct rig_call *write_with_double_address(struct rig *r, bool guard)
+static struct rig_call *write_with_duplicate_address(struct rig *r, bool guard)
 {
 	struct database_conf *conf = rig_conf(r);
 	struct rig_call *c;
@@ -137,24 +141,24 @@
 	return c;
 }
 
-START_TEST(one_server_is_no_majority)
+START_TEST(one_server_under_three_addresses_is_no_majority)
 {
-	struct rig *r = make(1, 20);
-	struct rig_call *c = write_with_double_address(r, true);
+	struct rig *r = start_rig(1, 20);
+	struct rig_call *c = write_with_duplicate_address(r, true);
 
 	ck_assert_int_ne(c->outcome, OUTCOME_DONE);
 	rig_destroy(r);
-	r = make(1, 20);
-	c = write_with_double_address(r, false);
+	r = start_rig(1, 20);
+	c = write_with_duplicate_address(r, false);
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	rig_destroy(r);
 }
 END_TEST
 
-/* A server that operators mark as leaving gets no new work at once. */
+/* A server that operators mark as leaving gets no new requests from then on. */
 START_TEST(leaving_server_gets_no_new_work)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct database_conf *conf = rig_conf(r);
 	struct rig_call *c;
 	unsigned i;
@@ -162,17 +166,20 @@
 	conf->servers[1].leaving = true;
 	group_reconfigure(rig_group(r, 0), conf, sim_now(rig_sim(r)));
 	for (i = 0; i < 20; i++) {
-		c = run_one(r, ACCESS_READ, "READ", 0);
+		c = run_statement(r, ACCESS_READ, "READ", 0);
 		ck_assert_str_ne(c->server, fdb_name(1));
 	}
 	rig_destroy(r);
 }
 END_TEST
 
-/* Planned: the primary leaves; another takes over and no write is cut. */
+/*
+ * Planned: the primary is marked as leaving. Another server takes over and no
+ * write fails.
+ */
 START_TEST(leaving_primary_hands_over)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct database_conf *conf = rig_conf(r);
 	struct rig_call *c;
 	unsigned i;
@@ -180,7 +187,7 @@
 	conf->servers[0].leaving = true;
 	group_reconfigure(rig_group(r, 0), conf, sim_now(rig_sim(r)));
 	for (i = 0; i < 50; i++) {
-		c = run_one(r, ACCESS_WRITE, "WRITE $1", i + 1);
+		c = run_statement(r, ACCESS_WRITE, "WRITE $1", i + 1);
 		ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 		rig_run_for(r, 20 * USEC_PER_MSEC);
 	}
@@ -189,9 +196,9 @@
 }
 END_TEST
 
-START_TEST(removed_server_is_let_go)
+START_TEST(connections_to_removed_server_are_closed)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct database_conf *conf = rig_conf(r);
 	struct rig_call *c;
 
@@ -199,13 +206,13 @@
 	group_reconfigure(rig_group(r, 0), conf, sim_now(rig_sim(r)));
 	rig_run_for(r, 500 * USEC_PER_MSEC);
 	ck_assert_uint_eq(fake_sql_connections(rig_sql(r), 2), 0);
-	c = run_one(r, ACCESS_WRITE, "WRITE $1", 7);
+	c = run_statement(r, ACCESS_WRITE, "WRITE $1", 7);
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	conf->n_servers = 3;
 	group_reconfigure(rig_group(r, 0), conf, sim_now(rig_sim(r)));
 	rig_run_for(r, 500 * USEC_PER_MSEC);
 	ck_assert_uint_gt(fake_sql_connections(rig_sql(r), 2), 0);
-	c = run_one(r, ACCESS_WRITE, "WRITE $1", 8);
+	c = run_statement(r, ACCESS_WRITE, "WRITE $1", 8);
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	rig_destroy(r);
 }
@@ -213,11 +220,12 @@
 
 /*
  * The home moves to another proxy while a write runs here. The write is
- * finished; then all connections are closed for the new home to use.
+ * completed; then all connections are closed, so that the new home can use
+ * their share of the limit.
  */
-START_TEST(home_that_moved_lets_go)
+START_TEST(moved_home_closes_its_connections)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct rig_call *running = rig_write(r, 0, 7);
 	struct rig_call *late;
 	unsigned i;
@@ -232,21 +240,21 @@
 	for (i = 0; i < 3; i++)
 		ck_assert_uint_eq(fake_sql_connections(rig_sql(r), i), 0);
 	group_set_rank(rig_group(r, 0), 0, sim_now(rig_sim(r)));
-	late = run_one(r, ACCESS_WRITE, "WRITE $1", 9);
+	late = run_statement(r, ACCESS_WRITE, "WRITE $1", 9);
 	ck_assert_int_eq(late->outcome, OUTCOME_DONE);
 	rig_destroy(r);
 }
 END_TEST
 
 /*
- * A removal of old outcomes is committed, and the statement after its COMMIT
- * fails. The next trip on that connection is stored, but its caller is told
- * "unknown": the connection's last commit is not the one that the home noted,
- * as if a statement of the caller's had committed.
+ * A removal of old outcomes commits, and the statement after its COMMIT fails,
+ * so the home does not know the connection's last commit. The next write on
+ * that connection would be stored, but reported as "unknown", as if a statement
+ * of its caller had committed. So the connection is closed instead.
  */
-START_TEST(removal_that_fails_late_costs_its_connection)
+START_TEST(failure_after_removal_commit_closes_connection)
 {
-	struct rig *r = make(1, 20);
+	struct rig *r = start_rig(1, 20);
 	struct rig_call *c;
 	uint64_t trip;
 
@@ -263,8 +271,11 @@
 }
 END_TEST
 
-/* The same of the table's creation: its connection is replaced. */
-START_TEST(creation_that_fails_late_costs_its_connection)
+/*
+ * The same failure after the creation of the outcome table: the connection is
+ * replaced by a new one.
+ */
+START_TEST(failure_after_creation_commit_closes_connection)
 {
 	struct rig_settings s;
 	struct rig *r;
@@ -291,16 +302,16 @@
 	SRunner *runner = srunner_create(s);
 	int failed;
 
-	tcase_add_test(t, homes_share_the_limit);
+	tcase_add_test(t, homes_share_connection_limit);
 	tcase_add_test(t, silent_connections_are_replaced);
 	tcase_add_test(t, session_state_does_not_leak);
-	tcase_add_test(t, one_server_is_no_majority);
+	tcase_add_test(t, one_server_under_three_addresses_is_no_majority);
 	tcase_add_test(t, leaving_server_gets_no_new_work);
 	tcase_add_test(t, leaving_primary_hands_over);
-	tcase_add_test(t, removed_server_is_let_go);
-	tcase_add_test(t, home_that_moved_lets_go);
-	tcase_add_test(t, removal_that_fails_late_costs_its_connection);
-	tcase_add_test(t, creation_that_fails_late_costs_its_connection);
+	tcase_add_test(t, connections_to_removed_server_are_closed);
+	tcase_add_test(t, moved_home_closes_its_connections);
+	tcase_add_test(t, failure_after_removal_commit_closes_connection);
+	tcase_add_test(t, failure_after_creation_commit_closes_connection);
 	suite_add_tcase(s, t);
 	srunner_run_all(runner, CK_ENV);
 	failed = srunner_ntests_failed(runner);
--- a/packages/core/tests/test_history.c
+++ b/packages/core/tests/test_history.c
@@ -33,7 +33,7 @@
 }
 END_TEST
 
-START_TEST(test_nowhere_is_in_every_history)
+START_TEST(test_position_zero_is_in_every_history)
 {
 	struct history empty = { 0 };
 
@@ -42,8 +42,11 @@
 }
 END_TEST
 
-/* What is cut off the front can be part of it, but not with a later term. */
-START_TEST(test_before_what_is_kept)
+/*
+ * A position before the first kept entry may belong to the history, unless its
+ * term is that of the first kept entry or a later one.
+ */
+START_TEST(test_position_before_first_kept_entry)
 {
 	struct history h = history_of(7, 1000, 9, 2000, 0);
 
@@ -59,7 +62,7 @@
 
 	tcase_add_test(t, test_term_at);
 	tcase_add_test(t, test_has);
-	tcase_add_test(t, test_nowhere_is_in_every_history);
-	tcase_add_test(t, test_before_what_is_kept);
+	tcase_add_test(t, test_position_zero_is_in_every_history);
+	tcase_add_test(t, test_position_before_first_kept_entry);
 	return suite_main("history", t);
 }
