--- a/packages/core/tests/support_fleet.h
+++ b/packages/core/tests/support_fleet.h
@@ -60,7 +60,7 @@
 bool fleet_run_until(struct fleet *f, fleet_condition_fn condition, void *ctx,
 		     uint64_t step_us, uint64_t limit_us);
 
-/* Starts a node as a new process; its seeds are nodes 0 to 2, without itself. */
+/* Starts a node as a new process; its seeds are nodes 0 to 2, less itself. */
 void fleet_start(struct fleet *f, unsigned node);
 /* Starts n nodes from node `first` on. */
 void fleet_start_all(struct fleet *f, unsigned first, unsigned n);
