--- a/packages/core/tests/test_fresh_histories.c
+++ b/packages/core/tests/test_fresh_histories.c
@@ -219,10 +219,10 @@
 		return;
 	for (i = 0; i < g.acked.count; i++)
 		require(log_has(s, g.acked.list[i].at, s->received),
-			"the promoted server lacks an acknowledged write");
+			"an acknowledged write did not survive the promotion");
 	for (i = 0; i < g.lost.count; i++)
 		require(!log_has(s, g.lost.list[i].at, s->received),
-			"the promoted server has a write reported as lost");
+			"a write reported as lost survived the promotion");
 	s->term = g.ballot;
 	s->following = -1;
 	append(s, s->term);
@@ -297,7 +297,7 @@
 
 		if (c->time_us < g.now_us - age_us)
 			require(log_has(s, c->at, s->applied),
-				"the server is older than its reported age");
+				"a read would be older than the reported age");
 	}
 }
 
@@ -320,7 +320,8 @@
 {
 	if (fresh_majority_has(g.fresh, p)) {
 		g.claims_checked++;
-		require(is_acked(p), "no majority has the reported entry");
+		require(is_acked(p),
+			"no majority has what was reported to be on one");
 		claim(&g.acked, p);
 	}
 	if (fresh_lost(g.fresh, p) && g.lost.count < CLAIMS_MAX)
