--- a/packages/core/tests/test_fresh_histories.c
+++ b/packages/core/tests/test_fresh_histories.c
@@ -297,7 +297,7 @@
 
 		if (c->time_us < g.now_us - age_us)
 			require(log_has(s, c->at, s->applied),
-				"a read would be older than the reported age");
+				"older than the reported age");
 	}
 }
 
@@ -320,8 +320,7 @@
 {
 	if (fresh_majority_has(g.fresh, p)) {
 		g.claims_checked++;
-		require(is_acked(p),
-			"no majority has what was reported to be on one");
+		require(is_acked(p), "no majority has it as reported");
 		claim(&g.acked, p);
 	}
 	if (fresh_lost(g.fresh, p) && g.lost.count < CLAIMS_MAX)
