--- a/packages/core/tests/support_cluster.c
+++ b/packages/core/tests/support_cluster.c
@@ -18,8 +18,9 @@
 static void on_refused(void *ctx, void *data);
 
 /*
- * A call on the home's connection to the server. One that has had no answer
- * for the call timeout is closed, and a new one opened.
+ * Sends a call on the home's connection to the server. If the connection's
+ * oldest call has been unanswered for the call timeout, the connection is
+ * replaced first.
  */
 void cluster_send_call(struct home *h, struct call call)
 {
@@ -30,23 +31,24 @@
 
 	call.home = h->index;
 	call.incarnation = h->incarnation;
-	call.started_us = now_us;
+	call.started_at_us = now_us;
 	if (sim_refuses(c->sim, h->node, (int)s)) {
 		sim_at(c->sim, h->node, 2 * c->settings.network.latency_us,
 		       on_refused, c, g_memdup2(&call, sizeof(call)));
 		return;
 	}
-	if (c->settings.connect_us && h->busy_us[s] &&
-	    now_us - h->busy_us[s] >= c->settings.failover.call_timeout_us) {
+	if (c->settings.connect_us && h->oldest_call_at_us[s] &&
+	    now_us - h->oldest_call_at_us[s] >=
+		    c->settings.failover.call_timeout_us) {
 		h->connection[s]++;
-		h->busy_us[s] = 0;
+		h->oldest_call_at_us[s] = 0;
 		extra_us = c->settings.connect_us;
 		while (g_rand_double(sim_rng(c->sim)) <
 		       2 * c->settings.network.loss)
 			extra_us += c->settings.syn_retransmit_us;
 	}
-	if (!h->busy_us[s])
-		h->busy_us[s] = now_us;
+	if (!h->oldest_call_at_us[s])
+		h->oldest_call_at_us[s] = now_us;
 	call.connection = h->connection[s];
 	sim_send(c->sim, h->node, (int)s, extra_us, on_call, c,
 		 g_memdup2(&call, sizeof(call)),
@@ -55,7 +57,7 @@
 
 static void on_reply(void *ctx, void *data);
 
-/* At the server. */
+/* Runs a call at the server and sends the answer. */
 static void on_call(void *ctx, void *data)
 {
 	struct cluster *c = ctx;
@@ -87,7 +89,7 @@
 		 call->kind == C_INSERT ? 0 : sizeof(*call));
 }
 
-static void arm(struct home *h);
+static void schedule_tick(struct home *h);
 
 static void on_tick(void *ctx, void *data)
 {
@@ -95,21 +97,21 @@
 
 	if (*(uint64_t *)data != h->tick_number)
 		return;
-	h->armed_us = 0;
+	h->tick_at_us = 0;
 	failover_tick(h->failover, sim_now(h->c->sim));
-	arm(h);
+	schedule_tick(h);
 }
 
-static void arm(struct home *h)
+static void schedule_tick(struct home *h)
 {
 	uint64_t next_us = failover_next_tick_us(h->failover);
 	uint64_t now_us = sim_now(h->c->sim);
 
-	if (h->armed_us && h->armed_us <= next_us)
+	if (h->tick_at_us && h->tick_at_us <= next_us)
 		return;
-	h->armed_us = MAX(next_us, now_us + 1);
+	h->tick_at_us = MAX(next_us, now_us + 1);
 	h->tick_number++;
-	sim_at(h->c->sim, h->node, h->armed_us - now_us, on_tick, h,
+	sim_at(h->c->sim, h->node, h->tick_at_us - now_us, on_tick, h,
 	       g_memdup2(&h->tick_number, sizeof(h->tick_number)));
 }
 
@@ -122,18 +124,19 @@
 	if (call->incarnation != h->incarnation ||
 	    call->connection != h->connection[call->server])
 		return;
-	h->busy_us[call->server] = 0;
+	h->oldest_call_at_us[call->server] = 0;
 	if (call->kind <= C_FOLLOW)
 		failover_on_status(h->failover, call->server,
 				   (enum failover_call)call->kind,
-				   call->started_us, &call->status,
+				   call->started_at_us, &call->status,
 				   sim_now(c->sim));
 	else
-		failover_on_alive(h->failover, call->server, call->started_us);
+		failover_on_alive(h->failover, call->server,
+				  call->started_at_us);
 	write_on_position(c, call->home, call->server, &call->status);
 	if (call->kind == C_INSERT)
 		write_on_inserted(c, call);
-	arm(h);
+	schedule_tick(h);
 }
 
 static void on_refused(void *ctx, void *data)
@@ -152,7 +155,7 @@
 		 call->attempt == call->write->attempt &&
 		 call->write->state == WRITE_SENT)
 		write_answer(c, call->write, WRITE_NOT_RUN);
-	arm(h);
+	schedule_tick(h);
 }
 
 static void op_probe(void *ctx, unsigned server)
@@ -210,9 +213,9 @@
 
 	if (!hold)
 		h->c->longest_hold_us =
-			MAX(h->c->longest_hold_us, now_us - h->hold_us);
+			MAX(h->c->longest_hold_us, now_us - h->hold_set_at_us);
 	h->holding = hold;
-	h->hold_us = now_us;
+	h->hold_set_at_us = now_us;
 }
 
 static unsigned op_running_writes(void *ctx)
@@ -252,8 +255,8 @@
 
 	h->incarnation++;
 	h->holding = false;
-	h->armed_us = 0;
-	memset(h->busy_us, 0, sizeof(h->busy_us));
+	h->tick_at_us = 0;
+	memset(h->oldest_call_at_us, 0, sizeof(h->oldest_call_at_us));
 	holder = g_strdup_printf("proxy-%u/%u", h->index, h->incarnation);
 	h->failover = failover_create(&c->settings.failover,
 				      c->settings.n_servers, holder, &home_ops,
@@ -262,11 +265,11 @@
 		failover_set_name(h->failover, i, fdb_name(i));
 	failover_set_rank(h->failover, h->index);
 	g_free(holder);
-	arm(h);
+	schedule_tick(h);
 	write_start_home(h);
 }
 
-/* Building and faults. */
+/* Creation and fault injection. */
 
 struct cluster *cluster_create_bare(uint32_t seed,
 				    const struct cluster_settings *settings)
@@ -281,7 +284,7 @@
 	c->writes = g_ptr_array_new_with_free_func(g_free);
 	c->leaders = g_array_new(FALSE, FALSE, sizeof(struct leader));
 	c->writing = settings->write_interval_us > 0;
-	fdb_set_promoted(c->db, check_leader, c);
+	fdb_set_promoted(c->db, check_promotion, c);
 	for (i = 0; i < settings->n_homes; i++) {
 		c->homes[i].c = c;
 		c->homes[i].index = i;
@@ -368,9 +371,9 @@
 	return best ? best->server : 0;
 }
 
-uint64_t cluster_last_ack_us(const struct cluster *c)
+uint64_t cluster_last_ack_at_us(const struct cluster *c)
 {
-	return c->last_ack_us;
+	return c->last_ack_at_us;
 }
 
 uint64_t cluster_longest_hold_us(const struct cluster *c)
@@ -396,7 +399,7 @@
 	fdb_restart(c->db, server);
 }
 
-/* Its callers get no answer any more. */
+/* The home's open writes get no answer any more and count as unknown. */
 void cluster_crash_home(struct cluster *c, unsigned home)
 {
 	struct write *w;
--- a/packages/core/tests/support_cluster.h
+++ b/packages/core/tests/support_cluster.h
@@ -2,9 +2,10 @@
 #define CELERYQUAY_TESTS_SUPPORT_CLUSTER_H
 
 /*
- * Homes before a fake database group: each a struct failover and a writer that
- * keeps the rules of design.md for acknowledging and settling writes. Every
- * answer that a writer gives is checked against all logs, then and later.
+ * A simulated cluster: a fake database group and the proxies that serve it (its
+ * homes). Each home has a struct failover and a writer that follows the rules
+ * of design.md for acknowledging and settling writes. Every answer of a writer
+ * is checked against the logs of all servers, when it is given and at the end.
  */
 
 #include "support_fake_db.h"
@@ -15,13 +16,16 @@
 
 struct cluster;
 
-/* The writer's rules; switched off to see that the checks notice. */
+/*
+ * The writer's rules. All are on by default; mutation tests switch one off and
+ * expect a check to fail.
+ */
 struct cluster_rules {
-	bool ack_needs_majority;
-	bool ack_in_term;
-	bool ack_before_grant;
-	bool settle_needs_majority;
-	bool settle_before_not_run;
+	bool ack_needs_majority; /* a majority has received the entry */
+	bool ack_in_term; /* count only servers whose term is the entry's */
+	bool ack_before_grant; /* ignore servers that granted a later term */
+	bool settle_needs_majority; /* as ack_needs_majority, when settling */
+	bool settle_before_not_run; /* insert a tombstone before "not run" */
 };
 
 struct cluster_settings {
@@ -29,10 +33,10 @@
 	unsigned n_homes;
 	struct failover_settings failover;
 	struct sim_network network;
-	uint64_t write_interval_us;
-	/* Connections: a call that timed out costs a new one, 0: they do not */
+	uint64_t write_interval_us; /* between a home's writes, 0: no writes */
+	/* Time to reconnect after a call timed out, 0: not simulated. */
 	uint64_t connect_us;
-	uint64_t syn_retransmit_us;
+	uint64_t syn_retransmit_us; /* added per lost handshake */
 };
 
 struct cluster_counts {
@@ -40,9 +44,10 @@
 	unsigned not_run;
 	unsigned unknown;
 	unsigned promotions;
-	unsigned grants; /* that raised a server's term */
+	unsigned grants; /* grants that raised a server's granted term */
 };
 
+/* Called for each line of a home's decision log. */
 typedef void (*cluster_decision_fn)(void *ctx, unsigned home, const char *what,
 				    const char *detail);
 
@@ -62,10 +67,10 @@
 void cluster_set_decision(struct cluster *c, cluster_decision_fn decision,
 			  void *ctx);
 void cluster_run_for(struct cluster *c, uint64_t duration_us);
-/* The server that leads the highest term, whoever knows of it. */
+/* The server promoted in the highest term, whether or not homes know it. */
 unsigned cluster_primary(const struct cluster *c);
-uint64_t cluster_last_ack_us(const struct cluster *c);
-/* The longest that a home held its writes back. */
+uint64_t cluster_last_ack_at_us(const struct cluster *c);
+/* The longest time for which a home held back its writes. */
 uint64_t cluster_longest_hold_us(const struct cluster *c);
 const struct cluster_counts *cluster_counts(const struct cluster *c);
 
@@ -73,12 +78,13 @@
 void cluster_restart_server(struct cluster *c, unsigned server);
 void cluster_crash_home(struct cluster *c, unsigned home);
 void cluster_restart_home(struct cluster *c, unsigned home);
-/* Ends all faults and starts what is down. */
+/* Ends partitions and pauses and restarts the servers and homes down. */
 void cluster_heal(struct cluster *c);
 void cluster_stop_writes(struct cluster *c);
 
-/* The first broken promise, "" if none; at the end, after healing. */
+/* The first violated guarantee, "" if none. */
 const char *cluster_violation(const struct cluster *c);
+/* Also checks the final log; call it after healing. */
 const char *cluster_check_end(struct cluster *c);
 
 #endif
--- a/packages/core/tests/support_cluster_check.c
+++ b/packages/core/tests/support_cluster_check.c
@@ -25,8 +25,11 @@
 	return e && e->kind == FDB_DONE;
 }
 
-/* A primary must have every write that was acknowledged before it. */
-void check_leader(void *ctx, unsigned server, uint64_t term)
+/*
+ * Called on a promotion: no term may have two primaries, and the new primary
+ * must have every write that was acknowledged in an earlier term.
+ */
+void check_promotion(void *ctx, unsigned server, uint64_t term)
 {
 	struct cluster *c = ctx;
 	struct leader new = { term, server, sim_now(c->sim) };
@@ -53,8 +56,9 @@
 }
 
 /*
- * An acknowledgement by an old primary: the write's entry was made after a
- * later primary stood, or that one doesn't have it.
+ * Detects an acknowledgement by a superseded primary: a primary of a later term
+ * has no committed row of the write, or one whose entry was committed after its
+ * promotion.
  */
 void check_ack(struct cluster *c, const struct write *w)
 {
@@ -67,7 +71,7 @@
 		if (l->term <= w->at.term)
 			continue;
 		e = fdb_find(c->db, l->server, w->key);
-		if (!e || e->kind != FDB_DONE || e->made_us > l->at_us)
+		if (!e || e->kind != FDB_DONE || e->committed_at_us > l->at_us)
 			violate(c,
 				"write %" PRIu64
 				" acknowledged in term %" PRIu64
@@ -76,7 +80,10 @@
 	}
 }
 
-/* After healing: no write lost or doubled, no false "not run". */
+/*
+ * After healing, the primary must take writes, and its log must have every
+ * acknowledged write, no write twice and none that was reported as not run.
+ */
 const char *cluster_check_end(struct cluster *c)
 {
 	unsigned primary = cluster_primary(c);
@@ -89,7 +96,7 @@
 		e = fdb_log_at(c->db, primary, i);
 		if (e->kind == FDB_DONE &&
 		    !g_hash_table_add(done, GSIZE_TO_POINTER(e->key)))
-			violate(c, "write %" PRIu64 " doubled", e->key);
+			violate(c, "write %" PRIu64 " stored twice", e->key);
 	}
 	for (i = 0; i < c->writes->len; i++) {
 		w = g_ptr_array_index(c->writes, i);
@@ -98,7 +105,10 @@
 			violate(c, "write %" PRIu64 " lost", w->key);
 		if (w->state == WRITE_NOT_RUN &&
 		    g_hash_table_contains(done, GSIZE_TO_POINTER(w->key)))
-			violate(c, "write %" PRIu64 " falsely not run", w->key);
+			violate(c,
+				"write %" PRIu64
+				" stored although reported as not run",
+				w->key);
 	}
 	g_hash_table_destroy(done);
 	if (!fdb_can_write(c->db, primary))
--- a/packages/core/tests/support_cluster_internal.h
+++ b/packages/core/tests/support_cluster_internal.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TESTS_SUPPORT_CLUSTER_INTERNAL_H
 
 /*
- * What the parts of the cluster share: support_cluster.c has the homes and
- * their calls, support_cluster_writer.c the writes, support_cluster_check.c
- * the promises.
+ * Declarations shared by the parts of the simulated cluster:
+ * support_cluster.c has the homes and their calls, support_cluster_writer.c
+ * the writes, support_cluster_check.c the checks of the guarantees.
  */
 
 #include "support_cluster.h"
@@ -14,15 +14,16 @@
 	C_GRANT = CALL_GRANT,
 	C_PROMOTE = CALL_PROMOTE,
 	C_FOLLOW = CALL_FOLLOW,
-	C_STATUS, /* the writer's own question */
+	C_STATUS, /* the writer's status request */
 	C_INSERT,
 };
 
 enum write_state {
 	WRITE_SENT,
-	WRITE_CONFIRMING,
-	WRITE_UNCERTAIN,
+	WRITE_CONFIRMING, /* inserted; waits for a majority to receive it */
+	WRITE_UNCERTAIN, /* no answer in time; a tombstone will decide */
 	WRITE_SETTLING, /* the tombstone was sent */
+	/* Answered: */
 	WRITE_ACKNOWLEDGED,
 	WRITE_NOT_RUN,
 	WRITE_UNKNOWN,
@@ -32,45 +33,46 @@
 	uint64_t key;
 	unsigned home;
 	enum write_state state;
-	enum write_state outcome; /* once the position is confirmed */
-	unsigned attempt;
-	bool settling; /* what is confirmed is a tombstone or a found row */
-	struct position at;
-	uint32_t have; /* servers that reported the position */
-	uint64_t state_us;
-	uint64_t deadline_us;
+	enum write_state outcome; /* its answer once a majority has the entry */
+	unsigned attempt; /* number of inserts sent; older replies are stale */
+	bool settling; /* the entry is a tombstone's or that of a found row */
+	struct position at; /* position to be confirmed */
+	uint32_t confirmed_by; /* bit per server that received the position */
+	uint64_t state_at_us; /* when the state was entered */
+	uint64_t deadline_at_us; /* time of the answer "unknown" */
 };
 
 struct home {
 	struct cluster *c;
 	unsigned index;
-	int node;
-	unsigned incarnation;
-	struct failover *failover;
-	uint64_t armed_us;
-	uint64_t tick_number;
-	bool holding;
-	uint64_t hold_us;
-	uint64_t busy_us[FDB_MAX_SERVERS]; /* oldest call without an answer */
-	unsigned connection[FDB_MAX_SERVERS];
+	int node; /* in the simulation */
+	unsigned incarnation; /* number of starts */
+	struct failover *failover; /* NULL while down */
+	uint64_t tick_at_us; /* time of the scheduled tick, 0: none */
+	uint64_t tick_number; /* of the scheduled tick; older ones are stale */
+	bool holding; /* new writes are held back */
+	uint64_t hold_set_at_us; /* when holding was last set */
+	/* When the oldest unanswered call was sent, by server; 0: none. */
+	uint64_t oldest_call_at_us[FDB_MAX_SERVERS];
+	unsigned connection[FDB_MAX_SERVERS]; /* number, by server */
 };
 
 struct call {
 	unsigned home;
-	unsigned incarnation;
-	unsigned connection;
+	unsigned incarnation; /* of the home */
+	unsigned connection; /* number of the connection used */
 	unsigned server;
 	enum call_kind kind;
-	uint64_t started_us;
+	uint64_t started_at_us; /* when it was sent */
 	uint64_t term;
 	unsigned primary;
 	char holder[64];
-	struct write *write;
+	struct write *write; /* of C_INSERT */
 	unsigned attempt;
 	enum fdb_kind insert;
 	/* The answer. */
 	enum fdb_result result;
-	bool found_done;
+	bool found_done; /* the server has the write's row as done */
 	struct position at;
 	struct server_status status;
 };
@@ -82,17 +84,18 @@
 	struct fdb *db;
 	struct home homes[CLUSTER_MAX_HOMES];
 	GPtrArray *writes; /* struct write */
-	unsigned first_open; /* writes before this one are answered */
-	bool writing;
-	uint64_t last_ack_us;
-	uint64_t longest_hold_us;
+	unsigned first_open; /* index; all writes before it are answered */
+	bool writing; /* homes send new writes */
+	uint64_t last_ack_at_us; /* when a write was last acknowledged */
+	uint64_t longest_hold_us; /* longest time that writes were held back */
 	struct cluster_counts counts;
-	GArray *leaders; /* struct leader, in order of time */
+	GArray *leaders; /* struct leader, in order of promotion */
 	cluster_decision_fn decision;
 	void *decision_ctx;
-	char violation[256];
+	char violation[256]; /* the first violated guarantee, "": none */
 };
 
+/* A promotion. */
 struct leader {
 	uint64_t term;
 	unsigned server;
@@ -112,7 +115,7 @@
 void write_start_home(struct home *h);
 
 /* support_cluster_check.c */
-void check_leader(void *ctx, unsigned server, uint64_t term);
+void check_promotion(void *ctx, unsigned server, uint64_t term);
 void check_ack(struct cluster *c, const struct write *w);
 
 #endif
--- a/packages/core/tests/support_cluster_writer.c
+++ b/packages/core/tests/support_cluster_writer.c
@@ -1,9 +1,12 @@
 #include "support_cluster_internal.h"
 
+/* An insert without a reply, or an entry without a majority, is uncertain. */
 #define REPLY_TIMEOUT_US (300 * USEC_PER_MSEC)
 #define CONFIRM_TIMEOUT_US (1 * USEC_PER_SEC)
 #define CONFIRM_POLL_US (10 * USEC_PER_MSEC)
+/* Wait before an uncertain write is settled. */
 #define SETTLE_RETRY_US (50 * USEC_PER_MSEC)
+/* A write that is still open after this is answered as unknown. */
 #define WRITE_DEADLINE_US (4 * USEC_PER_SEC)
 
 void write_answer(struct cluster *c, struct write *w, enum write_state state)
@@ -11,7 +14,7 @@
 	w->state = state;
 	if (state == WRITE_ACKNOWLEDGED) {
 		c->counts.acknowledged++;
-		c->last_ack_us = sim_now(c->sim);
+		c->last_ack_at_us = sim_now(c->sim);
 		check_ack(c, w);
 	} else if (state == WRITE_NOT_RUN) {
 		c->counts.not_run++;
@@ -29,23 +32,24 @@
 		      enum write_state state)
 {
 	w->state = state;
-	w->state_us = sim_now(c->sim);
+	w->state_at_us = sim_now(c->sim);
 }
 
-static void try_answer(struct cluster *c, struct write *w)
+static void answer_if_confirmed(struct cluster *c, struct write *w)
 {
 	unsigned majority = c->settings.n_servers / 2 + 1;
 	bool must = w->settling ? c->rules.settle_needs_majority :
 				  c->rules.ack_needs_majority;
 
-	if (!must || (unsigned)__builtin_popcount(w->have) >= majority)
+	if (!must || (unsigned)__builtin_popcount(w->confirmed_by) >= majority)
 		write_answer(c, w, w->outcome);
 }
 
 /*
- * A server reports how far it is. One that granted a later term than the
- * write's does not count: it may be receiving the old entry as part of a later
- * primary's log, and a primary in between may be without it and still win.
+ * Handles a server's reported log position. A server that granted a later term
+ * than the write's does not count as confirming it: it may be receiving the old
+ * entry as part of a later primary's log, and a primary of a term in between
+ * may lack the entry and still win.
  */
 void write_on_position(struct cluster *c, unsigned home, unsigned server,
 		       const struct server_status *st)
@@ -60,8 +64,8 @@
 		    (c->rules.ack_in_term && st->term != w->at.term) ||
 		    (c->rules.ack_before_grant && st->granted > w->at.term))
 			continue;
-		w->have |= 1U << server;
-		try_answer(c, w);
+		w->confirmed_by |= 1U << server;
+		answer_if_confirmed(c, w);
 	}
 }
 
@@ -83,9 +87,9 @@
 	w->settling = w->state == WRITE_SETTLING;
 	w->outcome = call->found_done ? WRITE_ACKNOWLEDGED : WRITE_NOT_RUN;
 	w->at = call->at;
-	w->have = 0;
+	w->confirmed_by = 0;
 	set_state(c, w, WRITE_CONFIRMING);
-	try_answer(c, w);
+	answer_if_confirmed(c, w);
 }
 
 static void send_insert(struct home *h, struct write *w, enum fdb_kind kind)
@@ -98,7 +102,10 @@
 	cluster_send_call(h, call);
 }
 
-/* An uncertain write: a tombstone decides it, on whoever leads now. */
+/*
+ * Settles an uncertain write with a tombstone sent to the current primary: it
+ * either finds the write's row or prevents it from being inserted later.
+ */
 static void settle(struct home *h, struct write *w)
 {
 	if (!h->c->rules.settle_before_not_run) {
@@ -114,9 +121,9 @@
 static void write_tick(struct home *h, struct write *w)
 {
 	struct cluster *c = h->c;
-	uint64_t age_us = sim_now(c->sim) - w->state_us;
+	uint64_t age_us = sim_now(c->sim) - w->state_at_us;
 
-	if (sim_now(c->sim) >= w->deadline_us)
+	if (sim_now(c->sim) >= w->deadline_at_us)
 		write_answer(c, w, WRITE_UNKNOWN);
 	else if (w->state != WRITE_UNCERTAIN &&
 		 age_us >= (w->state == WRITE_CONFIRMING ? CONFIRM_TIMEOUT_US :
@@ -126,7 +133,10 @@
 		settle(h, w);
 }
 
-/* Asks for positions while a write waits for its majority. */
+/*
+ * Advances the home's open writes, and polls the servers' positions while one
+ * waits for its majority.
+ */
 static void on_confirm_timer(void *ctx, void *data)
 {
 	struct home *h = ctx;
@@ -171,7 +181,7 @@
 	w = g_new0(struct write, 1);
 	w->key = c->writes->len + 1;
 	w->home = h->index;
-	w->deadline_us = sim_now(c->sim) + WRITE_DEADLINE_US;
+	w->deadline_at_us = sim_now(c->sim) + WRITE_DEADLINE_US;
 	g_ptr_array_add(c->writes, w);
 	set_state(c, w, WRITE_SENT);
 	send_insert(h, w, FDB_DONE);
@@ -190,7 +200,7 @@
 	return n;
 }
 
-/* The timers of a home that starts. */
+/* Starts the timers of a home. */
 void write_start_home(struct home *h)
 {
 	struct cluster *c = h->c;
--- a/packages/core/tests/support_fake_db.c
+++ b/packages/core/tests/support_fake_db.c
@@ -2,27 +2,27 @@
 
 #include <string.h>
 
-/* A replica asks again when an answer to its pull is missing for this long. */
+/* A replica repeats a pull that has not been answered for this long. */
 #define PULL_TIMEOUT_US (100 * USEC_PER_MSEC)
-#define PULL_BATCH 8
+#define PULL_BATCH 8 /* max. entries in an answer */
 
 struct fdb_server {
 	struct fdb *db;
 	unsigned index;
 	GArray *log; /* struct fdb_entry */
-	struct history history; /* of the log */
+	struct history history; /* terms of the log and where each starts */
 	GHashTable *rows; /* key -> index in the log, 1-based */
 	bool primary;
-	uint64_t term;
-	uint64_t followed_term;
-	int following;
-	uint64_t granted;
-	char holder[64];
-	uint64_t applied;
-	uint64_t lag_us;
+	uint64_t term; /* as primary */
+	uint64_t followed_term; /* of the primary that it follows */
+	int following; /* index of that primary, -1: none */
+	uint64_t granted; /* highest term granted */
+	char holder[64]; /* to whom that term was granted */
+	uint64_t applied; /* index of the last applied entry */
+	uint64_t lag_us; /* between receiving and applying an entry */
 	bool leaving;
-	uint64_t pulls; /* number of the pull under way */
-	struct fdb_pull *parked[FDB_MAX_SERVERS]; /* waiting for entries */
+	uint64_t last_pull_number; /* answers to earlier pulls are stale */
+	struct fdb_pull *parked[FDB_MAX_SERVERS]; /* by replica, may be NULL */
 };
 
 struct fdb {
@@ -39,18 +39,19 @@
 	unsigned replica;
 	unsigned primary;
 	uint64_t number;
-	uint64_t term;
-	uint64_t received;
-	uint64_t last_term;
-	struct history history;
-	uint64_t common; /* the answer: entries after this one */
+	uint64_t term; /* of the primary */
+	uint64_t received; /* length of the replica's log */
+	uint64_t last_term; /* of the replica's log */
+	struct history history; /* of the replica's log */
+	/* The answer: n entries that come after the common part of the logs. */
+	uint64_t common; /* length of the common part */
 	unsigned n;
 	struct fdb_entry entries[PULL_BATCH];
 };
 
-static const char *const names[FDB_MAX_SERVERS] = { "codes-1-a", "codes-1-b",
-						    "codes-1-c", "codes-1-d",
-						    "codes-1-e" };
+static const char *const server_names[FDB_MAX_SERVERS] = {
+	"codes-1-a", "codes-1-b", "codes-1-c", "codes-1-d", "codes-1-e"
+};
 
 struct fdb *fdb_create(struct sim *sim, unsigned n_servers)
 {
@@ -109,7 +110,7 @@
 
 const char *fdb_name(unsigned server)
 {
-	return names[server];
+	return server_names[server];
 }
 
 unsigned fdb_log_length(const struct fdb *db, unsigned server)
@@ -131,7 +132,7 @@
 	return g_array_index(s->log, struct fdb_entry, s->log->len - 1).term;
 }
 
-static void note_term(struct fdb_server *s, uint64_t term, uint64_t index)
+static void record_term(struct fdb_server *s, uint64_t term, uint64_t index)
 {
 	struct history *h = &s->history;
 
@@ -146,15 +147,15 @@
 
 static void append(struct fdb_server *s, struct fdb_entry e)
 {
-	note_term(s, e.term, s->log->len + 1);
-	e.received_us = sim_now(s->db->sim);
+	record_term(s, e.term, s->log->len + 1);
+	e.received_at_us = sim_now(s->db->sim);
 	g_array_append_val(s->log, e);
 	if (e.kind != FDB_EMPTY)
 		g_hash_table_insert(s->rows, GSIZE_TO_POINTER(e.key),
 				    GUINT_TO_POINTER(s->log->len));
 }
 
-static void cut(struct fdb_server *s, uint64_t length)
+static void truncate_log(struct fdb_server *s, uint64_t length)
 {
 	const struct fdb_entry *e;
 	uint64_t i;
@@ -172,14 +173,18 @@
 	s->applied = MIN(s->applied, length);
 }
 
-/* A primary applies at once, a replica after its lag. */
+/*
+ * A primary applies its entries immediately, a replica lag_us after receiving
+ * them. Returns the index of the last applied entry.
+ */
 static uint64_t apply(struct fdb_server *s)
 {
 	uint64_t now_us = sim_now(s->db->sim);
 	const struct fdb_entry *e = (const struct fdb_entry *)s->log->data;
 
 	while (s->applied < s->log->len &&
-	       (s->primary || e[s->applied].received_us + s->lag_us <= now_us))
+	       (s->primary ||
+		e[s->applied].received_at_us + s->lag_us <= now_us))
 		s->applied++;
 	return s->applied;
 }
@@ -198,7 +203,8 @@
 	out->received = s->log->len;
 	out->applied = apply(s);
 	out->history = s->history;
-	g_strlcpy(out->following, s->following < 0 ? "" : names[s->following],
+	g_strlcpy(out->following,
+		  s->following < 0 ? "" : server_names[s->following],
 		  sizeof(out->following));
 	out->connections = 0;
 	out->connection_limit = 20;
@@ -226,14 +232,14 @@
 	       (s->granted <= s->term || !db->rules.fenced_commits_nothing);
 }
 
-/* The entries that the replica lacks, from where both logs agree. */
+/* Fills in the entries that follow the common part of both logs. */
 static void fill_answer(const struct fdb_server *s, struct fdb_pull *p)
 {
 	const struct fdb_entry *e = (const struct fdb_entry *)s->log->data;
 	uint64_t common = MIN(p->received, s->log->len);
 	unsigned i = p->history.count;
 
-	/* A term's entries are the same everywhere, up to the shorter end. */
+	/* Logs that both reach an index with the same term agree up to it. */
 	while (common) {
 		while (i && p->history.entries[i - 1].start > common)
 			i--;
@@ -247,10 +253,10 @@
 }
 
 static void send_pull(struct fdb_server *s);
-static void on_answer(void *ctx, void *data);
+static void on_pull_answer(void *ctx, void *data);
 
-/* The primary answers, or keeps the pull until there is something new. */
-static void answer(struct fdb_server *s, struct fdb_pull *p)
+/* Answers a pull, or parks it until there are new entries. */
+static void answer_pull(struct fdb_server *s, struct fdb_pull *p)
 {
 	struct fdb *db = s->db;
 
@@ -264,11 +270,11 @@
 		s->parked[p->replica] = p;
 		return;
 	}
-	sim_send(db->sim, (int)s->index, (int)p->replica, 0, on_answer,
+	sim_send(db->sim, (int)s->index, (int)p->replica, 0, on_pull_answer,
 		 &db->servers[p->replica], p, sizeof(*p));
 }
 
-static void answer_parked(struct fdb_server *s)
+static void answer_parked_pulls(struct fdb_server *s)
 {
 	struct fdb_pull *p;
 	unsigned i;
@@ -276,13 +282,13 @@
 	for (i = 0; i < s->db->n; i++) {
 		p = g_steal_pointer(&s->parked[i]);
 		if (p)
-			answer(s, p);
+			answer_pull(s, p);
 	}
 }
 
 static void on_pull(void *ctx, void *data)
 {
-	answer(ctx, g_memdup2(data, sizeof(struct fdb_pull)));
+	answer_pull(ctx, g_memdup2(data, sizeof(struct fdb_pull)));
 }
 
 static bool can_receive(const struct fdb_server *s)
@@ -292,18 +298,18 @@
 		!s->db->rules.fenced_takes_no_log);
 }
 
-static void on_answer(void *ctx, void *data)
+static void on_pull_answer(void *ctx, void *data)
 {
 	struct fdb_server *s = ctx;
 	struct fdb_pull *p = data;
 	unsigned i;
 
-	if (!can_receive(s) || p->number != s->pulls ||
+	if (!can_receive(s) || p->number != s->last_pull_number ||
 	    p->term != s->followed_term || (int)p->primary != s->following ||
 	    p->received != s->log->len || p->last_term != last_term(s))
 		return;
 	if (s->db->rules.follow_removes_tail)
-		cut(s, p->common);
+		truncate_log(s, p->common);
 	for (i = 0; i < p->n; i++)
 		append(s, p->entries[i]);
 	s->applied = MIN(s->applied, s->log->len);
@@ -314,7 +320,7 @@
 {
 	struct fdb_server *s = ctx;
 
-	if (*(uint64_t *)data == s->pulls)
+	if (*(uint64_t *)data == s->last_pull_number)
 		send_pull(s);
 }
 
@@ -322,7 +328,7 @@
 {
 	struct fdb *db = s->db;
 	struct fdb_pull *p;
-	uint64_t number = ++s->pulls;
+	uint64_t number = ++s->last_pull_number;
 
 	if (!can_receive(s))
 		return;
@@ -344,7 +350,8 @@
 		 const char *holder)
 {
 	struct fdb_server *s = &db->servers[server];
-	struct fdb_entry e = { .term = term, .made_us = sim_now(db->sim) };
+	struct fdb_entry e = { .term = term,
+			       .committed_at_us = sim_now(db->sim) };
 
 	if (s->granted != term || strcmp(s->holder, holder) != 0)
 		return false;
@@ -355,7 +362,7 @@
 	s->primary = true;
 	s->term = term;
 	s->following = -1;
-	s->pulls++;
+	s->last_pull_number++;
 	drop_parked(s);
 	append(s, e);
 	apply(s);
@@ -387,18 +394,17 @@
 	return true;
 }
 
-void fdb_leave(struct fdb *db, unsigned server, bool leaving)
+void fdb_set_leaving(struct fdb *db, unsigned server, bool leaving)
 {
 	db->servers[server].leaving = leaving;
 }
 
-/* After sim_up(): it goes on in the role that it had. */
 void fdb_restart(struct fdb *db, unsigned server)
 {
 	struct fdb_server *s = &db->servers[server];
 
 	drop_parked(s);
-	s->pulls++;
+	s->last_pull_number++;
 	send_pull(s);
 }
 
@@ -418,7 +424,7 @@
 	struct fdb_entry e = { .term = s->term,
 			       .key = key,
 			       .kind = kind,
-			       .made_us = sim_now(db->sim) };
+			       .committed_at_us = sim_now(db->sim) };
 
 	at->term = last_term(s);
 	at->index = s->log->len;
@@ -430,6 +436,6 @@
 	apply(s);
 	at->term = s->term;
 	at->index = s->log->len;
-	answer_parked(s);
+	answer_parked_pulls(s);
 	return FDB_OK;
 }
--- a/packages/core/tests/support_sim.c
+++ b/packages/core/tests/support_sim.c
@@ -2,10 +2,10 @@
 
 struct sim_event {
 	uint64_t at_us;
-	uint64_t number; /* order among events of one time */
-	int from;
-	int node;
-	unsigned epoch; /* of the node when it was scheduled */
+	uint64_t sequence; /* order among events of the same time */
+	int from; /* sending node, SIM_WORLD: not a message */
+	int node; /* where it runs */
+	unsigned epoch; /* of the node when the event was scheduled */
 	sim_fn fn;
 	void *ctx;
 	void *data;
@@ -13,16 +13,16 @@
 
 struct sim_node {
 	bool down;
-	bool silent;
-	unsigned epoch;
+	bool silent; /* while down: does not refuse connections either */
+	unsigned epoch; /* number of times it went down */
 	uint64_t paused_until_us;
-	bool blocked[SIM_MAX_NODES]; /* from this node to that one */
+	bool blocked[SIM_MAX_NODES]; /* messages to that node are dropped */
 };
 
 struct sim {
 	uint64_t now_us;
-	uint64_t numbers;
-	GArray *heap; /* struct sim_event */
+	uint64_t next_sequence;
+	GArray *heap; /* struct sim_event, a binary heap by time */
 	GRand *rng;
 	struct sim_network network;
 	struct sim_node nodes[SIM_MAX_NODES];
@@ -69,7 +69,7 @@
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
-	return a->number < b->number;
+	return a->sequence < b->sequence;
 }
 
 static void push(struct sim *s, struct sim_event e)
@@ -77,7 +77,7 @@
 	struct sim_event *h;
 	unsigned i, parent;
 
-	e.number = s->numbers++;
+	e.sequence = s->next_sequence++;
 	g_array_append_val(s->heap, e);
 	h = (struct sim_event *)s->heap->data;
 	for (i = s->heap->len - 1; i; i = parent) {
@@ -125,7 +125,6 @@
 	g_free(e->data);
 }
 
-/* Runs all events up to a time. */
 void sim_run(struct sim *s, uint64_t until_us)
 {
 	struct sim_event e;
@@ -157,28 +156,27 @@
 	push(s, e);
 }
 
-/* An event of the node's own, as a timer. */
 void sim_at(struct sim *s, int node, uint64_t delay_us, sim_fn fn, void *ctx,
 	    void *data)
 {
 	schedule(s, SIM_WORLD, node, delay_us, fn, ctx, data);
 }
 
-/* One message's way: latency, jitter, loss; UINT64_MAX when it is lost. */
-static uint64_t travel_us(struct sim *s)
+/* Delay of one message, with its retransmissions; UINT64_MAX: lost. */
+static uint64_t message_delay_us(struct sim *s)
 {
 	const struct sim_network *n = &s->network;
 	uint64_t us = n->latency_us;
-	uint64_t again_us = n->retransmit_us;
+	uint64_t retransmit_delay_us = n->retransmit_us;
 
 	if (n->jitter_us)
 		us += (uint64_t)g_rand_int_range(s->rng, 0,
 						 (gint32)n->jitter_us);
 	while (n->loss > 0 && g_rand_double(s->rng) < n->loss) {
-		if (!again_us)
+		if (!retransmit_delay_us)
 			return UINT64_MAX;
-		us += again_us;
-		again_us *= 2;
+		us += retransmit_delay_us;
+		retransmit_delay_us *= 2;
 	}
 	if (n->reorder > 0 && g_rand_double(s->rng) < n->reorder)
 		us += (uint64_t)g_rand_int_range(s->rng, 0,
@@ -186,11 +184,10 @@
 	return us;
 }
 
-/* A message of len bytes (0: never doubled, as a request on a connection). */
 void sim_send(struct sim *s, int from, int to, uint64_t extra_us, sim_fn fn,
 	      void *ctx, void *data, size_t len)
 {
-	uint64_t us = travel_us(s);
+	uint64_t us = message_delay_us(s);
 
 	if (len && s->network.duplicate > 0 &&
 	    g_rand_double(s->rng) < s->network.duplicate)
@@ -243,14 +240,12 @@
 	return s->nodes[node].down;
 }
 
-/* Whether a connection from the one to the other would be refused. */
 bool sim_refuses(const struct sim *s, int from, int node)
 {
 	return s->nodes[node].down && !s->nodes[node].silent &&
 	       !s->nodes[from].blocked[node] && !s->nodes[node].blocked[from];
 }
 
-/* Ends partitions and pauses; what is down stays down. */
 void sim_heal(struct sim *s)
 {
 	int i;
--- a/packages/core/tests/test_failover.c
+++ b/packages/core/tests/test_failover.c
@@ -76,7 +76,7 @@
 	cluster_run_for(c, _i == 1 ? 900 * MS : 800 * MS);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 2);
 	ck_assert_uint_eq(cluster_primary(c), 1);
-	acked_us = cluster_last_ack_us(c);
+	acked_us = cluster_last_ack_at_us(c);
 	ck_assert_uint_gt(acked_us, sim_now(cluster_sim(c)) - 200 * MS);
 	end(c);
 }
@@ -248,7 +248,7 @@
 {
 	struct cluster *c = start_default(2);
 
-	fdb_leave(cluster_db(c), 0, true);
+	fdb_set_leaving(cluster_db(c), 0, true);
 	cluster_run_for(c, 1 * USEC_PER_SEC);
 	ck_assert_uint_ne(cluster_primary(c), 0);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 2);
@@ -377,9 +377,9 @@
 	failover_guards(cluster_failover(c, 0))->damping = guarded;
 	for (i = 0; i < 8; i++) {
 		n = cluster_primary(c);
-		fdb_leave(cluster_db(c), n, true);
+		fdb_set_leaving(cluster_db(c), n, true);
 		cluster_run_for(c, 500 * MS);
-		fdb_leave(cluster_db(c), n, false);
+		fdb_set_leaving(cluster_db(c), n, false);
 		cluster_run_for(c, 600 * MS);
 	}
 	n = cluster_counts(c)->promotions - 2;
--- a/packages/core/tests/test_failover_histories.c
+++ b/packages/core/tests/test_failover_histories.c
@@ -179,7 +179,7 @@
 			move(c, i, (p->server + i) % 3);
 		break;
 	case FAULT_LEAVE:
-		fdb_leave(cluster_db(c), p->server, true);
+		fdb_set_leaving(cluster_db(c), p->server, true);
 		break;
 	default:
 		break;
@@ -196,7 +196,7 @@
 	sim_isolate(cluster_sim(c), (int)p->server, false);
 	if (p->kind == FAULT_LOSS || p->kind == FAULT_DISORDER)
 		set_disorder(c, 0, 0);
-	fdb_leave(cluster_db(c), p->server, false);
+	fdb_set_leaving(cluster_db(c), p->server, false);
 }
 
 /* Half of the faults hit the first primary. */
@@ -291,7 +291,7 @@
 	cluster_run_for(c, SETTLING_US);
 	if (cluster_check_end(c)[0])
 		violation = g_strdup(cluster_violation(c));
-	else if (cluster_last_ack_us(c) < ack_from_us && !mutate)
+	else if (cluster_last_ack_at_us(c) < ack_from_us && !mutate)
 		violation = g_strdup("writes did not come back");
 	cluster_destroy(c);
 	g_rand_free(run.rng);
