--- a/packages/core/tests/support_fake_session.c
+++ b/packages/core/tests/support_fake_session.c
@@ -5,13 +5,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A log's key: the key's number above, and below 0 or, without one, a nonce. */
+/*
+ * The key of a log entry has the number of its outcome key, or the trip if it
+ * has no outcome row, above these bits. Within them it has a nonce if there is
+ * no outcome row, else 0.
+ */
 #define NONCE_BITS 16
-/* Numbers of transactions' keys, which end in no number of the test's own. */
+/* Set in the numbers of transactions' keys, to keep them off those of tests. */
 #define TRANSACTION_BIT (1ULL << 40)
 
 struct command {
-	const char *start; /* of the statement's text */
+	const char *prefix; /* of the statement's text */
 	enum fake_progress (*run)(struct fake_session *s, struct fake_run *run,
 				  const struct fake_step *step);
 };
@@ -26,7 +30,7 @@
 	return s;
 }
 
-static void release(struct fake_session *s)
+static void end_block(struct fake_session *s)
 {
 	if (s->key && fake_sql_claim(s->sql, s->server, s->key) == s)
 		fake_sql_set_claim(s->sql, s->server, s->key, NULL);
@@ -34,19 +38,19 @@
 	s->trip = 0;
 	g_clear_pointer(&s->digest, g_free);
 	g_clear_pointer(&s->summary, g_free);
-	s->own = false;
+	s->maintenance = false;
 	s->block = s->failed = s->read_only = s->has_snapshot = false;
 }
 
 void fake_session_end(struct fake_session *s)
 {
-	release(s);
+	end_block(s);
 	s->open = false;
 }
 
 void fake_session_destroy(struct fake_session *s)
 {
-	release(s);
+	end_block(s);
 	g_free(s->variable);
 	g_free(s);
 }
@@ -100,8 +104,11 @@
 	return result(run, step, 0, NULL, affected);
 }
 
-/* Outcome keys of the tests end in a number, those of transactions start so. */
-static uint64_t number_of(const char *key)
+/*
+ * The number of an outcome key: the decimal digits that a test's key ends in,
+ * or the first 8 hexadecimal digits of a transaction's id.
+ */
+static uint64_t key_number(const char *key)
 {
 	const char *end = key + strlen(key);
 	const char *id = strstr(key, "transaction:");
@@ -129,7 +136,7 @@
 	s->has_snapshot = s->block;
 }
 
-/* Commits what the block did; false with a SQLSTATE when refused. */
+/* Commits the block's writes. Returns NULL, or the SQLSTATE of a refusal. */
 static const char *commit(struct fake_session *s)
 {
 	struct fdb *db = fake_sql_db(s->sql);
@@ -153,7 +160,7 @@
 		fake_sql_note_row(s->sql, key, s->digest,
 				  s->summary ? s->summary : "", s->trip);
 	if (s->key)
-		fake_sql_note_at(s->sql, s->key, s->at);
+		fake_sql_note_row_time(s->sql, s->key, s->at);
 	s->last_commit = at;
 	s->committed = true;
 	return NULL;
@@ -169,10 +176,13 @@
 	return no_rows(run, step, 0);
 }
 
-/* The block of the proxy's own is committed; what comes after it fails. */
-static void commit_own(struct fake_session *s)
+/*
+ * Commits a maintenance block of the proxy, if it is one of those that fail
+ * late: the cq_commit_position after it will be refused.
+ */
+static void commit_maintenance(struct fake_session *s)
 {
-	if (!s->own || !fake_sql_take_late_failure(s->sql, s->server))
+	if (!s->maintenance || !fake_sql_take_late_failure(s->sql, s->server))
 		return;
 	fdb_insert(fake_sql_db(s->sql), s->server, fake_sql_nonce(s->sql),
 		   FDB_EMPTY, &s->last_commit);
@@ -185,8 +195,8 @@
 {
 	const char *state = commit(s);
 
-	commit_own(s);
-	release(s);
+	commit_maintenance(s);
+	end_block(s);
 	if (state)
 		return refuse(s, run, state);
 	return no_rows(run, step, 0);
@@ -196,17 +206,17 @@
 				       struct fake_run *run,
 				       const struct fake_step *step)
 {
-	release(s);
+	end_block(s);
 	return no_rows(run, step, 0);
 }
 
-/* A statement that ends the block although nothing tells it from outside. */
-static enum fake_progress run_sneak(struct fake_session *s,
-				    struct fake_run *run,
-				    const struct fake_step *step)
+/* A statement that commits the block without the proxy noticing. */
+static enum fake_progress run_hidden_commit(struct fake_session *s,
+					    struct fake_run *run,
+					    const struct fake_step *step)
 {
 	commit(s);
-	release(s);
+	end_block(s);
 	return no_rows(run, step, 0);
 }
 
@@ -303,7 +313,7 @@
 					 const struct fake_step *step)
 {
 	struct fdb *db = fake_sql_db(s->sql);
-	uint64_t key = number_of(step->params[0]);
+	uint64_t key = key_number(step->params[0]);
 	struct fake_session *holder;
 
 	if (!fdb_can_write(db, s->server))
@@ -325,7 +335,7 @@
 					 struct fake_run *run,
 					 const struct fake_step *step)
 {
-	uint64_t key = number_of(step->params[0]);
+	uint64_t key = key_number(step->params[0]);
 	struct fdb *db = fake_sql_db(s->sql);
 
 	if (s->key != key && !fdb_find(db, s->server, key << NONCE_BITS))
@@ -339,7 +349,7 @@
 				       struct fake_run *run,
 				       const struct fake_step *step)
 {
-	uint64_t key = number_of(step->params[0]) << NONCE_BITS;
+	uint64_t key = key_number(step->params[0]) << NONCE_BITS;
 	const struct fdb_entry *e;
 	const char *cells[3];
 
@@ -487,10 +497,11 @@
 					primary));
 }
 
-static enum fake_progress run_own(struct fake_session *s, struct fake_run *run,
-				  const struct fake_step *step)
+static enum fake_progress run_maintenance(struct fake_session *s,
+					  struct fake_run *run,
+					  const struct fake_step *step)
 {
-	s->own = true;
+	s->maintenance = true;
 	return no_rows(run, step, 0);
 }
 
@@ -500,7 +511,7 @@
 {
 	fake_sql_note_removal(s->sql,
 			      g_ascii_strtoll(step->params[0], NULL, 10));
-	return run_own(s, run, step);
+	return run_maintenance(s, run, step);
 }
 
 static const struct command commands[] = {
@@ -521,7 +532,7 @@
 	  "VALUES",
 	  run_insert_key },
 	{ "INSERT INTO celeryquay_outcome", run_finish_key },
-	{ "CREATE ", run_own },
+	{ "CREATE ", run_maintenance },
 	{ "DELETE FROM celeryquay_outcome", run_remove },
 	{ "WRITE", run_write },
 	{ "READ", run_read },
@@ -529,7 +540,7 @@
 	{ "SLOW", run_slow },
 	{ "SET", run_set },
 	{ "SHOW", run_show },
-	{ "SNEAK", run_sneak },
+	{ "SNEAK", run_hidden_commit },
 };
 
 static enum fake_progress run_step(struct fake_session *s, struct fake_run *run,
@@ -540,19 +551,19 @@
 	if (s->failed && !g_str_has_prefix(step->sql, "ROLLBACK"))
 		return refuse(s, run, "25P02");
 	for (i = 0; i < G_N_ELEMENTS(commands); i++) {
-		if (g_str_has_prefix(step->sql, commands[i].start))
+		if (g_str_has_prefix(step->sql, commands[i].prefix))
 			return commands[i].run(s, run, step);
 	}
 	return refuse(s, run, "42601");
 }
 
-/* What ran outside a block is committed with the sync. */
+/* Statements that ran outside a block are committed at the end of the run. */
 static void end_run(struct fake_session *s, struct fake_run *run)
 {
 	if (!s->block && (s->trip || s->key)) {
 		if (!run->result.err.code)
 			commit(s);
-		release(s);
+		end_block(s);
 	}
 	if (run->result.err.code)
 		return;
--- a/packages/core/tests/support_fake_upstream.c
+++ b/packages/core/tests/support_fake_upstream.c
@@ -2,45 +2,48 @@
 
 #include <string.h>
 
-/* A session that waits is looked at again after this. */
-#define LOOK_US 300
+/* Interval at which a waiting run is continued. */
+#define WAIT_POLL_US 300
+/* Duration of a login at the server. */
 #define CONNECT_US (10 * USEC_PER_MSEC)
-#define LEAVE_AGAIN_US (100 * USEC_PER_MSEC)
-#define LEAVE_TRIES 100
+/* Repetition of a connection's close message until it arrives. */
+#define CLOSE_RETRY_US (100 * USEC_PER_MSEC)
+#define CLOSE_MAX_TRIES 100
 
 struct upstream {
 	struct fake_sql *sql;
 	int node;
 	const struct upstream_events *events;
 	void *ctx;
-	GHashTable *conns; /* id -> struct fake_conn, until closed */
-	GPtrArray *all; /* owned, closed ones too */
+	GHashTable *conns; /* id -> struct fake_conn, not closed */
+	GPtrArray *all_conns; /* struct fake_conn, closed ones too; owned */
 };
 
 struct fake_conn {
 	struct upstream *u;
 	conn_id id;
 	unsigned server;
-	bool closed; /* by the proxy */
-	bool muted;
-	unsigned leave_tries;
+	bool closed; /* on the proxy's side */
+	bool muted; /* messages in both directions are dropped */
+	unsigned close_tries;
 	struct fake_session *session; /* NULL until accepted */
-	GQueue sent; /* struct fake_run, not done at the server yet */
-	GQueue done; /* answers on their way */
+	GQueue sent; /* struct fake_run, not completed at the server yet */
+	GQueue done; /* struct fake_run, with answers in transit */
 };
 
-struct server_side {
-	uint64_t service_us;
-	unsigned lose_commits;
-	unsigned fail_late;
-	unsigned connections;
-	unsigned limit;
-	unsigned refused;
-	unsigned most;
+struct server_state {
+	uint64_t service_us; /* duration of each run */
+	unsigned lost_commit_replies; /* number of answers to lose */
+	unsigned late_failures; /* number of maintenance blocks to fail late */
+	unsigned connections; /* open now */
+	unsigned connection_limit; /* max. open connections */
+	unsigned refused_connections; /* connections refused at the limit */
+	unsigned max_connections; /* highest number open at once */
 	GHashTable *claims; /* key -> session */
 };
 
-struct row_text {
+/* The columns of an outcome row that the fake database does not store. */
+struct row_columns {
 	char *digest;
 	char *summary;
 	uint64_t trip;
@@ -50,17 +53,17 @@
 	struct sim *sim;
 	struct fdb *db;
 	unsigned n_servers;
-	struct server_side servers[FDB_MAX_SERVERS];
+	struct server_state servers[FDB_MAX_SERVERS];
 	GHashTable *rows; /* key -> struct row_text */
 	GPtrArray *upstreams;
-	uint64_t nonces;
-	GHashTable *ats; /* number of a key -> its row's "at", int64_t */
-	GHashTable *removed; /* numbers of keys */
+	uint64_t last_nonce; /* the last nonce given */
+	GHashTable *row_times; /* number of a key -> its row's "at", int64_t */
+	GHashTable *removed; /* numbers of the keys of removed rows */
 };
 
 static void row_free(gpointer data)
 {
-	struct row_text *row = data;
+	struct row_columns *row = data;
 
 	g_free(row->digest);
 	g_free(row->summary);
@@ -78,12 +81,12 @@
 	sql->n_servers = n_servers;
 	sql->rows = g_hash_table_new_full(NULL, NULL, NULL, row_free);
 	sql->upstreams = g_ptr_array_new();
-	sql->ats = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	sql->row_times = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	sql->removed = g_hash_table_new(NULL, NULL);
 	for (i = 0; i < n_servers; i++) {
 		sql->servers[i].claims = g_hash_table_new(NULL, NULL);
 		sql->servers[i].service_us = 200;
-		sql->servers[i].limit = UINT_MAX;
+		sql->servers[i].connection_limit = UINT_MAX;
 	}
 	return sql;
 }
@@ -95,25 +98,25 @@
 	for (i = 0; i < sql->n_servers; i++)
 		g_hash_table_destroy(sql->servers[i].claims);
 	g_hash_table_destroy(sql->rows);
-	g_hash_table_destroy(sql->ats);
+	g_hash_table_destroy(sql->row_times);
 	g_hash_table_destroy(sql->removed);
 	g_ptr_array_free(sql->upstreams, TRUE);
 	g_free(sql);
 }
 
-void fake_sql_note_at(struct fake_sql *sql, uint64_t key, int64_t at)
+void fake_sql_note_row_time(struct fake_sql *sql, uint64_t key, int64_t at)
 {
-	g_hash_table_insert(sql->ats, GSIZE_TO_POINTER(key),
+	g_hash_table_insert(sql->row_times, GSIZE_TO_POINTER(key),
 			    g_memdup2(&at, sizeof(at)));
 }
 
-/* The rows stay where they are; what is removed is only noted. */
+/* Only marks the rows; the log and its rows stay as they are. */
 void fake_sql_note_removal(struct fake_sql *sql, int64_t before)
 {
 	GHashTableIter iter;
 	gpointer key, at;
 
-	g_hash_table_iter_init(&iter, sql->ats);
+	g_hash_table_iter_init(&iter, sql->row_times);
 	while (g_hash_table_iter_next(&iter, &key, &at)) {
 		if (*(int64_t *)at < before)
 			g_hash_table_add(sql->removed, key);
@@ -127,14 +130,14 @@
 
 void fake_sql_fail_late(struct fake_sql *sql, unsigned server, unsigned n)
 {
-	sql->servers[server].fail_late = n;
+	sql->servers[server].late_failures = n;
 }
 
 bool fake_sql_take_late_failure(struct fake_sql *sql, unsigned server)
 {
-	if (!sql->servers[server].fail_late)
+	if (!sql->servers[server].late_failures)
 		return false;
-	sql->servers[server].fail_late--;
+	sql->servers[server].late_failures--;
 	return true;
 }
 
@@ -169,12 +172,12 @@
 void fake_sql_note_row(struct fake_sql *sql, uint64_t key, const char *digest,
 		       const char *summary, uint64_t trip)
 {
-	struct row_text *row;
+	struct row_columns *row;
 
-	/* A tombstone at one server leaves the done row of another as it is. */
+	/* A tombstone on one server does not replace another's done row. */
 	if (!trip && g_hash_table_contains(sql->rows, GSIZE_TO_POINTER(key)))
 		return;
-	row = g_new0(struct row_text, 1);
+	row = g_new0(struct row_columns, 1);
 	row->digest = g_strdup(digest);
 	row->summary = g_strdup(summary);
 	row->trip = trip;
@@ -183,7 +186,7 @@
 
 uint64_t fake_sql_trip(struct fake_sql *sql, uint64_t key)
 {
-	struct row_text *row =
+	struct row_columns *row =
 		g_hash_table_lookup(sql->rows, GSIZE_TO_POINTER(key));
 
 	return row && row->trip ? row->trip : key >> 16;
@@ -191,7 +194,7 @@
 
 const char *fake_sql_digest(struct fake_sql *sql, uint64_t key)
 {
-	struct row_text *row =
+	struct row_columns *row =
 		g_hash_table_lookup(sql->rows, GSIZE_TO_POINTER(key));
 
 	return row ? row->digest : "";
@@ -199,7 +202,7 @@
 
 const char *fake_sql_summary(struct fake_sql *sql, uint64_t key)
 {
-	struct row_text *row =
+	struct row_columns *row =
 		g_hash_table_lookup(sql->rows, GSIZE_TO_POINTER(key));
 
 	return row ? row->summary : "";
@@ -207,7 +210,7 @@
 
 uint64_t fake_sql_nonce(struct fake_sql *sql)
 {
-	return ++sql->nonces;
+	return ++sql->last_nonce;
 }
 
 void fake_sql_set_service(struct fake_sql *sql, unsigned server,
@@ -218,20 +221,20 @@
 
 void fake_sql_lose_commits(struct fake_sql *sql, unsigned server, unsigned n)
 {
-	sql->servers[server].lose_commits = n;
+	sql->servers[server].lost_commit_replies = n;
 }
 
-void fake_sql_set_limit(struct fake_sql *sql, unsigned limit)
+void fake_sql_set_limit(struct fake_sql *sql, unsigned connection_limit)
 {
 	unsigned i;
 
 	for (i = 0; i < sql->n_servers; i++)
-		sql->servers[i].limit = limit;
+		sql->servers[i].connection_limit = connection_limit;
 }
 
 unsigned fake_sql_refused(const struct fake_sql *sql, unsigned server)
 {
-	return sql->servers[server].refused;
+	return sql->servers[server].refused_connections;
 }
 
 unsigned fake_sql_connections(const struct fake_sql *sql, unsigned server)
@@ -241,7 +244,7 @@
 
 unsigned fake_sql_most_connections(const struct fake_sql *sql, unsigned server)
 {
-	return sql->servers[server].most;
+	return sql->servers[server].max_connections;
 }
 
 static void end_session(struct fake_conn *c)
@@ -274,7 +277,7 @@
 	u->events = events;
 	u->ctx = ctx;
 	u->conns = g_hash_table_new(g_int64_hash, g_int64_equal);
-	u->all = g_ptr_array_new_with_free_func(conn_free);
+	u->all_conns = g_ptr_array_new_with_free_func(conn_free);
 	g_ptr_array_add(sql->upstreams, u);
 	return u;
 }
@@ -283,7 +286,7 @@
 {
 	g_ptr_array_remove(u->sql->upstreams, u);
 	g_hash_table_destroy(u->conns);
-	g_ptr_array_free(u->all, TRUE);
+	g_ptr_array_free(u->all_conns, TRUE);
 	g_free(u);
 }
 
@@ -301,8 +304,8 @@
 			 fn, c, NULL, 0);
 }
 
-/* The proxy's side of the connection is gone without its doing. */
-static void tell_lost(void *ctx, void *data)
+/* Reports to the proxy that the connection was lost. */
+static void notify_lost(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
 	struct err err = { .code = ERR_CONNECTION_LOST };
@@ -316,7 +319,7 @@
 	c->u->events->lost(c->u->ctx, c->id, &err);
 }
 
-static void tell_opened(void *ctx, void *data)
+static void notify_opened(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
 
@@ -337,13 +340,13 @@
 	c->u->events->opened(c->u->ctx, c->id, &err);
 }
 
-static void tell_refused(void *ctx, void *data)
+static void notify_refused(void *ctx, void *data)
 {
 	(void)data;
 	fail_opening(ctx, "Connection refused");
 }
 
-static void tell_too_many(void *ctx, void *data)
+static void notify_too_many(void *ctx, void *data)
 {
 	(void)data;
 	fail_opening(ctx, "FATAL:  too many connections");
@@ -352,18 +355,18 @@
 static void accept_conn(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
-	struct server_side *side = &c->u->sql->servers[c->server];
+	struct server_state *side = &c->u->sql->servers[c->server];
 
 	(void)data;
-	if (side->connections >= side->limit) {
-		side->refused++;
-		send_to_proxy(c, 0, tell_too_many);
+	if (side->connections >= side->connection_limit) {
+		side->refused_connections++;
+		send_to_proxy(c, 0, notify_too_many);
 		return;
 	}
 	c->session = fake_session_create(c->u->sql, c->server);
 	side->connections++;
-	side->most = MAX(side->most, side->connections);
-	send_to_proxy(c, CONNECT_US, tell_opened);
+	side->max_connections = MAX(side->max_connections, side->connections);
+	send_to_proxy(c, CONNECT_US, notify_opened);
 }
 
 static void open_conn(struct upstream *u, conn_id id,
@@ -377,17 +380,17 @@
 	c->server = target->port - FAKE_PORT_BASE;
 	g_queue_init(&c->sent);
 	g_queue_init(&c->done);
-	g_ptr_array_add(u->all, c);
+	g_ptr_array_add(u->all_conns, c);
 	g_hash_table_insert(u->conns, &c->id, c);
 	if (sim_refuses(u->sql->sim, u->node, (int)c->server))
-		sim_at(u->sql->sim, u->node, USEC_PER_MSEC, tell_refused, c,
+		sim_at(u->sql->sim, u->node, USEC_PER_MSEC, notify_refused, c,
 		       NULL);
 	else
 		send_to_server(c, 0, accept_conn);
 }
 
-/* An answer reaches the proxy, whatever it waits for on that connection. */
-static void tell_done(void *ctx, void *data)
+/* Delivers the oldest completed run's answer to the proxy. */
+static void notify_done(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
 	struct fake_run *run = g_queue_pop_head(&c->done);
@@ -400,41 +403,43 @@
 	fake_run_destroy(run);
 }
 
-static void work(void *ctx, void *data)
+static void continue_run(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
-	struct server_side *side = &c->u->sql->servers[c->server];
+	struct server_state *side = &c->u->sql->servers[c->server];
 	struct fake_run *run = c->sent.head ? c->sent.head->data : NULL;
 
 	(void)data;
 	if (!run || !c->session || !c->session->open)
 		return;
 	if (fake_session_run(c->session, run) == FAKE_WAITS) {
-		sim_at(c->u->sql->sim, (int)c->server, LOOK_US, work, c, NULL);
+		sim_at(c->u->sql->sim, (int)c->server, WAIT_POLL_US,
+		       continue_run, c, NULL);
 		return;
 	}
 	g_queue_pop_head(&c->sent);
-	if (c->session->committed && side->lose_commits) {
-		side->lose_commits--;
+	if (c->session->committed && side->lost_commit_replies) {
+		side->lost_commit_replies--;
 		fake_run_destroy(run);
 		end_session(c);
-		send_to_proxy(c, 0, tell_lost);
+		send_to_proxy(c, 0, notify_lost);
 		return;
 	}
 	c->session->committed = false;
 	g_queue_push_tail(&c->done, run);
-	send_to_proxy(c, 0, tell_done);
+	send_to_proxy(c, 0, notify_done);
 	if (c->sent.length)
-		sim_at(c->u->sql->sim, (int)c->server, 0, work, c, NULL);
+		sim_at(c->u->sql->sim, (int)c->server, 0, continue_run, c,
+		       NULL);
 }
 
-static void arrive(void *ctx, void *data)
+static void on_run_received(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
 
 	(void)data;
 	sim_at(c->u->sql->sim, (int)c->server,
-	       c->u->sql->servers[c->server].service_us, work, c, NULL);
+	       c->u->sql->servers[c->server].service_us, continue_run, c, NULL);
 }
 
 static void run_steps(struct upstream *u, conn_id id,
@@ -447,32 +452,33 @@
 	(void)timeout_us;
 	g_assert(c);
 	g_queue_push_tail(&c->sent, fake_run_create(steps, n_steps));
-	/* With one in work already, the server takes this one after it. */
+	/* If a run is in progress, the server starts this one after it. */
 	if (c->sent.length == 1)
-		send_to_server(c, 0, arrive);
+		send_to_server(c, 0, on_run_received);
 }
 
-static void leave(void *ctx, void *data)
+static void on_close(void *ctx, void *data)
 {
 	(void)data;
 	end_session(ctx);
 }
 
 /*
- * The end of a connection is sent again until it arrives. On one that went
- * silent it never does; there the server finds out by itself.
+ * Repeats the close message until it arrives. On a muted connection it never
+ * does; there the server detects the end itself, at the last try.
  */
-static void retry_leave(void *ctx, void *data)
+static void retry_close(void *ctx, void *data)
 {
 	struct fake_conn *c = ctx;
 
 	(void)data;
-	if (++c->leave_tries > LEAVE_TRIES || (c->session && !c->session->open))
+	if (++c->close_tries > CLOSE_MAX_TRIES ||
+	    (c->session && !c->session->open))
 		return;
-	if (c->muted && c->leave_tries == LEAVE_TRIES)
+	if (c->muted && c->close_tries == CLOSE_MAX_TRIES)
 		end_session(c);
-	send_to_server(c, 0, leave);
-	sim_at(c->u->sql->sim, SIM_WORLD, LEAVE_AGAIN_US, retry_leave, c, NULL);
+	send_to_server(c, 0, on_close);
+	sim_at(c->u->sql->sim, SIM_WORLD, CLOSE_RETRY_US, retry_close, c, NULL);
 }
 
 static void close_conn(struct upstream *u, conn_id id)
@@ -483,8 +489,8 @@
 		return;
 	c->closed = true;
 	g_hash_table_remove(u->conns, &c->id);
-	send_to_server(c, 0, leave);
-	sim_at(u->sql->sim, SIM_WORLD, LEAVE_AGAIN_US, retry_leave, c, NULL);
+	send_to_server(c, 0, on_close);
+	sim_at(u->sql->sim, SIM_WORLD, CLOSE_RETRY_US, retry_close, c, NULL);
 }
 
 const struct upstream_ops fake_upstream_ops = {
@@ -497,8 +503,8 @@
 {
 	unsigned i;
 
-	for (i = 0; i < u->all->len; i++) {
-		struct fake_conn *c = g_ptr_array_index(u->all, i);
+	for (i = 0; i < u->all_conns->len; i++) {
+		struct fake_conn *c = g_ptr_array_index(u->all_conns, i);
 
 		if (c->server == server)
 			c->muted = true;
@@ -509,8 +515,8 @@
 {
 	unsigned i;
 
-	for (i = 0; i < u->all->len; i++) {
-		struct fake_conn *c = g_ptr_array_index(u->all, i);
+	for (i = 0; i < u->all_conns->len; i++) {
+		struct fake_conn *c = g_ptr_array_index(u->all_conns, i);
 
 		c->closed = true;
 		end_session(c);
@@ -522,14 +528,14 @@
 {
 	unsigned i;
 
-	for (i = 0; i < u->all->len; i++) {
-		struct fake_conn *c = g_ptr_array_index(u->all, i);
+	for (i = 0; i < u->all_conns->len; i++) {
+		struct fake_conn *c = g_ptr_array_index(u->all_conns, i);
 
 		if (c->server != server)
 			continue;
 		end_session(c);
 		if (!silent && !c->closed)
-			send_to_proxy(c, 0, tell_lost);
+			send_to_proxy(c, 0, notify_lost);
 		c->muted = true;
 	}
 }
--- a/packages/core/tests/support_fake_upstream.h
+++ b/packages/core/tests/support_fake_upstream.h
@@ -3,61 +3,72 @@
 
 /*
  * Connections to the servers of a fake database group on the virtual clock:
- * struct upstream_ops as the group uses it, with sessions, transaction blocks
- * and the outcome table on the servers' side. Statements of callers:
+ * the struct upstream_ops that a struct group uses, with sessions, transaction
+ * blocks and the outcome table on the servers' side. Statements of callers:
  *
- *   WRITE $1     stores the trip $1
- *   READ         one row: the trips that the snapshot sees, blank-parted
+ *   WRITE $1     stores the trip (a row with the number) $1
+ *   READ         returns one row: the trips in the snapshot, space-separated
  *   FAIL         is refused with 23514
  *   SLOW $1      takes $1 microseconds longer
  *   SET $1       sets a session variable; SHOW reads it
- *   SNEAK        commits the open block, as no statement should be able to
+ *   SNEAK        commits the open block, which no statement should be able to
  */
 
 #include "support_fake_db.h"
 
 #include <celeryquay/core/upstream.h>
 
-/* The servers' side, shared by all proxies. Outcome keys end in a number. */
+/*
+ * The servers' side, shared by all proxies. The outcome keys of callers must
+ * end in a number.
+ */
 struct fake_sql;
 
 struct fake_sql *fake_sql_create(struct sim *sim, struct fdb *db,
 				 unsigned n_servers);
 void fake_sql_destroy(struct fake_sql *sql);
-/* Time that each run takes at the server. */
+/* Sets the time that each run takes at the server. */
 void fake_sql_set_service(struct fake_sql *sql, unsigned server,
 			  uint64_t service_us);
-/* The process of the server ends; silent: its host as well. */
+/* Ends the server's process; silent: takes its host down as well. */
 void fake_sql_crash(struct fake_sql *sql, unsigned server, bool silent);
 void fake_sql_restart(struct fake_sql *sql, unsigned server);
-/* Answers of runs that commit are lost, with their connection. */
+/*
+ * Loses the answers to the next n runs that commit, together with their
+ * connections. The commits themselves succeed.
+ */
 void fake_sql_lose_commits(struct fake_sql *sql, unsigned server, unsigned n);
-/* Whether a removal of outcome rows would have taken the trip's row. */
+/* Whether a removal of outcome rows covered the trip's row. */
 bool fake_sql_removed(struct fake_sql *sql, uint64_t trip);
-/* Blocks of the proxies' own commit, and their position is then refused. */
+/*
+ * The next n maintenance blocks of proxies (which remove outcome rows or create
+ * their table) commit, but the query for their commit position is refused.
+ */
 void fake_sql_fail_late(struct fake_sql *sql, unsigned server, unsigned n);
-/* A connection above the limit is refused. */
+/* Sets the connection limit of each server; more are refused. */
 void fake_sql_set_limit(struct fake_sql *sql, unsigned limit);
+/* Number of connections refused at the limit. */
 unsigned fake_sql_refused(const struct fake_sql *sql, unsigned server);
 unsigned fake_sql_connections(const struct fake_sql *sql, unsigned server);
+/* The highest number of connections open at once. */
 unsigned fake_sql_most_connections(const struct fake_sql *sql, unsigned server);
 
-/* One proxy's connections; its node is in the simulation. */
+/* Creates one proxy's connections; node is the proxy's in the simulation. */
 struct upstream *fake_upstream_create(struct fake_sql *sql, int node,
 				      const struct upstream_events *events,
 				      void *ctx);
 void fake_upstream_destroy(struct upstream *u);
-/* All open connections to the server go silent for good; new ones work. */
+/* Existing connections to the server go silent for good; new ones work. */
 void fake_upstream_mute(struct upstream *u, unsigned server);
-/* As if the process of the proxy had ended: the servers see it. */
+/* Ends the proxy's process: the servers see its connections close. */
 void fake_upstream_kill(struct upstream *u);
 
 extern const struct upstream_ops fake_upstream_ops;
 
-/* The target's port of a server. */
+/* The port of server i is this plus i. */
 #define FAKE_PORT_BASE 1000
 
-/* How often a caller's trip stands in the server's log. */
+/* The number of entries with the trip in the server's log. */
 unsigned fake_count_trip(struct fake_sql *sql, unsigned server, uint64_t trip);
 
 #endif
--- a/packages/core/tests/support_group.c
+++ b/packages/core/tests/support_group.c
@@ -6,14 +6,15 @@
 
 #define TICK_US (1 * USEC_PER_MSEC)
 #define DEADLINE_US (5 * USEC_PER_SEC)
-#define SILENT_US (100 * USEC_PER_MSEC)
+/* A home whose last tick is older than this counts as unresponsive. */
+#define TICK_OVERDUE_US (100 * USEC_PER_MSEC)
 
 struct rig_home {
 	struct rig *rig;
 	unsigned index;
 	int node;
-	unsigned lives;
-	uint64_t ticked_us;
+	unsigned incarnation; /* number of starts */
+	uint64_t last_tick_at_us; /* time of the last tick */
 	bool up;
 	struct upstream *upstream;
 	struct group *group;
@@ -28,7 +29,7 @@
 	struct database_conf *conf;
 	struct rig_home homes[RIG_MAX_HOMES];
 	GPtrArray *calls; /* owned */
-	GPtrArray *old_upstreams; /* of homes that crashed */
+	GPtrArray *old_upstreams; /* of crashed homes; owned */
 };
 
 void rig_settings_default(struct rig_settings *s)
@@ -112,15 +113,15 @@
 	.lost = on_lost,
 };
 
-static void tick(void *ctx, void *data)
+static void on_tick(void *ctx, void *data)
 {
 	struct rig_home *h = ctx;
 
-	if (!h->up || *(unsigned *)data != h->lives)
+	if (!h->up || *(unsigned *)data != h->incarnation)
 		return;
-	h->ticked_us = sim_now(h->rig->sim);
-	group_tick(h->group, h->ticked_us);
-	sim_at(h->rig->sim, h->node, TICK_US, tick, h,
+	h->last_tick_at_us = sim_now(h->rig->sim);
+	group_tick(h->group, h->last_tick_at_us);
+	sim_at(h->rig->sim, h->node, TICK_US, on_tick, h,
 	       g_memdup2(data, sizeof(unsigned)));
 }
 
@@ -129,16 +130,17 @@
 	struct rig *r = h->rig;
 	char holder[32];
 
-	h->lives++;
+	h->incarnation++;
 	h->up = true;
-	g_snprintf(holder, sizeof(holder), "proxy-%u/%u", h->index, h->lives);
+	g_snprintf(holder, sizeof(holder), "proxy-%u/%u", h->index,
+		   h->incarnation);
 	h->upstream = fake_upstream_create(r->sql, h->node, &events, h);
 	h->group = group_create(r->conf, &r->settings.group, holder,
 				h->upstream, &fake_upstream_ops, NULL, NULL,
 				h->rng, sim_now(r->sim));
 	group_set_rank(h->group, h->index, sim_now(r->sim));
-	sim_at(r->sim, h->node, 0, tick, h,
-	       g_memdup2(&h->lives, sizeof(h->lives)));
+	sim_at(r->sim, h->node, 0, on_tick, h,
+	       g_memdup2(&h->incarnation, sizeof(h->incarnation)));
 }
 
 void rig_crash_home(struct rig *r, unsigned home)
@@ -160,11 +162,11 @@
 		start_home(&r->homes[home]);
 }
 
-bool rig_home_silent(const struct rig *r, unsigned home)
+bool rig_home_unresponsive(const struct rig *r, unsigned home)
 {
 	const struct rig_home *h = &r->homes[home];
 
-	return !h->up || sim_now(r->sim) > h->ticked_us + SILENT_US;
+	return !h->up || sim_now(r->sim) > h->last_tick_at_us + TICK_OVERDUE_US;
 }
 
 static void start_servers(struct rig *r)
@@ -271,11 +273,11 @@
 	sim_run(r->sim, sim_now(r->sim) + duration_us);
 }
 
-bool rig_wait(struct rig *r, struct rig_call *c, uint64_t at_most_us)
+bool rig_wait(struct rig *r, struct rig_call *c, uint64_t timeout_us)
 {
-	uint64_t end_us = sim_now(r->sim) + at_most_us;
+	uint64_t end_at_us = sim_now(r->sim) + timeout_us;
 
-	while (!c->answers && sim_now(r->sim) < end_us)
+	while (!c->answers && sim_now(r->sim) < end_at_us)
 		rig_run_for(r, USEC_PER_MSEC);
 	return c->answers != 0;
 }
@@ -357,7 +359,7 @@
 	}
 }
 
-/* At a home that is down the call stays without an answer. */
+/* A call to a home that is down is never answered. */
 void rig_send(struct rig_call *c)
 {
 	struct rig_home *h = &c->rig->homes[c->home];
--- a/packages/core/tests/support_group.h
+++ b/packages/core/tests/support_group.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_TESTS_SUPPORT_GROUP_H
 
 /*
- * Homes of one database, each a struct group on its own node, before a fake
- * database group on the virtual clock.
+ * A test rig: the homes of one database (the proxies that serve it), each a
+ * struct group on its own node, with a fake database group on the virtual
+ * clock.
  */
 
 #include "support_fake_upstream.h"
@@ -19,20 +20,20 @@
 	unsigned n_homes;
 	struct sim_network network;
 	struct group_settings group;
-	unsigned slots;
-	unsigned connections;
+	unsigned slots; /* per server, as configured */
+	unsigned connections; /* limit per server, enforced by the fake too */
 };
 
-/* One request and what became of it. */
+/* One request and its answer. */
 struct rig_call {
 	struct rig *rig;
-	unsigned home;
+	unsigned home; /* to which it is sent */
 	struct request *request;
 	struct profile profile;
 	uint64_t trip;
-	uint64_t sent_us;
-	unsigned answers; /* how often it was answered */
-	uint64_t answered_us;
+	uint64_t sent_us; /* when it was sent */
+	unsigned answers; /* number of answers received */
+	uint64_t answered_us; /* when it was last answered */
 	enum outcome outcome;
 	enum err_code code;
 	uint64_t retry_after_us;
@@ -46,7 +47,7 @@
 };
 
 void rig_settings_default(struct rig_settings *s);
-/* Server 0 is the primary of term 1, the others follow it. */
+/* Starts with server 0 as the primary of term 1 and all others following. */
 struct rig *rig_create(uint32_t seed, const struct rig_settings *settings);
 void rig_destroy(struct rig *r);
 struct sim *rig_sim(struct rig *r);
@@ -56,27 +57,31 @@
 struct upstream *rig_upstream(struct rig *r, unsigned home);
 int rig_node(const struct rig *r, unsigned home);
 void rig_run_for(struct rig *r, uint64_t duration_us);
-/* Runs until the call is answered, or for at most so long. */
-bool rig_wait(struct rig *r, struct rig_call *c, uint64_t at_most_us);
-/* A home's process ends, or a new one begins at its place. */
+/* Runs until the call is answered, or for timeout_us. True if answered. */
+bool rig_wait(struct rig *r, struct rig_call *c, uint64_t timeout_us);
+/* Ends a home's process. */
 void rig_crash_home(struct rig *r, unsigned home);
+/* Starts a new process in its place. */
 void rig_restart_home(struct rig *r, unsigned home);
-/* Down, or has not run for a while. */
-bool rig_home_silent(const struct rig *r, unsigned home);
-/* The server that leads the highest term. */
+/* Whether the home is down or has missed its ticks. */
+bool rig_home_unresponsive(const struct rig *r, unsigned home);
+/* The primary of the highest term. */
 unsigned rig_primary(struct rig *r);
-/* A configuration as the rig's, for group_reconfigure(). */
+/* The rig's configuration, for group_reconfigure(). */
 struct database_conf *rig_conf(struct rig *r);
 
-/* A call that is not sent yet; its key is "k<trip>", its caller "van". */
+/* Creates a call without sending it; its key is "k<trip>", its caller "van". */
 struct rig_call *rig_call(struct rig *r, unsigned home, enum access access,
 			  uint64_t trip);
+/* Adds a statement with one parameter. */
 void rig_add(struct rig_call *c, const char *sql, int64_t param);
 void rig_send(struct rig_call *c);
-/* Stores the trip; reads all trips with data of at most this age. */
+/* Sends a write that stores the trip. */
 struct rig_call *rig_write(struct rig *r, unsigned home, uint64_t trip);
+/* Sends a read of all trips, with data of at most this age. */
 struct rig_call *rig_read(struct rig *r, unsigned home, uint64_t max_age_us,
 			  struct position seen);
+/* Whether the call's results contain the trip. */
 bool rig_sees(const struct rig_call *c, uint64_t trip);
 
 #endif
--- a/packages/core/tests/support_history.c
+++ b/packages/core/tests/support_history.c
@@ -9,37 +9,38 @@
 #define N_SERVERS 3
 #define N_HOMES 2
 #define DEADLINE_US (2 * USEC_PER_SEC)
-/* The entry takes a home for dead after this, and asks the next one. */
-#define SILENT_US (400 * USEC_PER_MSEC)
-#define SETTLE_DOWN_US (6 * USEC_PER_SEC)
+/* The entry resends to the other home after this time without an answer. */
+#define HOME_TIMEOUT_US (400 * USEC_PER_MSEC)
+/* Run time after healing, longer than DEADLINE_US so that all is answered. */
+#define RECOVERY_US (6 * USEC_PER_SEC)
 #define STEP_US (1 * USEC_PER_MSEC)
 
-enum op_kind { OP_WRITE, OP_READ, OP_BEGIN, OP_WITHIN, OP_COMMIT };
+enum op_kind { OP_WRITE, OP_READ, OP_BEGIN, OP_IN_TRANSACTION, OP_COMMIT };
 
 struct op {
 	enum op_kind kind;
 	uint64_t trip;
 	uint64_t max_age_us;
-	uint64_t sent_us;
-	uint64_t deadline_us;
-	uint64_t done_us; /* when it was answered, 0: not yet */
+	uint64_t sent_at_us;
+	uint64_t deadline_at_us;
+	uint64_t done_at_us; /* when it was answered, 0: not yet */
 	enum outcome outcome;
-	struct rig_call *call; /* the attempt that counts */
-	unsigned home_lives;
+	struct rig_call *call; /* the latest attempt, the only one watched */
+	unsigned home_incarnation; /* the home's incarnation when it was sent */
 	bool resent;
 };
 
 struct caller_session {
-	struct position seen;
-	GArray *written; /* trips that it was told are done */
-	struct op *op;
-	uint64_t next_us;
-	char *transaction;
+	struct position seen; /* session token: the newest position seen */
+	GArray *written; /* trips of its writes that were acknowledged */
+	struct op *op; /* in progress, NULL: none */
+	uint64_t next_op_at_us; /* when the next operation starts */
+	char *transaction; /* id of the open transaction, NULL: none */
 	unsigned home; /* of the transaction */
-	uint64_t txn_trip;
-	bool txn_written;
-	uint64_t again_trip; /* was told as unknown: sent again, 0: none */
-	unsigned again_home;
+	uint64_t txn_trip; /* that the transaction may write */
+	bool txn_written; /* it has been written in the transaction */
+	uint64_t retry_trip; /* answered unknown, to be resent; 0: none */
+	unsigned retry_home; /* to which it is resent */
 };
 
 struct history_run {
@@ -47,12 +48,13 @@
 	GRand *rng;
 	struct caller_session sessions[N_SESSIONS];
 	GPtrArray *ops; /* owned */
-	uint64_t trips;
-	uint64_t fault_us;
-	bool faults;
-	unsigned lives[N_HOMES];
+	uint64_t last_trip; /* the last trip number given */
+	uint64_t next_fault_at_us; /* when the next fault is injected */
+	bool faults; /* faults are injected and operations started */
+	unsigned incarnations[N_HOMES]; /* number of crashes, by home */
 	history_guards_fn guards;
-	char violation[200];
+	char violation[200]; /* the first violated guarantee, "": none */
+	/* Counts of operations. */
 	unsigned done, not_run, unknown, rolled_back, reads, commits;
 	unsigned resends, lost_history, repeated;
 };
@@ -136,7 +138,7 @@
 	return sim_now(rig_sim(h->rig));
 }
 
-/* Sends the operation, or sends it again, to a home. */
+/* Sends or resends the operation to a home. */
 static void send_op(struct history_run *h, struct caller_session *s,
 		    struct op *op, unsigned home)
 {
@@ -150,7 +152,7 @@
 		rig_add(c, "READ", 0);
 		break;
 	case OP_WRITE:
-	case OP_WITHIN:
+	case OP_IN_TRANSACTION:
 		rig_add(c, "WRITE $1", (int64_t)op->trip);
 		break;
 	case OP_BEGIN:
@@ -159,19 +161,19 @@
 	}
 	if (op->kind == OP_BEGIN)
 		r->kind = REQUEST_BEGIN;
-	else if (op->kind == OP_WITHIN)
+	else if (op->kind == OP_IN_TRANSACTION)
 		r->kind = REQUEST_IN_TRANSACTION;
 	else if (op->kind == OP_COMMIT)
 		r->kind = REQUEST_COMMIT;
-	if (op->kind == OP_WITHIN || op->kind == OP_COMMIT)
+	if (op->kind == OP_IN_TRANSACTION || op->kind == OP_COMMIT)
 		r->transaction =
 			request_keep(r, s->transaction, strlen(s->transaction));
 	c->profile.max_age_us = op->max_age_us;
 	r->seen = s->seen;
 	r->resend = op->resent;
-	r->deadline_left_us = op->deadline_us - now(h);
+	r->deadline_left_us = op->deadline_at_us - now(h);
 	op->call = c;
-	op->home_lives = h->lives[home];
+	op->home_incarnation = h->incarnations[home];
 	rig_send(c);
 }
 
@@ -183,15 +185,15 @@
 	struct op *op = g_new0(struct op, 1);
 
 	op->kind = kind;
-	op->sent_us = now(h);
-	op->deadline_us = op->sent_us + DEADLINE_US;
+	op->sent_at_us = now(h);
+	op->deadline_at_us = op->sent_at_us + DEADLINE_US;
 	if (kind == OP_READ)
 		op->max_age_us = ages[pick(h, G_N_ELEMENTS(ages))];
-	else if (kind == OP_WRITE && s->again_trip)
-		op->trip = s->again_trip;
+	else if (kind == OP_WRITE && s->retry_trip)
+		op->trip = s->retry_trip;
 	else if (kind == OP_WRITE || kind == OP_BEGIN)
-		op->trip = ++h->trips;
-	else if (kind == OP_WITHIN || s->txn_written)
+		op->trip = ++h->last_trip;
+	else if (kind == OP_IN_TRANSACTION || s->txn_written)
 		op->trip = s->txn_trip;
 	g_ptr_array_add(h->ops, op);
 	s->op = op;
@@ -201,32 +203,37 @@
 static void next_op(struct history_run *h, struct caller_session *s)
 {
 	unsigned home = pick(h, 4) ? 0 : 1;
-	unsigned dice = pick(h, 20);
+	unsigned roll = pick(h, 20);
 
 	if (s->transaction) {
 		begin_op(h, s,
-			 !s->txn_written && dice < 14 ? OP_WITHIN : OP_COMMIT,
+			 !s->txn_written && roll < 14 ? OP_IN_TRANSACTION :
+							OP_COMMIT,
 			 s->home);
 		return;
 	}
-	if (s->again_trip)
-		begin_op(h, s, OP_WRITE, s->again_home);
-	else if (dice < 10)
+	if (s->retry_trip)
+		begin_op(h, s, OP_WRITE, s->retry_home);
+	else if (roll < 10)
 		begin_op(h, s, OP_WRITE, home);
-	else if (dice < 18)
+	else if (roll < 18)
 		begin_op(h, s, OP_READ, home);
 	else
 		begin_op(h, s, OP_BEGIN, home);
 	s->home = home;
-	s->again_trip = 0;
+	s->retry_trip = 0;
 }
 
-/* What was acknowledged long enough ago must be in what a read returned. */
+/*
+ * A read must return the session's own acknowledged trips, and every trip that
+ * was acknowledged more than the read's maximum age before it was sent.
+ */
 static void check_read(struct history_run *h, const struct caller_session *s,
 		       const struct op *op)
 {
-	uint64_t since_us =
-		op->sent_us > op->max_age_us ? op->sent_us - op->max_age_us : 0;
+	uint64_t fresh_from_at_us = op->sent_at_us > op->max_age_us ?
+					    op->sent_at_us - op->max_age_us :
+					    0;
 	guint i;
 
 	for (i = 0; i < s->written->len; i++) {
@@ -240,24 +247,25 @@
 		const struct op *w = g_ptr_array_index(h->ops, i);
 
 		if ((w->kind != OP_WRITE && w->kind != OP_COMMIT) ||
-		    !w->done_us || w->outcome != OUTCOME_DONE ||
-		    w->done_us >= since_us || !w->trip)
+		    !w->done_at_us || w->outcome != OUTCOME_DONE ||
+		    w->done_at_us >= fresh_from_at_us || !w->trip)
 			continue;
 		if (!rig_sees(op->call, w->trip))
 			violate(h,
 				"trip %" PRIu64 " of %" PRIu64
 				" not read from %s at %" PRIu64
 				", max age %" PRIu64,
-				w->trip, w->done_us, op->call->server,
-				op->sent_us, op->max_age_us);
+				w->trip, w->done_at_us, op->call->server,
+				op->sent_at_us, op->max_age_us);
 	}
 }
 
 /*
- * A lost session history: the caller begins a new session, without a token, so
- * that it may read data of the profile's age, from before its own writes.
+ * After ERR_LOST_HISTORY the caller starts a new session without a token. Its
+ * reads may then return data as old as the profile allows, without the writes
+ * of the old session.
  */
-static void forget_session(struct history_run *h, struct caller_session *s)
+static void reset_session(struct history_run *h, struct caller_session *s)
 {
 	h->lost_history++;
 	s->seen = (struct position){ 0, 0 };
@@ -305,7 +313,7 @@
 	} else if (op->kind == OP_WRITE || op->kind == OP_COMMIT) {
 		if (op->trip)
 			g_array_append_val(s->written, op->trip);
-	} else if (op->kind == OP_WITHIN) {
+	} else if (op->kind == OP_IN_TRANSACTION) {
 		s->txn_written = true;
 	} else if (op->kind == OP_BEGIN) {
 		s->transaction = g_strdup(c->transaction);
@@ -314,14 +322,17 @@
 	}
 }
 
-/* The caller asks the same home again, under the same key. */
-static void send_again(struct history_run *h, struct caller_session *s,
-		       struct op *op)
+/*
+ * Makes the caller's next operation repeat the write with the same key at the
+ * same home, unless that home has crashed since.
+ */
+static void schedule_retry(struct history_run *h, struct caller_session *s,
+			   struct op *op)
 {
-	if (op->home_lives != h->lives[op->call->home])
+	if (op->home_incarnation != h->incarnations[op->call->home])
 		return;
-	s->again_trip = op->trip;
-	s->again_home = op->call->home;
+	s->retry_trip = op->trip;
+	s->retry_home = op->call->home;
 	op->trip = 0;
 }
 
@@ -330,48 +341,53 @@
 {
 	struct op *op = s->op;
 
-	op->done_us = now(h);
+	op->done_at_us = now(h);
 	op->outcome = outcome;
 	s->op = NULL;
-	s->next_us = now(h) + 2000 + pick(h, 20000);
+	s->next_op_at_us = now(h) + 2000 + pick(h, 20000);
 	count(h, op);
 	if (op->kind == OP_WRITE && op->call->answers &&
 	    outcome == OUTCOME_UNKNOWN)
-		send_again(h, s, op);
+		schedule_retry(h, s, op);
 	if (outcome == OUTCOME_DONE)
 		on_done(h, s, op);
 	else if (op->call->code == ERR_LOST_HISTORY)
-		forget_session(h, s);
+		reset_session(h, s);
 	if (op->kind == OP_COMMIT ||
-	    (op->kind == OP_WITHIN && outcome != OUTCOME_DONE))
+	    (op->kind == OP_IN_TRANSACTION && outcome != OUTCOME_DONE))
 		end_transaction(s);
-	if (op->kind == OP_WITHIN || op->kind == OP_BEGIN)
+	if (op->kind == OP_IN_TRANSACTION || op->kind == OP_BEGIN)
 		op->trip = 0;
 }
 
-/* The entry's side: late answers are dropped, silent homes are left. */
+/*
+ * Acts as the entry: ends an operation at its deadline, ignoring later answers,
+ * and resends it to the other home if its home is unresponsive or restarted.
+ * Operations in a transaction are not resent.
+ */
 static void watch_op(struct history_run *h, struct caller_session *s)
 {
 	struct op *op = s->op;
 	struct rig_call *c = op->call;
-	bool within = op->kind == OP_WITHIN || op->kind == OP_COMMIT;
+	bool in_transaction = op->kind == OP_IN_TRANSACTION ||
+			      op->kind == OP_COMMIT;
 	bool write = op->kind == OP_WRITE || op->kind == OP_COMMIT;
 
 	if (c->answers) {
 		end_op(h, s, c->outcome);
 		return;
 	}
-	if (now(h) >= op->deadline_us + 50 * USEC_PER_MSEC) {
+	if (now(h) >= op->deadline_at_us + 50 * USEC_PER_MSEC) {
 		end_op(h, s, write ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
 		return;
 	}
-	if (now(h) < c->sent_us + SILENT_US ||
-	    now(h) + 10000 >= op->deadline_us)
+	if (now(h) < c->sent_us + HOME_TIMEOUT_US ||
+	    now(h) + 10000 >= op->deadline_at_us)
 		return;
-	if (!rig_home_silent(h->rig, c->home) &&
-	    op->home_lives == h->lives[c->home])
+	if (!rig_home_unresponsive(h->rig, c->home) &&
+	    op->home_incarnation == h->incarnations[c->home])
 		return;
-	if (within) {
+	if (in_transaction) {
 		end_op(h, s, write ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
 		return;
 	}
@@ -389,7 +405,7 @@
 
 		if (s->op)
 			watch_op(h, s);
-		else if (h->faults && now(h) >= s->next_us)
+		else if (h->faults && now(h) >= s->next_op_at_us)
 			next_op(h, s);
 	}
 }
@@ -397,7 +413,7 @@
 static void crash_home(struct history_run *h, unsigned home)
 {
 	rig_crash_home(h->rig, home);
-	h->lives[home]++;
+	h->incarnations[home]++;
 }
 
 static void restart_home(struct history_run *h, unsigned home)
@@ -435,7 +451,7 @@
 		restart_home(h, i);
 }
 
-static void inject(struct history_run *h)
+static void inject_fault(struct history_run *h)
 {
 	struct rig *r = h->rig;
 	struct sim *sim = rig_sim(r);
@@ -483,10 +499,10 @@
 
 static void drive_faults(struct history_run *h)
 {
-	if (!h->faults || now(h) < h->fault_us)
+	if (!h->faults || now(h) < h->next_fault_at_us)
 		return;
-	inject(h);
-	h->fault_us = now(h) + 50 * USEC_PER_MSEC + pick(h, 900000);
+	inject_fault(h);
+	h->next_fault_at_us = now(h) + 50 * USEC_PER_MSEC + pick(h, 900000);
 }
 
 static void step(struct history_run *h)
@@ -498,13 +514,13 @@
 
 static void run_for(struct history_run *h, uint64_t duration_us)
 {
-	uint64_t end_us = now(h) + duration_us;
+	uint64_t end_at_us = now(h) + duration_us;
 
-	while (now(h) < end_us && !h->violation[0])
+	while (now(h) < end_at_us && !h->violation[0])
 		step(h);
 }
 
-/* The truth at the end: the log of the last primary. */
+/* Checks the answers to writes against the log of the last primary. */
 static void check_end(struct history_run *h)
 {
 	unsigned primary = rig_primary(h->rig);
@@ -515,11 +531,11 @@
 		unsigned n;
 
 		if ((op->kind != OP_WRITE && op->kind != OP_COMMIT) ||
-		    !op->trip || !op->done_us)
+		    !op->trip || !op->done_at_us)
 			continue;
 		n = fake_count_trip(rig_sql(h->rig), primary, op->trip);
 		if (n > 1)
-			violate(h, "trip %" PRIu64 " stands %u times", op->trip,
+			violate(h, "trip %" PRIu64 " stored %u times", op->trip,
 				n);
 		else if (op->outcome == OUTCOME_DONE && !n)
 			violate(h, "acknowledged trip %" PRIu64 " is lost",
@@ -528,15 +544,15 @@
 			 op->outcome != OUTCOME_UNKNOWN && n)
 			violate(h,
 				"trip %" PRIu64
-				" stands although told not run: %u",
+				" stored although reported as not run: %u",
 				op->trip, op->call->code);
 	}
 }
 
-/* After all faults ended, writes are possible again. */
+/* Once all faults have ended, writes must succeed again. */
 static void check_recovered(struct history_run *h)
 {
-	struct rig_call *c = rig_write(h->rig, 0, ++h->trips);
+	struct rig_call *c = rig_write(h->rig, 0, ++h->last_trip);
 
 	if (!rig_wait(h->rig, c, 10 * USEC_PER_SEC))
 		violate(h, "the last write has no answer");
@@ -547,11 +563,11 @@
 const char *history_run_check(struct history_run *h, unsigned seconds)
 {
 	run_for(h, 500 * USEC_PER_MSEC);
-	h->fault_us = now(h);
+	h->next_fault_at_us = now(h);
 	run_for(h, seconds * USEC_PER_SEC);
 	h->faults = false;
 	heal_all(h);
-	run_for(h, SETTLE_DOWN_US);
+	run_for(h, RECOVERY_US);
 	if (!h->violation[0])
 		check_recovered(h);
 	if (!h->violation[0])
