--- a/packages/core/tests/test_failover.c
+++ b/packages/core/tests/test_failover.c
@@ -8,7 +8,7 @@
 #define MS USEC_PER_MSEC
 #define WARM_UP_US (2 * USEC_PER_SEC)
 
-static struct cluster *start(const struct cluster_settings *settings)
+static struct cluster *start_cluster(const struct cluster_settings *settings)
 {
 	struct cluster *c = cluster_create(1, settings);
 
@@ -16,16 +16,16 @@
 	return c;
 }
 
-static struct cluster *start_default(unsigned homes)
+static struct cluster *start_default_cluster(unsigned homes)
 {
 	struct cluster_settings settings;
 
 	cluster_settings_default(&settings);
 	settings.n_homes = homes;
-	return start(&settings);
+	return start_cluster(&settings);
 }
 
-static void end(struct cluster *c)
+static void heal_and_check(struct cluster *c)
 {
 	cluster_heal(c);
 	cluster_run_for(c, 2 * USEC_PER_SEC);
@@ -46,8 +46,8 @@
 }
 
 /*
- * All servers start as replicas after a power cut. Nobody orders a promotion,
- * so writes would be refused for good.
+ * After a power failure all servers start as replicas. Unless a home promotes
+ * one by itself, all writes are refused until an operator does.
  */
 START_TEST(test_group_without_primary_gets_one)
 {
@@ -59,36 +59,38 @@
 	cluster_run_for(c, 1 * USEC_PER_SEC);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 1);
 	ck_assert_uint_gt(cluster_counts(c)->acknowledged, 0);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * A primary dies, by night. A dead process (0) refuses connections, a dead
- * host (1) is silent; both are replaced, the first one sooner.
+ * The primary fails and must be replaced without an operator. If only its
+ * process ended (case 0), the host refuses connections; if the host is down
+ * (case 1), it does not answer at all. A refusal is detected sooner.
  */
 START_TEST(test_dead_primary_is_replaced)
 {
-	struct cluster *c = start_default(2);
-	uint64_t acked_us;
+	struct cluster *c = start_default_cluster(2);
+	uint64_t last_ack_at_us;
 
 	cluster_crash_server(c, 0, _i == 1);
 	cluster_run_for(c, _i == 1 ? 900 * MS : 800 * MS);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 2);
 	ck_assert_uint_eq(cluster_primary(c), 1);
-	acked_us = cluster_last_ack_at_us(c);
-	ck_assert_uint_gt(acked_us, sim_now(cluster_sim(c)) - 200 * MS);
-	end(c);
+	last_ack_at_us = cluster_last_ack_at_us(c);
+	ck_assert_uint_gt(last_ack_at_us, sim_now(cluster_sim(c)) - 200 * MS);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * The old primary comes back an hour later and still believes that it leads;
- * its log has writes that nobody acknowledged. It must follow, without them.
+ * An isolated primary returns after another server was promoted. It still acts
+ * as primary, and its log has entries that were never acknowledged. It must
+ * remove them and follow the new primary.
  */
 START_TEST(test_old_primary_follows_when_it_returns)
 {
-	struct cluster *c = start_default(2);
+	struct cluster *c = start_default_cluster(2);
 
 	sim_isolate(cluster_sim(c), 0, true);
 	cluster_run_for(c, 1500 * MS);
@@ -100,56 +102,59 @@
 	cluster_run_for(c, 500 * MS);
 	ck_assert(follows(c, 0, 1));
 	ck_assert(follows(c, 2, 1));
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * A switch drops what the primary sends to its replicas, while the proxies
- * still reach it: every write hangs until its deadline. The replicas have a
- * majority without it, and the log that only it has was never acknowledged.
+ * The network drops the primary's messages to its replicas, while the proxies
+ * still reach it: every write waits for its majority until its deadline. The
+ * primary can be replaced safely, as the replicas are a majority without it and
+ * the entries that only it has were never acknowledged.
  */
 START_TEST(test_primary_that_reaches_no_replica_is_replaced)
 {
-	struct cluster *c = start_default(2);
+	struct cluster *c = start_default_cluster(2);
 
 	sim_block(cluster_sim(c), 0, 1, true);
 	sim_block(cluster_sim(c), 0, 2, true);
 	cluster_run_for(c, 1500 * MS);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 2);
 	ck_assert_uint_ne(cluster_primary(c), 0);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * The first home dies after the servers granted it a term, before it promoted
- * one. They take no log any more; the second home must finish the change.
+ * The first home is cut off after the servers granted it a term and before it
+ * promoted one. The grants fence them, so that they receive no log entries; the
+ * second home must complete the failover.
  */
-static void crash_home_at_promote(void *ctx, unsigned home, const char *what,
-				  const char *detail)
+static void isolate_home_at_promote(void *ctx, unsigned home, const char *what,
+				    const char *detail)
 {
 	(void)detail;
 	if (home == 0 && !strcmp(what, "promote"))
 		sim_isolate(cluster_sim(ctx), cluster_node(ctx, 0), true);
 }
 
-START_TEST(test_next_home_finishes_a_left_ballot)
+START_TEST(test_next_home_completes_an_abandoned_ballot)
 {
-	struct cluster *c = start_default(2);
+	struct cluster *c = start_default_cluster(2);
 
-	cluster_set_decision(c, crash_home_at_promote, c);
+	cluster_set_decision(c, isolate_home_at_promote, c);
 	cluster_crash_server(c, 0, true);
 	cluster_run_for(c, 2 * USEC_PER_SEC);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 2);
 	ck_assert_int_ge(failover_primary(cluster_failover(c, 1)), 1);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * The target took over, but its answer is lost. A second server promoted in
- * the same term would make two primaries; the next try takes a new term.
+ * The target was promoted, but its answer is lost. Promoting a second server in
+ * the same term would make two primaries of one term, so the next attempt must
+ * take a new term.
  */
 static void lose_promote_answer(void *ctx, unsigned home, const char *what,
 				const char *detail)
@@ -166,23 +171,23 @@
 
 START_TEST(test_lost_answer_to_promotion_takes_new_term)
 {
-	struct cluster *c = start_default(1);
+	struct cluster *c = start_default_cluster(1);
 
 	cluster_set_decision(c, lose_promote_answer, c);
 	cluster_crash_server(c, 0, true);
 	cluster_run_for(c, 2 * USEC_PER_SEC);
 	ck_assert_uint_eq(failover_term(cluster_failover(c, 0)), 3);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * An operator moves the primary for maintenance. No caller's write may fail
- * for it, and none waits for long.
+ * An operator moves the primary for maintenance. This must fail no caller's
+ * write, and hold writes back for less than 300 ms.
  */
 START_TEST(test_planned_move_fails_no_write)
 {
-	struct cluster *c = start_default(1);
+	struct cluster *c = start_default_cluster(1);
 	struct err err = { 0 };
 	uint64_t now_us = sim_now(cluster_sim(c));
 
@@ -193,15 +198,16 @@
 	ck_assert_uint_eq(cluster_primary(c), 2);
 	ck_assert_uint_eq(cluster_counts(c)->not_run, 0);
 	ck_assert_uint_lt(cluster_longest_hold_us(c), 300 * MS);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * An operator asks a home that has just started and has not found the primary
- * yet. He must not be told that another change is running: none is.
+ * An operator requests a move from a home that has just started and has not
+ * found the primary yet. The error must be ERR_NO_PRIMARY, not that another
+ * move is in progress.
  */
-START_TEST(test_move_before_primary_is_found_is_told_so)
+START_TEST(test_move_before_primary_is_found_fails_with_no_primary)
 {
 	struct cluster_settings settings;
 	struct err err = { 0 };
@@ -217,17 +223,17 @@
 				sim_now(cluster_sim(c)), &err));
 	cluster_run_for(c, 1 * USEC_PER_SEC);
 	ck_assert_uint_eq(cluster_primary(c), 2);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * The target stops receiving just then. The move must be given up, with the
- * writes released and the old primary as before.
+ * The target of a move receives no log entries. The move must be abandoned,
+ * with the writes released and the old primary unchanged.
  */
-START_TEST(test_move_to_stuck_target_is_given_up)
+START_TEST(test_move_to_stalled_target_is_abandoned)
 {
-	struct cluster *c = start_default(1);
+	struct cluster *c = start_default_cluster(1);
 	struct err err = { 0 };
 
 	sim_block(cluster_sim(c), 0, 2, true);
@@ -239,29 +245,30 @@
 	ck_assert_uint_eq(cluster_counts(c)->grants, 0);
 	ck_assert_uint_lt(cluster_longest_hold_us(c), 300 * MS);
 	ck_assert_uint_eq(cluster_counts(c)->not_run, 0);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
-/* The platform takes the primary's VM away: writes move off it in time. */
+/* The platform is about to stop the primary's VM: the primary must move. */
 START_TEST(test_leaving_primary_hands_over)
 {
-	struct cluster *c = start_default(2);
+	struct cluster *c = start_default_cluster(2);
 
 	fdb_set_leaving(cluster_db(c), 0, true);
 	cluster_run_for(c, 1 * USEC_PER_SEC);
 	ck_assert_uint_ne(cluster_primary(c), 0);
 	ck_assert_uint_eq(cluster_counts(c)->promotions, 2);
-	end(c);
+	heal_and_check(c);
 }
 END_TEST
 
 /*
- * What must not cause a promotion: each case runs with its guard on, then off,
- * and counts promotions (grants where it says so) beyond the first primary.
+ * Events that must not cause a failover. Each case returns the number of
+ * unneeded promotions (grants in home_cut_off and home_starved). With its guard
+ * on that must be 0; with the guard off it must not, or the case tests nothing.
  */
 
-/* The primary pauses for 300 ms while packets get lost, again and again. */
+/* The primary repeatedly pauses for 300 ms, with packet loss. */
 static unsigned pauses_under_loss(bool guarded)
 {
 	struct cluster_settings settings;
@@ -272,12 +279,12 @@
 	cluster_settings_default(&settings);
 	settings.network.loss = 0.01;
 	settings.network.retransmit_us = 200 * MS;
-	c = start(&settings);
+	c = start_cluster(&settings);
 	for (i = 0; guarded && i < 100; i++) {
 		sim_pause(cluster_sim(c), 0, 300 * MS);
 		cluster_run_for(c, 2 * USEC_PER_SEC);
 	}
-	/* Off: a pause that is too long to wait for. */
+	/* No guard to switch off here; a long pause must cause a failover. */
 	if (!guarded) {
 		sim_pause(cluster_sim(c), 0, 1500 * MS);
 		cluster_run_for(c, 2 * USEC_PER_SEC);
@@ -287,8 +294,12 @@
 	return n;
 }
 
-/* One connection goes silent for good, with long timeouts; new ones work. */
-static unsigned one_lost_probe(bool guarded)
+/*
+ * One connection goes silent for good while new ones work: calls sent within
+ * 150 ms are lost, with a call timeout of 800 ms. So few unanswered probes must
+ * not make the primary suspect.
+ */
+static unsigned silent_connection(bool guarded)
 {
 	struct cluster_settings settings;
 	struct cluster *c;
@@ -298,7 +309,7 @@
 	settings.failover.call_timeout_us = 800 * MS;
 	settings.write_interval_us = 0;
 	settings.n_homes = 1;
-	c = start(&settings);
+	c = start_cluster(&settings);
 	failover_guards(cluster_failover(c, 0))->min_probes = guarded;
 	sim_block(cluster_sim(c), cluster_node(c, 0), 0, true);
 	cluster_run_for(c, 150 * MS);
@@ -309,10 +320,13 @@
 	return n;
 }
 
-/* Only the first home's link to the primary is down, for a second. */
+/*
+ * Only the first home's link to the primary is down, for 1 s. The replicas
+ * still hear the primary.
+ */
 static unsigned own_link_down(bool guarded)
 {
-	struct cluster *c = start_default(2);
+	struct cluster *c = start_default_cluster(2);
 	unsigned n;
 
 	failover_guards(cluster_failover(c, 0))->progress = guarded;
@@ -325,10 +339,13 @@
 	return n;
 }
 
-/* The home reaches one replica only; its grant would fence that one. */
+/*
+ * The home reaches only one replica, so that its ballot cannot win. A grant
+ * would only fence that replica.
+ */
 static unsigned home_cut_off(bool guarded)
 {
-	struct cluster *c = start_default(1);
+	struct cluster *c = start_default_cluster(1);
 	unsigned n;
 
 	failover_guards(cluster_failover(c, 0))->reachable = guarded;
@@ -348,7 +365,10 @@
 		sim_pause(cluster_sim(ctx), 1, 150 * MS);
 }
 
-/* The target of the first home's ballot takes its time; the next home waits. */
+/*
+ * The target of the first home's ballot pauses for 150 ms. The second home must
+ * give that ballot time to end instead of starting its own.
+ */
 static unsigned slow_ballot(bool guarded)
 {
 	struct cluster_settings settings;
@@ -358,7 +378,7 @@
 	cluster_settings_default(&settings);
 	settings.failover.rank_delay_us = 120 * MS;
 	settings.failover.call_timeout_us = 200 * MS;
-	c = start(&settings);
+	c = start_cluster(&settings);
 	failover_guards(cluster_failover(c, 1))->foreign_ballot = guarded;
 	cluster_set_decision(c, pause_target, c);
 	cluster_crash_server(c, 0, true);
@@ -368,10 +388,13 @@
 	return n;
 }
 
-/* Every server in turn is marked leaving and back, twice a second. */
-static unsigned flapping_mark(bool guarded)
+/*
+ * Each primary in turn is marked as leaving for 500 ms and then unmarked for
+ * 600 ms. Promotions by choice must keep their minimum interval.
+ */
+static unsigned flapping_leaving_flag(bool guarded)
 {
-	struct cluster *c = start_default(1);
+	struct cluster *c = start_default_cluster(1);
 	unsigned i, n;
 
 	failover_guards(cluster_failover(c, 0))->damping = guarded;
@@ -387,7 +410,7 @@
 	return n;
 }
 
-static unsigned grants_asked;
+static unsigned grants_requested;
 
 static void count_grant(void *ctx, unsigned server, uint64_t term,
 			const char *holder)
@@ -396,7 +419,7 @@
 	(void)server;
 	(void)term;
 	(void)holder;
-	grants_asked++;
+	grants_requested++;
 }
 
 static void ignore_probe(void *ctx, unsigned server)
@@ -422,9 +445,9 @@
 }
 
 /*
- * The home's VM gets the processor for a moment only every 250 ms: each probe
- * times out before its answer is read, of all servers alike. The guard must do
- * also where the one for reachable servers is off.
+ * The home's VM gets CPU time only for a moment every 250 ms, so that the
+ * probes of all servers time out before their answers are read. The guard must
+ * be enough even with the guard for reachable servers off.
  */
 static unsigned home_starved(bool guarded)
 {
@@ -441,7 +464,7 @@
 	uint64_t now_us = USEC_PER_SEC;
 	unsigned i;
 
-	grants_asked = 0;
+	grants_requested = 0;
 	failover_settings_default(&settings);
 	f = failover_create(&settings, 3, "proxy-1/1", &ops, NULL, rng, now_us);
 	failover_guards(f)->reachable = false;
@@ -456,28 +479,30 @@
 	}
 	failover_destroy(f);
 	g_rand_free(rng);
-	return grants_asked;
+	return grants_requested;
 }
 
 static const struct {
 	const char *name;
 	unsigned (*run)(bool guarded);
-} quiet_cases[] = {
+} no_failover_cases[] = {
 	{ "pauses_under_loss", pauses_under_loss },
-	{ "min_probes", one_lost_probe },
+	{ "min_probes", silent_connection },
 	{ "progress", own_link_down },
 	{ "reachable", home_cut_off },
 	{ "foreign_ballot", slow_ballot },
-	{ "damping", flapping_mark },
+	{ "damping", flapping_leaving_flag },
 	{ "own_pause", home_starved },
 };
 
-START_TEST(test_no_promotion_without_need)
+START_TEST(test_no_unneeded_failover)
 {
-	ck_assert_msg(quiet_cases[_i].run(true) == 0, "%s: not quiet",
-		      quiet_cases[_i].name);
-	ck_assert_msg(quiet_cases[_i].run(false) > 0, "%s: tests nothing",
-		      quiet_cases[_i].name);
+	ck_assert_msg(no_failover_cases[_i].run(true) == 0,
+		      "%s: unneeded promotion or grant",
+		      no_failover_cases[_i].name);
+	ck_assert_msg(no_failover_cases[_i].run(false) > 0,
+		      "%s: no promotion or grant with the guard off either",
+		      no_failover_cases[_i].name);
 }
 END_TEST
 
@@ -489,13 +514,14 @@
 	tcase_add_loop_test(tc, test_dead_primary_is_replaced, 0, 2);
 	tcase_add_test(tc, test_old_primary_follows_when_it_returns);
 	tcase_add_test(tc, test_primary_that_reaches_no_replica_is_replaced);
-	tcase_add_test(tc, test_next_home_finishes_a_left_ballot);
+	tcase_add_test(tc, test_next_home_completes_an_abandoned_ballot);
 	tcase_add_test(tc, test_lost_answer_to_promotion_takes_new_term);
 	tcase_add_test(tc, test_planned_move_fails_no_write);
-	tcase_add_test(tc, test_move_before_primary_is_found_is_told_so);
-	tcase_add_test(tc, test_move_to_stuck_target_is_given_up);
+	tcase_add_test(tc,
+		       test_move_before_primary_is_found_fails_with_no_primary);
+	tcase_add_test(tc, test_move_to_stalled_target_is_abandoned);
 	tcase_add_test(tc, test_leaving_primary_hands_over);
-	tcase_add_loop_test(tc, test_no_promotion_without_need, 0,
-			    G_N_ELEMENTS(quiet_cases));
+	tcase_add_loop_test(tc, test_no_unneeded_failover, 0,
+			    G_N_ELEMENTS(no_failover_cases));
 	return suite_main("failover", tc);
 }
--- a/packages/core/tests/test_failover_group.c
+++ b/packages/core/tests/test_failover_group.c
@@ -1,8 +1,8 @@
 /*
- * The seeded histories of the real group (reads, writes, long transactions,
- * two homes) with faults aimed at the steps of its failover, and with homes in
- * such haste that they get in each other's way. Then each of failover's rules
- * is switched off in turn, and the same checks must notice.
+ * Seeded histories of struct group (reads, writes, long transactions, two
+ * homes) with faults injected during the steps of its failover, and with
+ * timeouts so short that the homes interfere with each other. Then each of
+ * failover's rules is switched off in turn, and the same checks must fail.
  *
  * CQ_GROUP_HISTORIES sets the number of seeds, CQ_FIRST_SEED the first one.
  */
@@ -15,36 +15,38 @@
 
 #define HISTORIES 20
 #define MUTANT_HISTORIES 60
-#define SECONDS 10
-#define LOOK_US 250
+#define HISTORY_SECONDS 10 /* of each history, with faults */
+#define POLL_US 250 /* interval at which the homes' failover is polled */
 #define HOMES 2
 #define SERVERS 3
-#define MAX_TERMS 4096
-#define MOVE_EVERY_US (150 * USEC_PER_MSEC)
+#define MAX_TERMS 4096 /* two primaries of a later term are not detected */
+#define MOVE_INTERVAL_US (150 * USEC_PER_MSEC)
 
 typedef void (*mutate_fn)(struct failover_guards *guards);
 
-struct aim {
+/* A history with faults aimed at the steps of the failover. */
+struct aimed_history {
 	struct rig *rig;
 	GRand *rng;
-	mutate_fn mutate;
-	bool hasty;
-	bool moves;
-	uint64_t until_us;
-	const struct failover *seen[HOMES];
-	enum failover_phase was[HOMES];
-	int leader[MAX_TERMS]; /* server + 1, by term */
-	char violation[100];
+	mutate_fn mutate; /* switches a rule off, NULL: none */
+	bool short_timeouts; /* the homes have short timeouts */
+	bool moves; /* planned moves are requested */
+	uint64_t until_us; /* end of the aimed faults and moves */
+	/* The homes' failovers and their phases at the last poll. */
+	const struct failover *last_failover[HOMES];
+	enum failover_phase last_phase[HOMES];
+	int leader[MAX_TERMS]; /* server + 1, by term; 0: no primary */
+	char violation[100]; /* the last term with two primaries, "": none */
 };
 
-static unsigned pick(struct aim *a, unsigned n)
+static unsigned pick(struct aimed_history *a, unsigned n)
 {
 	return (unsigned)g_rand_int_range(a->rng, 0, (gint32)n);
 }
 
 static void on_promoted(void *ctx, unsigned server, uint64_t term)
 {
-	struct aim *a = ctx;
+	struct aimed_history *a = ctx;
 
 	if (term >= MAX_TERMS)
 		return;
@@ -54,7 +56,7 @@
 	a->leader[term] = (int)server + 1;
 }
 
-static void make_hasty(struct failover *f)
+static void set_short_timeouts(struct failover *f)
 {
 	f->settings.probe_interval_us = 20 * USEC_PER_MSEC;
 	f->settings.suspect_after_us = 120 * USEC_PER_MSEC;
@@ -67,50 +69,51 @@
 	f->settings.damping_us = 50 * USEC_PER_MSEC;
 }
 
-static void prepare(struct aim *a, struct failover *f)
+static void prepare(struct aimed_history *a, struct failover *f)
 {
-	if (a->hasty)
-		make_hasty(f);
+	if (a->short_timeouts)
+		set_short_timeouts(f);
 	if (a->mutate)
 		a->mutate(&f->guards);
 }
 
-struct mend {
-	struct aim *a;
+/* A blocked link that is to be restored. */
+struct link_restore {
+	struct aimed_history *a;
 	int from;
 	int to;
 };
 
-static void mend_link(void *ctx, void *data)
+static void restore_link(void *ctx, void *data)
 {
-	struct aim *a = ctx;
-	struct mend *m = data;
+	struct aimed_history *a = ctx;
+	struct link_restore *m = data;
 
 	sim_block(rig_sim(a->rig), m->from, m->to, false);
 }
 
-static void cut_link(struct aim *a, int from, int to)
+static void block_link(struct aimed_history *a, int from, int to)
 {
 	struct sim *sim = rig_sim(a->rig);
-	struct mend m = { .a = a, .from = from, .to = to };
+	struct link_restore m = { .a = a, .from = from, .to = to };
 
 	sim_block(sim, from, to, true);
-	sim_at(sim, SIM_WORLD, (20 + pick(a, 400)) * USEC_PER_MSEC, mend_link,
-	       a, g_memdup2(&m, sizeof(m)));
+	sim_at(sim, SIM_WORLD, (20 + pick(a, 400)) * USEC_PER_MSEC,
+	       restore_link, a, g_memdup2(&m, sizeof(m)));
 }
 
-/* The replicas lose a primary one after the other. */
-static void cut_other(void *ctx, void *data)
+/* Blocks the link from a primary to its second replica. */
+static void block_second_replica(void *ctx, void *data)
 {
 	unsigned server = *(unsigned *)data;
 
-	cut_link(ctx, (int)server, (int)(server + 2) % 3);
+	block_link(ctx, (int)server, (int)(server + 2) % 3);
 }
 
-/* A fault in the middle of a ballot, where it hurts most. */
-static void hit(void *ctx, void *data)
+/* Injects a fault during a ballot of the home whose index is in data. */
+static void inject_fault(void *ctx, void *data)
 {
-	struct aim *a = ctx;
+	struct aimed_history *a = ctx;
 	struct sim *sim = rig_sim(a->rig);
 	unsigned server = pick(a, SERVERS);
 	int node = rig_node(a->rig, *(unsigned *)data);
@@ -124,28 +127,29 @@
 			  (50 + pick(a, 400)) * USEC_PER_MSEC);
 		break;
 	case 2:
-		cut_link(a, (int)server, node);
+		block_link(a, (int)server, node);
 		break;
 	case 3:
-		cut_link(a, node, (int)server);
+		block_link(a, node, (int)server);
 		break;
 	case 4:
-		cut_link(a, (int)server, (int)(server + 1 + pick(a, 2)) % 3);
+		block_link(a, (int)server, (int)(server + 1 + pick(a, 2)) % 3);
 		break;
 	case 5:
 		server = rig_primary(a->rig);
-		cut_link(a, (int)server, (int)(server + 1) % 3);
-		sim_at(sim, SIM_WORLD, pick(a, 200) * USEC_PER_MSEC, cut_other,
-		       a, g_memdup2(&server, sizeof(server)));
+		block_link(a, (int)server, (int)(server + 1) % 3);
+		sim_at(sim, SIM_WORLD, pick(a, 200) * USEC_PER_MSEC,
+		       block_second_replica, a,
+		       g_memdup2(&server, sizeof(server)));
 		break;
 	default:
 		break;
 	}
 }
 
-static void look(void *ctx, void *data)
+static void poll_failovers(void *ctx, void *data)
 {
-	struct aim *a = ctx;
+	struct aimed_history *a = ctx;
 	struct group *g;
 	struct failover *f;
 	unsigned i;
@@ -154,26 +158,27 @@
 	for (i = 0; i < HOMES; i++) {
 		g = rig_group(a->rig, i);
 		f = g ? g->failover : NULL;
-		if (f && f != a->seen[i])
+		if (f && f != a->last_failover[i])
 			prepare(a, f);
-		a->seen[i] = f;
-		if (f && f->phase != a->was[i] &&
+		a->last_failover[i] = f;
+		if (f && f->phase != a->last_phase[i] &&
 		    (f->phase == FAILOVER_GRANT ||
 		     f->phase == FAILOVER_PROMOTE) &&
 		    pick(a, 2))
-			sim_at(rig_sim(a->rig), SIM_WORLD, pick(a, 3000), hit,
-			       a, g_memdup2(&i, sizeof(i)));
+			sim_at(rig_sim(a->rig), SIM_WORLD, pick(a, 3000),
+			       inject_fault, a, g_memdup2(&i, sizeof(i)));
 		if (f)
-			a->was[i] = f->phase;
+			a->last_phase[i] = f->phase;
 	}
 	if (sim_now(rig_sim(a->rig)) < a->until_us)
-		sim_at(rig_sim(a->rig), SIM_WORLD, LOOK_US, look, a, NULL);
+		sim_at(rig_sim(a->rig), SIM_WORLD, POLL_US, poll_failovers, a,
+		       NULL);
 }
 
-/* Planned moves, also by both homes at once. */
-static void move(void *ctx, void *data)
+/* Requests planned moves, sometimes at both homes at once. */
+static void request_moves(void *ctx, void *data)
 {
-	struct aim *a = ctx;
+	struct aimed_history *a = ctx;
 	struct sim *sim = rig_sim(a->rig);
 	unsigned first = pick(a, SERVERS);
 	struct err err = { 0 };
@@ -188,25 +193,27 @@
 					   sim_now(sim), &err);
 	}
 	if (sim_now(sim) < a->until_us)
-		sim_at(sim, SIM_WORLD, MOVE_EVERY_US, move, a, NULL);
+		sim_at(sim, SIM_WORLD, MOVE_INTERVAL_US, request_moves, a,
+		       NULL);
 }
 
-/* One history: "", or the first broken promise; newly allocated. */
+/* Runs one history. Returns a violated guarantee or "", newly allocated. */
 static char *run_history(uint32_t seed, mutate_fn mutate, bool moves)
 {
 	struct history_run *h = history_run_create(seed);
-	struct aim a = { .rig = history_run_rig(h), .mutate = mutate };
+	struct aimed_history a = { .rig = history_run_rig(h),
+				   .mutate = mutate };
 	char *violation;
 
 	a.rng = g_rand_new_with_seed(seed ^ 0xa13);
-	a.hasty = pick(&a, 4) != 0;
+	a.short_timeouts = pick(&a, 4) != 0;
 	a.moves = pick(&a, 3) == 0 || moves;
-	a.until_us = sim_now(rig_sim(a.rig)) + SECONDS * USEC_PER_SEC;
+	a.until_us = sim_now(rig_sim(a.rig)) + HISTORY_SECONDS * USEC_PER_SEC;
 	fdb_set_promoted(rig_db(a.rig), on_promoted, &a);
-	look(&a, NULL);
+	poll_failovers(&a, NULL);
 	if (a.moves)
-		move(&a, NULL);
-	violation = g_strdup(history_run_check(h, SECONDS));
+		request_moves(&a, NULL);
+	violation = g_strdup(history_run_check(h, HISTORY_SECONDS));
 	if (a.violation[0]) {
 		g_free(violation);
 		violation = g_strdup(a.violation);
@@ -224,11 +231,11 @@
 }
 
 /*
- * A van's trip was confirmed, then the primary died, and the next one while
- * it was being promoted. Whatever comes together, the trip is there once, and
- * what was refused as not run is not.
+ * The primary fails after a write was acknowledged, and further faults hit the
+ * failover itself. In any combination of them, an acknowledged write must be
+ * stored exactly once, and one that was reported as not run must not be stored.
  */
-START_TEST(test_group_keeps_promises_through_aimed_faults)
+START_TEST(test_group_keeps_guarantees_with_aimed_faults)
 {
 	unsigned first = from_environment("CQ_FIRST_SEED", 1);
 	unsigned n = from_environment("CQ_GROUP_HISTORIES", HISTORIES);
@@ -248,6 +255,8 @@
 }
 END_TEST
 
+/* Mutants: each switches one of failover's rules off. */
+
 #define MUTANT(name)                                     \
 	static void no_##name(struct failover_guards *g) \
 	{                                                \
@@ -274,7 +283,11 @@
 	{ "move_highest", no_move_highest, true },
 };
 
-START_TEST(test_checks_notice_each_missing_rule)
+/*
+ * A check that passes without the rule that it covers proves nothing: with each
+ * rule off, some history must violate a guarantee.
+ */
+START_TEST(test_checks_detect_each_missing_rule)
 {
 	unsigned n = from_environment("CQ_MUTANT_HISTORIES", MUTANT_HISTORIES);
 	char *violation = g_strdup("");
@@ -303,8 +316,8 @@
 	tcase_set_timeout(histories, 0);
 	tcase_set_timeout(mutants_case, 0);
 	tcase_add_test(histories,
-		       test_group_keeps_promises_through_aimed_faults);
-	tcase_add_loop_test(mutants_case, test_checks_notice_each_missing_rule,
+		       test_group_keeps_guarantees_with_aimed_faults);
+	tcase_add_loop_test(mutants_case, test_checks_detect_each_missing_rule,
 			    0, G_N_ELEMENTS(mutants));
 	suite_add_tcase(suite, histories);
 	suite_add_tcase(suite, mutants_case);
--- a/packages/core/tests/test_failover_histories.c
+++ b/packages/core/tests/test_failover_histories.c
@@ -1,8 +1,8 @@
 /*
- * Seeded histories of a database group, its homes and their writers under
- * faults of every kind, alone and overlapping, on the virtual clock. Each
- * history is checked for broken promises; then each rule is switched off in
- * turn to see that the checks notice.
+ * Seeded histories of a database group, its homes and their writers on the
+ * virtual clock, with faults of every kind, single and overlapping. Each
+ * history is checked for violated guarantees; then each rule is switched off in
+ * turn, and the same checks must fail.
  *
  * CQ_HISTORIES sets the number of seeds, CQ_FIRST_SEED the first one, and
  * CLUSTER_TRACE=1 prints the decisions.
@@ -17,33 +17,35 @@
 
 #define HISTORIES 300
 #define MUTANT_HISTORIES 400
-#define FAULTS_MAX 5
-/* Faults set off by a step of a ballot, at most this long after it. */
-#define AIMED_FAULTS_MAX 4
-#define MOVE_SPACING_US (60 * USEC_PER_MSEC)
-#define AIMED_WITHIN_US (3 * USEC_PER_MSEC)
-#define FAULTY_US (9 * USEC_PER_SEC)
-#define HEALTHY_US (4 * USEC_PER_SEC)
+#define MAX_FAULTS 5
+/* Further faults, each triggered by a step of a ballot. */
+#define MAX_AIMED_FAULTS 4
+#define MOVE_INTERVAL_US (60 * USEC_PER_MSEC)
+/* Max. time from the step of a ballot to the fault that it triggers. */
+#define AIMED_MAX_DELAY_US (3 * USEC_PER_MSEC)
+/* Run time with faults, then after healing, then without new writes. */
+#define FAULTS_DURATION_US (9 * USEC_PER_SEC)
+#define RECOVERY_US (4 * USEC_PER_SEC)
 /* Longer than a write's deadline, so that all are answered at the end. */
 #define SETTLING_US (5 * USEC_PER_SEC)
 
 enum fault {
-	FAULT_CRASH,
-	FAULT_SILENCE,
-	FAULT_ISOLATE,
-	FAULT_SPLIT_FROM_SERVERS, /* homes still reach it */
-	FAULT_SPLIT_FROM_HOMES,
-	FAULT_ONE_WAY,
-	FAULT_ONE_WAY_BACK,
-	FAULT_SPLIT_ONE_BY_ONE, /* replicas lose it one after the other */
+	FAULT_CRASH, /* of a server's process */
+	FAULT_CRASH_SILENT, /* crash of a server's host */
+	FAULT_ISOLATE, /* a server from all nodes */
+	FAULT_SPLIT_FROM_SERVERS, /* homes still reach the server */
+	FAULT_SPLIT_FROM_HOMES, /* other servers still reach it */
+	FAULT_ONE_WAY, /* from the server to one node */
+	FAULT_ONE_WAY_BACK, /* from one node to the server */
+	FAULT_SPLIT_ONE_BY_ONE, /* server to one replica, later to the other */
 	FAULT_PAUSE_SERVER,
 	FAULT_PAUSE_HOME,
 	FAULT_CRASH_HOME,
-	FAULT_LOSS,
-	FAULT_DISORDER,
-	FAULT_MOVES, /* one after the other, at one home */
-	FAULT_CROSSED_MOVES, /* all homes at once, to different servers */
-	FAULT_LEAVE,
+	FAULT_LOSS, /* of messages */
+	FAULT_DISORDER, /* lost, duplicated and reordered messages */
+	FAULT_MOVES, /* successive moves requested at one home */
+	FAULT_CROSSED_MOVES, /* at all homes at once, to different servers */
+	FAULT_LEAVING, /* a server is marked as leaving */
 	FAULT_KINDS,
 };
 
@@ -51,15 +53,15 @@
 	struct cluster *c;
 	GRand *rng;
 	unsigned homes;
-	unsigned aimed_left;
-	int favoured; /* enum fault; -1: all alike */
+	unsigned aimed_left; /* number of aimed faults still to come */
+	int preferred_fault; /* enum fault, chosen more often; -1: none */
 };
 
 struct fault_plan {
 	enum fault kind;
 	unsigned server;
 	unsigned home;
-	unsigned other; /* node */
+	unsigned other; /* node at the other end of a one-way block */
 	uint64_t duration_us;
 };
 
@@ -71,8 +73,8 @@
 	return (unsigned)g_rand_int_range(rng, 0, (gint32)n);
 }
 
-static void split(struct cluster *c, unsigned server, unsigned from,
-		  unsigned to, bool blocked)
+static void split_from_nodes(struct cluster *c, unsigned server, unsigned from,
+			     unsigned to, bool blocked)
 {
 	unsigned i;
 
@@ -84,7 +86,7 @@
 	}
 }
 
-static void set_disorder(struct cluster *c, double loss, double disorder)
+static void set_network_faults(struct cluster *c, double loss, double disorder)
 {
 	struct sim_network *net = sim_network(cluster_sim(c));
 
@@ -94,7 +96,7 @@
 	net->reorder_us = 300 * USEC_PER_MSEC;
 }
 
-static void split_last(void *ctx, void *data)
+static void block_last_replica(void *ctx, void *data)
 {
 	struct fault_plan *p = data;
 
@@ -102,7 +104,7 @@
 		  true);
 }
 
-static void move(struct cluster *c, unsigned home, unsigned server)
+static void request_move(struct cluster *c, unsigned home, unsigned server)
 {
 	struct failover *f = cluster_failover(c, home);
 	struct err err = { 0 };
@@ -111,16 +113,16 @@
 		failover_move(f, (int)server, sim_now(cluster_sim(c)), &err);
 }
 
-static void move_on(void *ctx, void *data)
+static void move_to_next(void *ctx, void *data)
 {
 	struct fault_plan *p = data;
 
 	p->server = (p->server + 1) % 3;
-	move(ctx, p->home, p->server);
-	if (p->duration_us < MOVE_SPACING_US)
+	request_move(ctx, p->home, p->server);
+	if (p->duration_us < MOVE_INTERVAL_US)
 		return;
-	p->duration_us -= MOVE_SPACING_US;
-	sim_at(cluster_sim(ctx), SIM_WORLD, MOVE_SPACING_US, move_on, ctx,
+	p->duration_us -= MOVE_INTERVAL_US;
+	sim_at(cluster_sim(ctx), SIM_WORLD, MOVE_INTERVAL_US, move_to_next, ctx,
 	       g_memdup2(p, sizeof(*p)));
 }
 
@@ -133,17 +135,18 @@
 
 	switch (p->kind) {
 	case FAULT_CRASH:
-	case FAULT_SILENCE:
-		cluster_crash_server(c, p->server, p->kind == FAULT_SILENCE);
+	case FAULT_CRASH_SILENT:
+		cluster_crash_server(c, p->server,
+				     p->kind == FAULT_CRASH_SILENT);
 		break;
 	case FAULT_ISOLATE:
 		sim_isolate(sim, (int)p->server, true);
 		break;
 	case FAULT_SPLIT_FROM_SERVERS:
-		split(c, p->server, 0, 3, true);
+		split_from_nodes(c, p->server, 0, 3, true);
 		break;
 	case FAULT_SPLIT_FROM_HOMES:
-		split(c, p->server, 3, SIM_MAX_NODES, true);
+		split_from_nodes(c, p->server, 3, SIM_MAX_NODES, true);
 		break;
 	case FAULT_ONE_WAY:
 		sim_block(sim, (int)p->server, (int)p->other, true);
@@ -153,8 +156,8 @@
 		break;
 	case FAULT_SPLIT_ONE_BY_ONE:
 		sim_block(sim, (int)p->server, (int)(p->server + 1) % 3, true);
-		sim_at(sim, SIM_WORLD, p->duration_us / 4, split_last, c,
-		       g_memdup2(p, sizeof(*p)));
+		sim_at(sim, SIM_WORLD, p->duration_us / 4, block_last_replica,
+		       c, g_memdup2(p, sizeof(*p)));
 		break;
 	case FAULT_PAUSE_SERVER:
 		sim_pause(sim, (int)p->server, p->duration_us);
@@ -166,19 +169,19 @@
 		cluster_crash_home(c, p->home);
 		break;
 	case FAULT_LOSS:
-		set_disorder(c, 0.1, 0);
+		set_network_faults(c, 0.1, 0);
 		break;
 	case FAULT_DISORDER:
-		set_disorder(c, 0.05, 0.2);
+		set_network_faults(c, 0.05, 0.2);
 		break;
 	case FAULT_MOVES:
-		move_on(c, p);
+		move_to_next(c, p);
 		break;
 	case FAULT_CROSSED_MOVES:
 		for (i = 0; i < CLUSTER_MAX_HOMES; i++)
-			move(c, i, (p->server + i) % 3);
+			request_move(c, i, (p->server + i) % 3);
 		break;
-	case FAULT_LEAVE:
+	case FAULT_LEAVING:
 		fdb_set_leaving(cluster_db(c), p->server, true);
 		break;
 	default:
@@ -195,11 +198,14 @@
 	cluster_restart_home(c, p->home);
 	sim_isolate(cluster_sim(c), (int)p->server, false);
 	if (p->kind == FAULT_LOSS || p->kind == FAULT_DISORDER)
-		set_disorder(c, 0, 0);
+		set_network_faults(c, 0, 0);
 	fdb_set_leaving(cluster_db(c), p->server, false);
 }
 
-/* Half of the faults hit the first primary. */
+/*
+ * Schedules a random fault. Half of them (and a third of the others) hit server
+ * 0, the first primary; home -1 stands for a random home.
+ */
 static void plan_fault(struct history_run *run, uint64_t start_us, int home)
 {
 	struct fault_plan *p = g_new0(struct fault_plan, 1);
@@ -207,8 +213,8 @@
 	GRand *rng = run->rng;
 
 	p->kind = (enum fault)pick(rng, FAULT_KINDS);
-	if (run->favoured >= 0 && pick(rng, 2))
-		p->kind = (enum fault)run->favoured;
+	if (run->preferred_fault >= 0 && pick(rng, 2))
+		p->kind = (enum fault)run->preferred_fault;
 	p->server = pick(rng, 2) ? 0 : pick(rng, 3);
 	p->home = home >= 0 ? (unsigned)home : pick(rng, run->homes);
 	p->other =
@@ -220,7 +226,7 @@
 	       g_memdup2(p, sizeof(*p)));
 }
 
-/* Faults that come in the middle of a ballot, where they hurt most. */
+/* Injects aimed faults: they start during a ballot. */
 static void on_decision(void *ctx, unsigned home, const char *what,
 			const char *detail)
 {
@@ -232,10 +238,10 @@
 	if (!run->aimed_left || pick(run->rng, 3) == 0)
 		return;
 	run->aimed_left--;
-	plan_fault(run, pick(run->rng, AIMED_WITHIN_US), (int)home);
+	plan_fault(run, pick(run->rng, AIMED_MAX_DELAY_US), (int)home);
 }
 
-/* Half of the groups act in haste, so that homes get in each other's way. */
+/* Half of the runs use short timeouts, so that the homes interfere. */
 static void vary_settings(struct cluster_settings *s, GRand *rng)
 {
 	struct failover_settings *f = &s->failover;
@@ -256,14 +262,14 @@
 	f->damping_us = 50 * USEC_PER_MSEC;
 }
 
-/* One history; the first broken promise, newly allocated, or NULL. */
-static char *run_history(uint32_t seed, mutate_fn mutate, int favoured)
+/* Returns the first guarantee that the history violates, allocated, or NULL. */
+static char *run_history(uint32_t seed, mutate_fn mutate, int preferred_fault)
 {
-	struct history_run run = { .aimed_left = AIMED_FAULTS_MAX,
-				   .favoured = favoured };
+	struct history_run run = { .aimed_left = MAX_AIMED_FAULTS,
+				   .preferred_fault = preferred_fault };
 	struct cluster_settings settings;
 	struct cluster *c;
-	uint64_t ack_from_us;
+	uint64_t recent_from_at_us;
 	char *violation = NULL;
 	unsigned i, n;
 
@@ -276,23 +282,26 @@
 	if (mutate)
 		mutate(c);
 	if (pick(run.rng, 4) == 0)
-		set_disorder(c, 0.05, 0.1);
-	n = 1 + pick(run.rng, FAULTS_MAX);
+		set_network_faults(c, 0.05, 0.1);
+	n = 1 + pick(run.rng, MAX_FAULTS);
 	for (i = 0; i < n; i++)
-		plan_fault(&run, (uint64_t)(g_rand_double(run.rng) * FAULTY_US),
-			   -1);
-	cluster_run_for(c, FAULTY_US);
+		plan_fault(
+			&run,
+			(uint64_t)(g_rand_double(run.rng) * FAULTS_DURATION_US),
+			-1);
+	cluster_run_for(c, FAULTS_DURATION_US);
 	run.aimed_left = 0;
 	cluster_heal(c);
-	set_disorder(c, 0, 0);
-	cluster_run_for(c, HEALTHY_US);
-	ack_from_us = sim_now(cluster_sim(c)) - USEC_PER_SEC;
+	set_network_faults(c, 0, 0);
+	cluster_run_for(c, RECOVERY_US);
+	recent_from_at_us = sim_now(cluster_sim(c)) - USEC_PER_SEC;
 	cluster_stop_writes(c);
 	cluster_run_for(c, SETTLING_US);
 	if (cluster_check_end(c)[0])
 		violation = g_strdup(cluster_violation(c));
-	else if (cluster_last_ack_at_us(c) < ack_from_us && !mutate)
-		violation = g_strdup("writes did not come back");
+	else if (cluster_last_ack_at_us(c) < recent_from_at_us && !mutate)
+		violation = g_strdup(
+			"no write acknowledged in the last second after healing");
 	cluster_destroy(c);
 	g_rand_free(run.rng);
 	return violation;
@@ -306,11 +315,11 @@
 }
 
 /*
- * A caller whose trip was confirmed finds it missing, or twice, or one that
- * was refused as not run stored after all. Any order of crashes, partitions,
- * pauses and lost or crossed messages may lead there; none must.
+ * An acknowledged write is lost or stored twice, or a write that was reported
+ * as not run is stored. No sequence of crashes, partitions, pauses and lost or
+ * reordered messages may cause this.
  */
-START_TEST(test_histories_keep_all_promises)
+START_TEST(test_histories_keep_all_guarantees)
 {
 	unsigned first = from_environment("CQ_FIRST_SEED", 1);
 	unsigned n = from_environment("CQ_HISTORIES", HISTORIES);
@@ -330,7 +339,7 @@
 }
 END_TEST
 
-/* Mutants: each switches one rule off on all homes or servers. */
+/* Mutants: each switches one rule off at all homes or servers. */
 
 #define GUARD_MUTANT(name)                                                     \
 	static void no_##name(struct cluster *c)                               \
@@ -365,7 +374,10 @@
 WRITER_MUTANT(settle_needs_majority)
 WRITER_MUTANT(settle_before_not_run)
 
-/* Either of these is enough with the writer's check of the grant. */
+/*
+ * With the writer's rule ack_before_grant on, either of these server rules is
+ * enough, so that rule is switched off together with one of them.
+ */
 static void no_fenced_commits_nothing(struct cluster *c)
 {
 	fdb_rules(cluster_db(c))->fenced_commits_nothing = false;
@@ -381,7 +393,7 @@
 static const struct {
 	const char *name;
 	mutate_fn mutate;
-	int favoured;
+	int preferred_fault;
 } mutants[] = {
 	{ "majority", no_majority, -1 },
 	{ "own_grant", no_own_grant, FAULT_CROSSED_MOVES },
@@ -401,10 +413,10 @@
 };
 
 /*
- * A check that passes also without the rule that it is for proves nothing:
- * with each rule off, some history must break a promise.
+ * A check that passes without the rule that it covers proves nothing: with each
+ * rule off, some history must violate a guarantee.
  */
-START_TEST(test_checks_notice_each_missing_rule)
+START_TEST(test_checks_detect_each_missing_rule)
 {
 	unsigned n = from_environment("CQ_MUTANT_HISTORIES", MUTANT_HISTORIES);
 	char *violation = NULL;
@@ -412,7 +424,7 @@
 
 	for (seed = 1; !violation && seed <= n; seed++)
 		violation = run_history(seed, mutants[_i].mutate,
-					mutants[_i].favoured);
+					mutants[_i].preferred_fault);
 	printf("without %s: seed %u: %s\n", mutants[_i].name, seed - 1,
 	       violation ? violation : "nothing noticed");
 	ck_assert_ptr_nonnull(violation);
@@ -429,9 +441,9 @@
 	int failed;
 
 	tcase_set_timeout(histories, 0);
-	tcase_add_test(histories, test_histories_keep_all_promises);
+	tcase_add_test(histories, test_histories_keep_all_guarantees);
 	tcase_set_timeout(mutants_case, 0);
-	tcase_add_loop_test(mutants_case, test_checks_notice_each_missing_rule,
+	tcase_add_loop_test(mutants_case, test_checks_detect_each_missing_rule,
 			    0, G_N_ELEMENTS(mutants));
 	suite_add_tcase(suite, histories);
 	suite_add_tcase(suite, mutants_case);
