--- a/packages/core/tests/support_cluster_check.c
+++ b/packages/core/tests/support_cluster_check.c
@@ -96,7 +96,7 @@
 		e = fdb_log_at(c->db, primary, i);
 		if (e->kind == FDB_DONE &&
 		    !g_hash_table_add(done, GSIZE_TO_POINTER(e->key)))
-			violate(c, "write %" PRIu64 " stored twice", e->key);
+			violate(c, "write %" PRIu64 " doubled", e->key);
 	}
 	for (i = 0; i < c->writes->len; i++) {
 		w = g_ptr_array_index(c->writes, i);
--- a/packages/core/tests/test_failover.c
+++ b/packages/core/tests/test_failover.c
@@ -501,7 +501,7 @@
 		      "%s: unneeded promotion or grant",
 		      no_failover_cases[_i].name);
 	ck_assert_msg(no_failover_cases[_i].run(false) > 0,
-		      "%s: no promotion or grant with the guard off either",
+		      "%s: without the guard neither promotion nor grant",
 		      no_failover_cases[_i].name);
 }
 END_TEST
--- a/packages/core/tests/test_failover_histories.c
+++ b/packages/core/tests/test_failover_histories.c
@@ -300,8 +300,7 @@
 	if (cluster_check_end(c)[0])
 		violation = g_strdup(cluster_violation(c));
 	else if (cluster_last_ack_at_us(c) < recent_from_at_us && !mutate)
-		violation = g_strdup(
-			"no write acknowledged in the last second after healing");
+		violation = g_strdup("writes did not come back");
 	cluster_destroy(c);
 	g_rand_free(run.rng);
 	return violation;
