--- a/packages/core/src/confsync.c
+++ b/packages/core/src/confsync.c
@@ -6,16 +6,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* An item of a megabyte and some more beside it. */
-#define MESSAGE_MAX_BYTES (2U << 20)
+/* One item of the largest size, 1 MiB, and others in the same message. */
+#define MAX_MESSAGE_BYTES (2U << 20)
+/* Random picks before falling back to another choice of member. */
 #define PICK_TRIES 8
 
 /*
- * Defaults for up to some thousands of members. News reaches 1,400 members in
- * five or six rounds of 200 ms; the digests at rest cost some 20 bytes a
- * second. What a node may save up while idle is for nodes that start: 5 MB in
- * parts of 60 KB from many peers. Over some minutes no node sends more than
- * the rate allows.
+ * Defaults for up to some thousands of members. An update reaches 1,400 members
+ * in five or six rounds of 200 ms; digests cost some 20 bytes per second when
+ * nothing changes. The burst that a node may save up while idle serves nodes
+ * that start: they fetch 5 MB in parts of 60 KB from many peers. Over some
+ * minutes no node sends more than max_bytes_per_s.
  */
 void confsync_settings_default(struct confsync_settings *s)
 {
@@ -32,17 +33,17 @@
 	};
 }
 
-/* Members, model, ops, ctx and rng must live as long; settings are copied. */
+/* members, model, ops, ctx and rng must outlive it; settings are copied. */
 struct confsync *confsync_create(const struct confsync_settings *settings,
 				 struct members *members, struct model *model,
 				 const struct confsync_ops *ops, void *ctx,
 				 GRand *rng, uint64_t now_us)
 {
 	struct confsync *c = g_new0(struct confsync, 1);
-	double share = g_rand_double(rng);
+	double phase = g_rand_double(rng);
 
 	c->settings = *settings;
-	c->settings.rounds = CLAMP(c->settings.rounds, 1, CONFSYNC_ROUNDS_MAX);
+	c->settings.rounds = CLAMP(c->settings.rounds, 1, CONFSYNC_MAX_ROUNDS);
 	c->members = members;
 	c->model = model;
 	c->ops = ops;
@@ -50,42 +51,43 @@
 	c->rng = rng;
 	c->revisions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	c->cursor = g_strdup("");
+	c->fetch_cursor = g_strdup("");
 	c->tokens = settings->burst_bytes;
-	c->tokens_us = c->next_fetch_us = now_us;
-	c->next_digest_us =
+	c->refilled_at_us = c->next_fetch_at_us = now_us;
+	c->next_digest_at_us =
 		now_us +
-		(uint64_t)(share * (double)settings->digest_interval_us);
-	c->watcher_changes = UINT64_MAX;
+		(uint64_t)(phase * (double)settings->digest_interval_us);
+	c->watcher_generation = UINT64_MAX;
 	confsync_table_init(&c->table);
 	return c;
 }
 
-/* Frees the table; what is in force stays in the model. */
+/* Frees the table; the items in the model stay. */
 void confsync_destroy(struct confsync *c)
 {
 	if (!c)
 		return;
 	confsync_table_clear(&c->table);
 	g_hash_table_destroy(c->revisions);
-	g_free(c->cursor);
+	g_free(c->fetch_cursor);
 	g_free(c);
 }
 
-static bool is_partner(const struct confsync *c, const struct member_info *m)
+static bool is_reachable(const struct confsync *c, const struct member_info *m)
 {
 	return m && m != members_self(c->members) && m->state != MEMBER_DEAD &&
 	       m->state != MEMBER_LEFT;
 }
 
-static bool is_elsewhere(const struct confsync *c, const struct member_info *m)
+static bool is_in_other_data_centre(const struct confsync *c,
+				    const struct member_info *m)
 {
 	return strcmp(m->data_centre, members_self(c->members)->data_centre) !=
 	       0;
 }
 
-/* Any member, in another data centre if one is found quickly. */
-const struct member_info *confsync_far_member(struct confsync *c)
+/* A random member, preferably of another data centre. */
+const struct member_info *confsync_remote_member(struct confsync *c)
 {
 	const struct member_info *any = NULL;
 	unsigned i, n = members_count(c->members);
@@ -95,9 +97,9 @@
 		unsigned at = (unsigned)g_rand_int_range(c->rng, 0, (gint32)n);
 		const struct member_info *m = members_at(c->members, at);
 
-		if (!is_partner(c, m))
+		if (!is_reachable(c, m))
 			continue;
-		if (is_elsewhere(c, m))
+		if (is_in_other_data_centre(c, m))
 			return m;
 		any = m;
 	}
@@ -108,13 +110,13 @@
 		const struct member_info *m =
 			members_at(c->members, (start + i) % n);
 
-		if (is_partner(c, m))
+		if (is_reachable(c, m))
 			return m;
 	}
 	return NULL;
 }
 
-/* A member that a link stands to, at random; anybody when there is none. */
+/* A random member with an open link; without one, any member. */
 const struct member_info *confsync_neighbour(struct confsync *c)
 {
 	unsigned i, n = members_neighbour_count(c->members);
@@ -123,13 +125,13 @@
 		unsigned at = (unsigned)g_rand_int_range(c->rng, 0, (gint32)n);
 		const struct member_info *m = members_neighbour(c->members, at);
 
-		if (is_partner(c, m))
+		if (is_reachable(c, m))
 			return m;
 	}
-	return confsync_far_member(c);
+	return confsync_remote_member(c);
 }
 
-/* Packs and sends, and charges the bytes. */
+/* Encodes, sends and clears the message; charges its bytes to the budget. */
 void confsync_send(struct confsync *c, const struct member_info *to,
 		   struct conf_out *o)
 {
@@ -143,16 +145,16 @@
 	conf_out_clear(o);
 }
 
-/* A list of the whole prefix follows. */
+/* Starts a list of the store's whole prefix. */
 void confsync_list_begin(struct confsync *c)
 {
 	c->listing = true;
-	c->lists++;
+	c->list_seq++;
 }
 
 /*
- * From the store: a list or a watch. False with BAD_ITEM when the value is
- * wrong: ops->rejected is told, and the last good value stays.
+ * Applies one key of a list, or one event of the watch. False with BAD_ITEM for
+ * an invalid value: ops->rejected is called, and the last valid value stays.
  */
 bool confsync_from_store(struct confsync *c, const char *key, uint64_t revision,
 			 bool removed, struct str json, uint64_t now_us,
@@ -163,25 +165,27 @@
 				.removed = removed,
 				.has_json = !removed,
 				.json = json };
-	enum taken taken;
+	enum apply_result result;
 	struct entry *entry;
 
 	(void)now_us;
-	if (in.key.len > CONFSYNC_KEY_MAX) {
-		err_set(err, ERR_BAD_ITEM, "a key of %zu bytes", in.key.len);
+	if (in.key.len > CONFSYNC_MAX_KEY_BYTES) {
+		err_set(err, ERR_BAD_ITEM, "key too long: %zu bytes",
+			in.key.len);
 		return false;
 	}
-	taken = confsync_take(c, &in, true, err);
+	result = confsync_apply(c, &in, true, err);
 	entry = confsync_table_find(&c->table, key);
 	if (entry && c->listing)
-		entry->listed = c->lists;
-	if (entry && taken == TAKEN)
-		confsync_news_add(c, entry);
+		entry->last_list = c->list_seq;
+	if (entry && result == APPLY_DONE)
+		confsync_update_add(c, entry);
 	if (!c->listing && c->listed)
-		c->watched = MAX(c->watched, revision);
-	return taken != TAKEN_BAD;
+		c->watch_revision = MAX(c->watch_revision, revision);
+	return result != APPLY_REJECTED;
 }
 
+/* Keys that a list up to this revision should contain, but doesn't. */
 struct unlisted {
 	struct confsync *c;
 	uint64_t revision;
@@ -197,15 +201,16 @@
 	bool bad = entry->bad_revision && entry->bad_revision <= u->revision;
 
 	(void)key;
-	if ((live || bad) && entry->listed != u->c->lists)
+	if ((live || bad) && entry->last_list != u->c->list_seq)
 		g_ptr_array_add(u->entries, entry);
 	return FALSE;
 }
 
 /*
- * All keys up to the revision were listed. A key that is missing was removed
- * while nobody watched, by an event that this node will never see: it gets a
- * tombstone of the list's revision, which any later value of the key exceeds.
+ * Ends a list that holds all keys up to the revision. A key that is missing was
+ * removed while no watch was held, by an event that this node will never see:
+ * it gets a tombstone of the list's revision, which is below the revision of
+ * any later value of the key.
  */
 void confsync_list_done(struct confsync *c, uint64_t revision, uint64_t now_us)
 {
@@ -228,19 +233,19 @@
 	c->listing = false;
 	c->listed = true;
 	c->ready = true;
-	c->complete = MAX(c->complete, revision);
+	c->complete_revision = MAX(c->complete_revision, revision);
 }
 
-/* The watch has missed nothing up to this revision. */
+/* The watch has delivered all events up to this revision. */
 void confsync_progress(struct confsync *c, uint64_t revision, uint64_t now_us)
 {
 	(void)now_us;
 	if (c->listed && !c->listing)
-		c->complete = MAX(c->complete, revision);
+		c->complete_revision = MAX(c->complete_revision, revision);
 }
 
-static void note_revision(struct confsync *c, const char *from,
-			  uint64_t revision)
+static void record_member_revision(struct confsync *c, const char *from,
+				   uint64_t revision)
 {
 	uint64_t *known = g_hash_table_lookup(c->revisions, from);
 
@@ -256,18 +261,19 @@
 	g_hash_table_insert(c->revisions, g_strdup(from), known);
 }
 
-static void handle(struct confsync *c, const struct conf_message *msg,
-		   const struct member_info *from, uint64_t now_us)
+/* Messages that are handled even when the sender is not a known member. */
+static void handle_message(struct confsync *c, const struct conf_message *msg,
+			   const struct member_info *from, uint64_t now_us)
 {
 	switch (msg->type) {
-	case CONF_NEWS:
-		confsync_on_news(c, msg, from, now_us);
+	case CONF_UPDATE:
+		confsync_on_update(c, msg, from, now_us);
 		break;
 	case CONF_ITEMS:
 		confsync_on_items(c, msg, from);
 		break;
-	case CONF_PART:
-		confsync_on_part(c, msg, now_us);
+	case CONF_FETCH_PART:
+		confsync_on_fetch_part(c, msg, now_us);
 		break;
 	case CONF_BUSY:
 		confsync_on_busy(c, now_us);
@@ -277,13 +283,13 @@
 	}
 }
 
-/* Those that need an answer, for which the sender must be known. */
-static void answer(struct confsync *c, const struct conf_message *msg,
-		   const struct member_info *from, uint64_t now_us)
+/* Messages that are answered, for which the sender must be a known member. */
+static void answer_request(struct confsync *c, const struct conf_message *msg,
+			   const struct member_info *from, uint64_t now_us)
 {
 	switch (msg->type) {
-	case CONF_WANT:
-		confsync_on_want(c, msg, from);
+	case CONF_REQUEST:
+		confsync_on_request(c, msg, from);
 		break;
 	case CONF_DIGEST:
 		confsync_on_digest(c, msg, from);
@@ -303,8 +309,8 @@
 }
 
 /*
- * A message came in from an authenticated peer of this name. False with
- * BAD_MESSAGE for a malformed one, of which nothing is taken.
+ * Handles a message from the authenticated peer of this name. False with
+ * BAD_MESSAGE for a malformed one, of which nothing is applied.
  */
 bool confsync_on_message(struct confsync *c, const char *from,
 			 struct str message, uint64_t now_us, struct err *err)
@@ -313,9 +319,9 @@
 	struct conf_message msg;
 	struct unpack unpack;
 
-	if (message.len > MESSAGE_MAX_BYTES) {
-		err_set(err, ERR_BAD_MESSAGE, "configuration: %zu bytes",
-			message.len);
+	if (message.len > MAX_MESSAGE_BYTES) {
+		err_set(err, ERR_BAD_MESSAGE,
+			"configuration too large: %zu bytes", message.len);
 		return false;
 	}
 	if (!unpack_open(&unpack, message, err))
@@ -325,27 +331,27 @@
 		return false;
 	}
 	if (member)
-		note_revision(c, from, msg.revision);
-	handle(c, &msg, member, now_us);
-	if (msg.has_proof)
-		confsync_learn_revision(c, msg.revision, msg.proof);
+		record_member_revision(c, from, msg.revision);
+	handle_message(c, &msg, member, now_us);
+	if (msg.has_revision_hash)
+		confsync_learn_revision(c, msg.revision, msg.revision_hash);
 	if (member)
-		answer(c, &msg, member, now_us);
+		answer_request(c, &msg, member, now_us);
 	conf_clear(&msg);
 	unpack_close(&unpack);
 	return true;
 }
 
-static void refill(struct confsync *c, uint64_t now_us)
+static void refill_tokens(struct confsync *c, uint64_t now_us)
 {
-	uint64_t elapsed = MIN(now_us - c->tokens_us, 3600 * USEC_PER_SEC);
+	uint64_t elapsed = MIN(now_us - c->refilled_at_us, 3600 * USEC_PER_SEC);
 	uint64_t bytes = elapsed * c->settings.max_bytes_per_s / USEC_PER_SEC;
 
 	if (!bytes)
 		return;
 	c->tokens = MIN(c->tokens + (int64_t)bytes,
 			(int64_t)c->settings.burst_bytes);
-	c->tokens_us = now_us;
+	c->refilled_at_us = now_us;
 }
 
 static uint64_t watcher_weight(const struct member_info *m)
@@ -354,14 +360,14 @@
 }
 
 /*
- * Rendezvous hashing: of the live members of a region those with the highest
- * hashes watch the store. All agree on them without a word, and when one dies
- * only its own place is taken by another.
+ * Rendezvous hashing: the live members of a region with the highest hashes
+ * watch the store. All members agree on them without communication, and when
+ * one dies only that one is replaced.
  */
-static bool decide_watcher(const struct confsync *c)
+static bool compute_watcher(const struct confsync *c)
 {
 	const struct member_info *self = members_self(c->members);
-	uint64_t own = watcher_weight(self);
+	uint64_t own_weight = watcher_weight(self);
 	unsigned i, n = members_count(c->members), ahead = 0;
 
 	if (!member_is_live(self))
@@ -371,7 +377,7 @@
 
 		ahead += member_is_live(m) &&
 			 !strcmp(m->region, self->region) &&
-			 watcher_weight(m) > own;
+			 watcher_weight(m) > own_weight;
 	}
 	return ahead < c->settings.watchers_per_region;
 }
@@ -380,22 +386,23 @@
 {
 	uint64_t changes = members_changes(c->members);
 
-	if (!members_joined(c->members) || changes == c->watcher_changes)
+	if (!members_joined(c->members) || changes == c->watcher_generation)
 		return;
-	c->watcher_changes = changes;
-	c->watcher = decide_watcher(c);
+	c->watcher_generation = changes;
+	c->watcher = compute_watcher(c);
 }
 
-/* Runs what is due; wanted every 100 ms or more often. */
+/* Runs periodic work; must be called at least every 100 ms. */
 void confsync_tick(struct confsync *c, uint64_t now_us)
 {
-	refill(c, now_us);
+	refill_tokens(c, now_us);
 	watcher_tick(c);
-	if (c->watched && !c->listing) {
-		c->complete = MAX(c->complete, c->watched);
-		c->watched = 0;
+	if (c->watch_revision && !c->listing) {
+		c->complete_revision =
+			MAX(c->complete_revision, c->watch_revision);
+		c->watch_revision = 0;
 	}
-	confsync_news_tick(c, now_us);
+	confsync_update_tick(c, now_us);
 	confsync_repair_tick(c, now_us);
 }
 
@@ -405,13 +412,13 @@
 	return c->watcher;
 }
 
-/* The revision up to which all that the store held is in force here. */
+/* The revision up to which this node has all that the store held. */
 uint64_t confsync_revision(const struct confsync *c)
 {
-	return MIN(c->complete, c->table.least_bad - 1);
+	return MIN(c->complete_revision, c->table.min_bad_revision - 1);
 }
 
-/* What the member last said; 0 when it was not heard of. */
+/* The member's last known revision; 0 when unknown. */
 uint64_t confsync_member_revision(const struct confsync *c, const char *name)
 {
 	uint64_t *known = g_hash_table_lookup(c->revisions, name);
@@ -421,13 +428,13 @@
 	return known ? *known : 0;
 }
 
-/* Whether the node has its configuration, from the store or a peer. */
+/* Whether the configuration has been loaded from the store or from peers. */
 bool confsync_ready(const struct confsync *c)
 {
 	return c->ready;
 }
 
-/* Sizes and what has gone wrong so far. */
+/* Table sizes, and counts of conflicts, refusals and repairs. */
 void confsync_stats(const struct confsync *c, struct confsync_stats *out)
 {
 	*out = c->stats;
@@ -436,7 +443,7 @@
 	out->bad_keys = c->table.n_bad;
 }
 
-/* Bytes of messages, without what the transport adds. */
+/* Bytes of messages sent, without the transport's overhead. */
 uint64_t confsync_bytes_sent(const struct confsync *c)
 {
 	return c->bytes_sent;
--- a/packages/core/src/confsync_take.c
+++ b/packages/core/src/confsync_apply.c
@@ -6,12 +6,12 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* A peer repeats itself; the counter goes on where the log stops. */
+/* Limits the log, as peers repeat their messages; the counter goes on. */
 #define CONFLICTS_LOGGED 10
 
 /*
- * Two values under one revision can not come from one store. The first one
- * stays, so that at least nothing changes back and forth.
+ * Reports two values with the same key and revision, which can't come from one
+ * store. The first one stays, so that the value does not flip back and forth.
  */
 static void check_conflict(struct confsync *c, const struct entry *entry,
 			   const struct conf_item *in)
@@ -27,12 +27,12 @@
 	c->stats.conflicts++;
 	if (c->stats.conflicts > CONFLICTS_LOGGED)
 		return;
-	LOG_ERR("%s has two values at revision %" PRIu64, entry->key,
+	LOG_ERR("%s has two different values at revision %" PRIu64, entry->key,
 		in->revision);
 }
 
-static void put_in_force(struct confsync *c, struct entry *entry,
-			 struct item *item)
+static void apply_item(struct confsync *c, struct entry *entry,
+		       struct item *item)
 {
 	confsync_table_set(&c->table, entry, item);
 	model_put(c->model, item);
@@ -55,22 +55,22 @@
 	return item;
 }
 
-/* Rejected: the last good value stays, and this one is not passed on. */
-static enum taken reject(struct confsync *c, struct entry *entry,
-			 uint64_t revision, const struct err *err)
+/* Records an invalid value, which is not sent on; the last valid one stays. */
+static enum apply_result reject_value(struct confsync *c, struct entry *entry,
+				      uint64_t revision, const struct err *err)
 {
 	confsync_table_set_bad(&c->table, entry, revision);
 	if (c->ops->rejected)
 		c->ops->rejected(c->ctx, entry->key, revision, err);
-	return TAKEN_BAD;
+	return APPLY_REJECTED;
 }
 
 /*
- * Whether a peer offers what was removed. A node that was away for days, or a
- * table that was kept somewhere, still has items that are long gone, and with
- * their tombstones forgotten they would come back. But what this node knows is
- * complete up to its revision: a key that it does not know at all did not
- * exist then, so any value up to that revision is one that was removed.
+ * Whether a peer offers an item that was removed. A node that was away for
+ * days, or one with an old copy of the table, still has items that were removed
+ * long ago; once their tombstones are dropped, such an item would come back.
+ * But this node's table is complete up to its revision: a key without an item
+ * did not exist then, so any value up to that revision has been removed.
  */
 static bool is_resurrection(const struct confsync *c, const struct entry *entry,
 			    const struct conf_item *in)
@@ -79,23 +79,24 @@
 	       in->revision <= confsync_revision(c);
 }
 
-static bool has_forgotten(const struct confsync *c, const struct entry *entry,
-			  const struct conf_item *in)
+/* Whether a removal is known although its tombstone has been dropped. */
+static bool is_known_removal(const struct confsync *c,
+			     const struct entry *entry,
+			     const struct conf_item *in)
 {
 	return in->removed && !entry && in->revision <= confsync_revision(c);
 }
 
 /*
- * Takes one item or tombstone, with its value, if it is newer than what is
- * known. Checked whole before it is in force. The error says why one is
- * rejected.
+ * Applies an item with its value, or a tombstone, if it is newer than the known
+ * one. The value is validated first; the error says why it is rejected.
  */
-enum taken confsync_take(struct confsync *c, const struct conf_item *in,
-			 bool from_store, struct err *err)
+enum apply_result confsync_apply(struct confsync *c, const struct conf_item *in,
+				 bool from_store, struct err *err)
 {
 	char *key = str_dup(in->key);
 	struct entry *entry = confsync_table_find(&c->table, key);
-	enum taken taken = TAKEN_OLD;
+	enum apply_result result = APPLY_STALE;
 	struct err local = { 0 };
 	struct item *item;
 
@@ -107,39 +108,40 @@
 		goto out;
 	if (!from_store && is_resurrection(c, entry, in)) {
 		c->stats.refused++;
-		taken = TAKEN_REFUSED;
+		result = APPLY_REFUSED;
 		goto out;
 	}
-	if (has_forgotten(c, entry, in))
+	if (is_known_removal(c, entry, in))
 		goto out;
 	item = make_item(key, in, &local);
 	entry = confsync_table_get(&c->table, key);
 	if (item) {
-		put_in_force(c, entry, item);
+		apply_item(c, entry, item);
 		item_unref(item);
-		taken = TAKEN;
+		result = APPLY_DONE;
 	} else {
-		taken = reject(c, entry, in->revision, &local);
+		result = reject_value(c, entry, in->revision, &local);
 		if (err)
 			*err = local;
 	}
 out:
 	g_free(key);
-	return taken;
+	return result;
 }
 
 /*
- * A peer is complete up to a revision and says what its table hashed to then.
- * Equal hashes mean equal tables, so this node's is complete up to there too,
- * newer items apart.
+ * A peer's table is complete up to a revision and had this hash then. If this
+ * node's table had the same hash as of that revision, it is complete up to
+ * there too, whatever newer items it has.
  */
 void confsync_learn_revision(struct confsync *c, uint64_t revision,
-			     uint64_t proof)
+			     uint64_t revision_hash)
 {
 	uint64_t own;
 
-	if (revision <= c->complete || !c->ready)
+	if (revision <= c->complete_revision || !c->ready)
 		return;
-	if (confsync_table_hash_at(&c->table, revision, &own) && own == proof)
-		c->complete = revision;
+	if (confsync_table_hash_at(&c->table, revision, &own) &&
+	    own == revision_hash)
+		c->complete_revision = revision;
 }
--- a/packages/core/src/confsync_message.c
+++ b/packages/core/src/confsync_message.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* Keys of the map; a number is never used again for another meaning. */
+/* Keys of the message's map; a number is never reused for another meaning. */
 enum field {
 	FIELD_TYPE = 1,
 	FIELD_REVISION = 2,
-	FIELD_PROOF = 3,
+	FIELD_REVISION_HASH = 3,
 	FIELD_HASH = 4,
-	FIELD_AS_NEWS = 5,
+	FIELD_AS_UPDATE = 5,
 	FIELD_CURSOR = 6,
 	FIELD_LAST = 7,
 	FIELD_MASK = 8,
@@ -16,17 +16,17 @@
 	FIELD_ITEMS = 10,
 };
 
-/* Elements of an item's array; later releases append more. */
-#define ITEM_BARE 3
-#define ITEM_WITH_JSON 4
+/* Lengths of an item's array; later releases may append elements. */
+#define ITEM_LEN_WITHOUT_JSON 3
+#define ITEM_LEN_WITH_JSON 4
 #define FLAG_REMOVED 1U
 
-/* Upper bounds of packed sizes. */
+/* Upper bounds of packed sizes in bytes. */
 #define SIZE_HEADER 64
 #define SIZE_TEXT_HEAD 5
 #define SIZE_ITEM (1 + SIZE_TEXT_HEAD + 9 + 1)
 
-/* A message without items; its fields are set by the caller. */
+/* Starts a message without items; the caller sets the other fields. */
 void conf_out_init(struct conf_out *o, enum conf_type type)
 {
 	memset(o, 0, sizeof(*o));
@@ -35,7 +35,7 @@
 	o->items = g_array_new(FALSE, FALSE, sizeof(struct conf_item));
 }
 
-/* Frees the list; the keys and values in it are others'. */
+/* Frees the list; the keys and values in it are borrowed. */
 void conf_out_clear(struct conf_out *o)
 {
 	g_array_free(o->items, TRUE);
@@ -55,7 +55,7 @@
 	return true;
 }
 
-/* Adds a key with a revision alone. */
+/* Adds a key and its revision without a value. */
 bool conf_out_key(struct conf_out *o, struct str key, uint64_t revision,
 		  bool removed, size_t limit)
 {
@@ -66,7 +66,7 @@
 	return add_item(o, &item, limit);
 }
 
-/* Adds what is in force under a key, or its tombstone. */
+/* Adds the current item of a key, with its value if body, or its tombstone. */
 bool conf_out_item(struct conf_out *o, const struct entry *entry, bool body,
 		   size_t limit)
 {
@@ -91,7 +91,8 @@
 		const struct conf_item *item =
 			&g_array_index(o->items, struct conf_item, i);
 
-		pack_array(p, item->has_json ? ITEM_WITH_JSON : ITEM_BARE);
+		pack_array(p, item->has_json ? ITEM_LEN_WITH_JSON :
+					       ITEM_LEN_WITHOUT_JSON);
 		pack_str(p, item->key);
 		pack_u64(p, item->revision);
 		pack_u64(p, item->removed ? FLAG_REMOVED : 0);
@@ -111,26 +112,28 @@
 	pack_bin(p, words, sizeof(words));
 }
 
-/* The message as bytes, one reference. */
+/* Encodes the message; the caller owns the reference. */
 GBytes *conf_pack(const struct conf_out *o, struct confsync *c)
 {
 	uint64_t revision = confsync_revision(c);
 	struct pack p;
-	uint64_t proof;
-	bool has_proof;
+	uint64_t revision_hash;
+	bool has_revision_hash;
 
-	has_proof = c->ready &&
-		    confsync_table_hash_at(&c->table, revision, &proof);
-	pack_begin(&p, 3U + has_proof + o->as_news + (o->cursor != NULL) +
-			       o->last + (o->mask != NULL) + o->buckets +
+	has_revision_hash =
+		c->ready &&
+		confsync_table_hash_at(&c->table, revision, &revision_hash);
+	pack_begin(&p, 3U + has_revision_hash + o->as_update +
+			       (o->cursor != NULL) + o->last +
+			       (o->mask != NULL) + o->buckets +
 			       (o->items->len != 0));
 	pack_field_u64(&p, FIELD_TYPE, o->type);
 	pack_field_u64(&p, FIELD_REVISION, revision);
 	pack_field_u64(&p, FIELD_HASH, c->table.hash);
-	if (has_proof)
-		pack_field_u64(&p, FIELD_PROOF, proof);
-	if (o->as_news)
-		pack_field_u64(&p, FIELD_AS_NEWS, 1);
+	if (has_revision_hash)
+		pack_field_u64(&p, FIELD_REVISION_HASH, revision_hash);
+	if (o->as_update)
+		pack_field_u64(&p, FIELD_AS_UPDATE, 1);
 	if (o->cursor)
 		pack_field_str(&p, FIELD_CURSOR, str_from_c(o->cursor));
 	if (o->last)
@@ -152,16 +155,17 @@
 	uint64_t flags;
 
 	memset(item, 0, sizeof(*item));
-	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size < ITEM_BARE)
+	if (o->type != MSGPACK_OBJECT_ARRAY ||
+	    o->via.array.size < ITEM_LEN_WITHOUT_JSON)
 		return false;
 	e = o->via.array.ptr;
-	if (!unpack_str(&e[0], CONFSYNC_KEY_MAX, &item->key) ||
+	if (!unpack_str(&e[0], CONFSYNC_MAX_KEY_BYTES, &item->key) ||
 	    !item->key.len ||
 	    !unpack_u64(&e[1], UINT64_MAX - 1, &item->revision) ||
 	    !item->revision || !unpack_u64(&e[2], UINT64_MAX, &flags))
 		return false;
 	item->removed = flags & FLAG_REMOVED;
-	if (o->via.array.size == ITEM_BARE)
+	if (o->via.array.size == ITEM_LEN_WITHOUT_JSON)
 		return true;
 	item->has_json = true;
 	return unpack_str(&e[3], SIZE_MAX, &item->json);
@@ -208,47 +212,47 @@
 
 static bool parse_header(const msgpack_object *map, struct conf_message *msg)
 {
-	uint64_t as_news = 0, last = 0;
+	uint64_t as_update = 0, last = 0;
 
 	msg->cursor = msg->mask = STR("");
 	if (!unpack_field_u64(map, FIELD_TYPE, UINT64_MAX, &msg->type) ||
 	    !unpack_field_u64(map, FIELD_REVISION, UINT64_MAX - 1,
 			      &msg->revision) ||
 	    !unpack_field_u64(map, FIELD_HASH, UINT64_MAX, &msg->hash) ||
-	    !unpack_field_u64(map, FIELD_PROOF, UINT64_MAX, &msg->proof) ||
-	    !unpack_field_u64(map, FIELD_AS_NEWS, UINT64_MAX, &as_news) ||
-	    !unpack_field_str(map, FIELD_CURSOR, CONFSYNC_KEY_MAX,
+	    !unpack_field_u64(map, FIELD_REVISION_HASH, UINT64_MAX,
+			      &msg->revision_hash) ||
+	    !unpack_field_u64(map, FIELD_AS_UPDATE, UINT64_MAX, &as_update) ||
+	    !unpack_field_str(map, FIELD_CURSOR, CONFSYNC_MAX_KEY_BYTES,
 			      &msg->cursor) ||
 	    !unpack_field_u64(map, FIELD_LAST, UINT64_MAX, &last))
 		return false;
-	msg->has_proof = unpack_field(map, FIELD_PROOF) != NULL;
-	msg->as_news = as_news != 0;
+	msg->has_revision_hash = unpack_field(map, FIELD_REVISION_HASH) != NULL;
+	msg->as_update = as_update != 0;
 	msg->last = last != 0;
 	return true;
 }
 
 /*
- * Reads the whole message before anything of it is used. The views point into
- * the received bytes. BAD_MESSAGE when any part of it is malformed; a type or
- * field that is not known is no fault. Whether an item's value is a good one is
- * not looked at here.
+ * Decodes the whole message before any of it is used. The views point into the
+ * received bytes. BAD_MESSAGE when any part of it is malformed; unknown types
+ * and fields are accepted. The values of items are not validated here.
  */
 bool conf_parse(struct conf_message *msg, struct unpack *u, struct err *err)
 {
-	const char *what = NULL;
+	const char *malformed = NULL;
 
 	memset(msg, 0, sizeof(*msg));
 	msg->items = g_array_new(FALSE, FALSE, sizeof(struct conf_item));
 	if (!parse_header(&u->root, msg))
-		what = "header";
+		malformed = "header";
 	else if (!parse_hashes(&u->root, msg))
-		what = "hashes";
+		malformed = "hashes";
 	else if (!parse_items(unpack_field(&u->root, FIELD_ITEMS), msg))
-		what = "items";
-	if (!what)
+		malformed = "items";
+	if (!malformed)
 		return true;
 	conf_clear(msg);
-	err_set(err, ERR_BAD_MESSAGE, "configuration: malformed %s", what);
+	err_set(err, ERR_BAD_MESSAGE, "configuration: malformed %s", malformed);
 	return false;
 }
 
--- a/packages/core/src/confsync_news.c
+++ b/packages/core/src/confsync_news.c
@@ -1,72 +1,73 @@
 #include "confsync_internal.h"
 
-/* Larger values are not pushed; who lacks them asks. */
-#define BODY_MAX 4096
-/* More is no news but a bulk, which the comparison carries cheaper. */
-#define NEWS_MAX 128
-/* Messages of the largest size. */
-#define NEWS_DEBT_MESSAGES 2
-/* What was asked for is not asked of another for so long. */
-#define WANT_US (500 * USEC_PER_MSEC)
-
-/* How far news may run into debt. */
-static int64_t debt(const struct confsync *c)
+/* Larger values are not pushed; a peer that lacks one requests it. */
+#define MAX_PUSHED_VALUE_BYTES 4096
+/* More are left to the digest comparison, which is cheaper in bulk. */
+#define MAX_QUEUED_UPDATES 128
+/* Bound of the overdraft, in messages of the largest size. */
+#define OVERDRAFT_MESSAGES 2
+/* An item is not requested from another peer within this time of a request. */
+#define REQUEST_RETRY_US (500 * USEC_PER_MSEC)
+
+/* Bytes by which updates may overdraw the send budget. */
+static int64_t max_overdraft(const struct confsync *c)
 {
-	return (int64_t)NEWS_DEBT_MESSAGES * c->settings.max_message_bytes;
+	return (int64_t)OVERDRAFT_MESSAGES * c->settings.max_message_bytes;
 }
 
-/* Nothing of the entry is passed on any more. */
-void confsync_news_drop(struct confsync *c, struct entry *entry)
+/* Removes the entry from the update queue. */
+void confsync_update_drop(struct confsync *c, struct entry *entry)
 {
-	struct conf_news *news = &c->news;
+	struct conf_update_queue *updates = &c->updates;
 
-	if (!entry->news_queued)
+	if (!entry->update_queued)
 		return;
-	if (entry->news_prev)
-		entry->news_prev->news_next = entry->news_next;
+	if (entry->update_prev)
+		entry->update_prev->update_next = entry->update_next;
 	else
-		news->head = entry->news_next;
-	if (entry->news_next)
-		entry->news_next->news_prev = entry->news_prev;
+		updates->head = entry->update_next;
+	if (entry->update_next)
+		entry->update_next->update_prev = entry->update_prev;
 	else
-		news->tail = entry->news_prev;
-	entry->news_next = entry->news_prev = NULL;
-	entry->news_queued = false;
-	news->count--;
+		updates->tail = entry->update_prev;
+	entry->update_next = entry->update_prev = NULL;
+	entry->update_queued = false;
+	updates->count--;
 }
 
-/* What is in force under the key now shall be passed on, in the next tick. */
-void confsync_news_add(struct confsync *c, struct entry *entry)
+/* Queues the entry's current item to be pushed with the next tick. */
+void confsync_update_add(struct confsync *c, struct entry *entry)
 {
-	struct conf_news *news = &c->news;
+	struct conf_update_queue *updates = &c->updates;
 
-	confsync_news_drop(c, entry);
-	if (news->count >= NEWS_MAX)
+	confsync_update_drop(c, entry);
+	if (updates->count >= MAX_QUEUED_UPDATES)
 		return;
-	if (!news->count)
-		news->next_us = 0;
-	entry->news_sent = 0;
-	entry->news_queued = true;
-	entry->news_prev = news->tail;
-	if (news->tail)
-		news->tail->news_next = entry;
+	if (!updates->count)
+		updates->next_at_us = 0;
+	entry->update_sent = 0;
+	entry->update_queued = true;
+	entry->update_prev = updates->tail;
+	if (updates->tail)
+		updates->tail->update_next = entry;
 	else
-		news->head = entry;
-	news->tail = entry;
-	news->count++;
+		updates->head = entry;
+	updates->tail = entry;
+	updates->count++;
 }
 
 /*
- * Values go out whole the first time; after that most members have them, and
- * key and revision are enough to ask.
+ * Adds queued entries up to the message limit; returns the first that did not
+ * fit. Only the first round carries the value: later most members have it, and
+ * key and revision are enough for the others to request it.
  */
-static struct entry *fill(struct confsync *c, struct conf_out *o)
+static struct entry *add_queued_updates(struct confsync *c, struct conf_out *o)
 {
 	struct entry *entry;
 
-	for (entry = c->news.head; entry; entry = entry->news_next) {
-		bool body = !entry->news_sent && entry_is_live(entry) &&
-			    strlen(entry->item->json) <= BODY_MAX;
+	for (entry = c->updates.head; entry; entry = entry->update_next) {
+		bool body = !entry->update_sent && entry_is_live(entry) &&
+			    strlen(entry->item->json) <= MAX_PUSHED_VALUE_BYTES;
 
 		if (!conf_out_item(o, entry, body,
 				   c->settings.max_message_bytes))
@@ -75,7 +76,7 @@
 	return entry;
 }
 
-static void send_to_some(struct confsync *c)
+static void send_to_random_peers(struct confsync *c)
 {
 	unsigned i;
 
@@ -85,92 +86,96 @@
 
 		if (!to)
 			return;
-		conf_out_init(&o, CONF_NEWS);
-		fill(c, &o);
+		conf_out_init(&o, CONF_UPDATE);
+		add_queued_updates(c, &o);
 		confsync_send(c, to, &o);
 	}
 }
 
 /*
- * Passes news on. It may run into debt, so that a repair never delays a change
- * that an operator makes now, but not without end.
+ * Pushes queued updates. They may overdraw the send budget up to a bound, so
+ * that repairs never delay a change that an operator makes now.
  */
-void confsync_news_tick(struct confsync *c, uint64_t now_us)
+void confsync_update_tick(struct confsync *c, uint64_t now_us)
 {
-	struct conf_news *news = &c->news;
+	struct conf_update_queue *updates = &c->updates;
 	struct entry *entry, *next, *end;
 	struct conf_out o;
 
-	if (!news->count || now_us < news->next_us || c->tokens <= -debt(c))
+	if (!updates->count || now_us < updates->next_at_us ||
+	    c->tokens <= -max_overdraft(c))
 		return;
-	news->next_us = now_us + c->settings.spread_interval_us;
-	send_to_some(c);
-	/* The same choice once more, to count it. */
-	conf_out_init(&o, CONF_NEWS);
-	end = fill(c, &o);
+	updates->next_at_us = now_us + c->settings.spread_interval_us;
+	send_to_random_peers(c);
+	/* Selects the same entries again to count the round. */
+	conf_out_init(&o, CONF_UPDATE);
+	end = add_queued_updates(c, &o);
 	conf_out_clear(&o);
-	for (entry = news->head; entry != end; entry = next) {
-		next = entry->news_next;
-		if (++entry->news_sent >= c->settings.rounds)
-			confsync_news_drop(c, entry);
+	for (entry = updates->head; entry != end; entry = next) {
+		next = entry->update_next;
+		if (++entry->update_sent >= c->settings.rounds)
+			confsync_update_drop(c, entry);
 	}
 }
 
-/* Asks for an item once; whoever else has it is not asked meanwhile. */
-static bool should_ask(struct confsync *c, const struct conf_item *in,
-		       uint64_t now_us)
+/*
+ * Whether to request an item, from one peer within REQUEST_RETRY_US; notes the
+ * request if so.
+ */
+static bool should_request(struct confsync *c, const struct conf_item *in,
+			   uint64_t now_us)
 {
 	char *key = str_dup(in->key);
 	struct entry *entry = confsync_table_find(&c->table, key);
-	bool ask = in->revision > entry_revision(entry);
+	bool request = in->revision > entry_revision(entry);
 
-	if (ask && !entry && in->revision <= confsync_revision(c))
-		ask = false; /* removed here long ago */
-	if (ask && entry && in->revision <= entry->bad_revision)
-		ask = false;
-	if (ask) {
+	if (request && !entry && in->revision <= confsync_revision(c))
+		request = false; /* was removed before, see is_resurrection() */
+	if (request && entry && in->revision <= entry->bad_revision)
+		request = false;
+	if (request) {
 		entry = confsync_table_get(&c->table, key);
-		ask = entry->wanted_revision < in->revision ||
-		      now_us >= entry->wanted_until_us;
+		request = entry->requested_revision < in->revision ||
+			  now_us >= entry->request_again_at_us;
 	}
-	if (ask) {
-		entry->wanted_revision = in->revision;
-		entry->wanted_until_us = now_us + WANT_US;
+	if (request) {
+		entry->requested_revision = in->revision;
+		entry->request_again_at_us = now_us + REQUEST_RETRY_US;
 	}
 	g_free(key);
-	return ask;
+	return request;
 }
 
-static void take_news(struct confsync *c, const struct conf_item *in)
+static void apply_update(struct confsync *c, const struct conf_item *in)
 {
 	struct entry *entry;
 	char *key;
 
-	if (confsync_take(c, in, false, NULL) != TAKEN)
+	if (confsync_apply(c, in, false, NULL) != APPLY_DONE)
 		return;
 	key = str_dup(in->key);
 	entry = confsync_table_find(&c->table, key);
 	if (entry)
-		confsync_news_add(c, entry);
+		confsync_update_add(c, entry);
 	g_free(key);
 }
 
-/* Takes what came whole and passes it on; asks for the rest. */
-void confsync_on_news(struct confsync *c, const struct conf_message *msg,
-		      const struct member_info *from, uint64_t now_us)
+/* Applies and forwards items that carry their value; requests the others. */
+void confsync_on_update(struct confsync *c, const struct conf_message *msg,
+			const struct member_info *from, uint64_t now_us)
 {
 	struct conf_out o;
 	unsigned i;
 
-	conf_out_init(&o, CONF_WANT);
-	o.as_news = true;
+	conf_out_init(&o, CONF_REQUEST);
+	o.as_update = true;
 	for (i = 0; i < msg->items->len; i++) {
 		const struct conf_item *in =
 			&g_array_index(msg->items, struct conf_item, i);
 
 		if (in->removed || in->has_json)
-			take_news(c, in);
-		else if (from && should_ask(c, in, now_us))
+			apply_update(c, in);
+		else if (from && should_request(c, in, now_us))
 			conf_out_key(&o, in->key, in->revision, false,
 				     c->settings.max_message_bytes);
 	}
@@ -180,17 +185,17 @@
 		conf_out_clear(&o);
 }
 
-/* Sends what was asked for; news at once, repairs if the budget allows. */
-void confsync_on_want(struct confsync *c, const struct conf_message *msg,
-		      const struct member_info *from)
+/* Sends requested items; only updates may overdraw the send budget. */
+void confsync_on_request(struct confsync *c, const struct conf_message *msg,
+			 const struct member_info *from)
 {
-	int64_t least = msg->as_news ? -debt(c) : 0;
+	int64_t min_tokens = msg->as_update ? -max_overdraft(c) : 0;
 	struct conf_out o;
 	unsigned i;
 
-	if (c->tokens <= least)
+	if (c->tokens <= min_tokens)
 		return;
-	conf_out_init(&o, msg->as_news ? CONF_NEWS : CONF_ITEMS);
+	conf_out_init(&o, msg->as_update ? CONF_UPDATE : CONF_ITEMS);
 	for (i = 0; i < msg->items->len; i++) {
 		const struct conf_item *in =
 			&g_array_index(msg->items, struct conf_item, i);
--- a/packages/core/src/confsync_repair.c
+++ b/packages/core/src/confsync_repair.c
@@ -2,13 +2,14 @@
 
 #include <string.h>
 
-/* A node that starts asks another one when nothing has come by then. */
+/* The initial fetch tries another peer when no answer came within this time. */
 #define FETCH_TIMEOUT_US USEC_PER_SEC
-#define FETCH_AGAIN_US (200 * USEC_PER_MSEC)
-/* One digest of so many goes to any member. */
-#define FAR_DIGESTS 8
-/* Keys and revisions in one message. */
-#define KEYS_MAX_BYTES 8192
+/* Delay of the next attempt after CONF_BUSY. */
+#define FETCH_BUSY_RETRY_US (200 * USEC_PER_MSEC)
+/* One of so many digests goes to a member of another data centre. */
+#define REMOTE_DIGEST_INTERVAL 8
+/* Size limit of a CONF_KEYS message unless its first bucket is larger. */
+#define MAX_KEYS_BYTES 8192
 
 static void send_header(struct confsync *c, const struct member_info *to,
 			enum conf_type type)
@@ -20,44 +21,46 @@
 }
 
 /*
- * A node that starts takes everything from peers, part by part and each from
- * another one, so that the store need not be up and no peer is burdened.
+ * Initial fetch: a node that starts gets all items from peers, so that the
+ * store need not be up. It asks a random peer for each part, to spread the
+ * load.
  */
 static void fetch_tick(struct confsync *c, uint64_t now_us)
 {
 	const struct member_info *to;
 	struct conf_out o;
 
-	if (now_us < c->next_fetch_us)
+	if (now_us < c->next_fetch_at_us)
 		return;
 	to = confsync_neighbour(c);
 	if (!to)
 		return;
-	c->fetching = true;
-	c->next_fetch_us = now_us + FETCH_TIMEOUT_US;
+	c->fetch_pending = true;
+	c->next_fetch_at_us = now_us + FETCH_TIMEOUT_US;
 	conf_out_init(&o, CONF_FETCH);
-	o.cursor = c->cursor;
+	o.cursor = c->fetch_cursor;
 	confsync_send(c, to, &o);
 }
 
 /*
- * Compares with a neighbour; now and then with any member in another data
- * centre, so that neighbours which agree on something old do not keep it.
+ * Sends a digest to a neighbour; now and then to a member of another data
+ * centre, so that neighbours which share a stale table are repaired too.
  */
 static void digest_tick(struct confsync *c, uint64_t now_us)
 {
 	const struct member_info *to;
 
-	if (now_us < c->next_digest_us)
+	if (now_us < c->next_digest_at_us)
 		return;
-	c->next_digest_us = now_us + c->settings.digest_interval_us;
-	to = ++c->digests % FAR_DIGESTS ? confsync_neighbour(c) :
-					  confsync_far_member(c);
+	c->next_digest_at_us = now_us + c->settings.digest_interval_us;
+	to = ++c->digests_sent % REMOTE_DIGEST_INTERVAL ?
+		     confsync_neighbour(c) :
+		     confsync_remote_member(c);
 	if (to)
 		send_header(c, to, CONF_DIGEST);
 }
 
-/* Fetches all at the start, later compares. */
+/* Runs the initial fetch until the node is ready, later sends digests. */
 void confsync_repair_tick(struct confsync *c, uint64_t now_us)
 {
 	if (c->ready)
@@ -66,7 +69,10 @@
 		fetch_tick(c, now_us);
 }
 
-/* Equal tables need no more words, unless this node is complete to further. */
+/*
+ * Equal tables need no answer, unless this node's revision is higher; when they
+ * differ, the bucket hashes are sent.
+ */
 void confsync_on_digest(struct confsync *c, const struct conf_message *msg,
 			const struct member_info *from)
 {
@@ -76,7 +82,7 @@
 		return;
 	if (msg->hash == c->table.hash) {
 		if (msg->revision < confsync_revision(c))
-			send_header(c, from, CONF_HELLO);
+			send_header(c, from, CONF_REVISION);
 		return;
 	}
 	if (c->tokens <= 0)
@@ -87,12 +93,13 @@
 	confsync_send(c, from, &o);
 }
 
+/* The entries of the wanted buckets; NULL for an empty bucket. */
 struct by_bucket {
 	const bool *wanted;
 	GPtrArray *entries[CONFSYNC_BUCKETS];
 };
 
-static gboolean sort_in(gpointer key, gpointer value, gpointer user)
+static gboolean collect_by_bucket(gpointer key, gpointer value, gpointer user)
 {
 	struct by_bucket *by = user;
 	struct entry *entry = value;
@@ -108,8 +115,9 @@
 }
 
 /*
- * All entries of a bucket, or none; a first bucket always goes. A rejected
- * value counts as known, else the others would send it again and again.
+ * Adds all entries of a bucket, or none and returns false; the first bucket is
+ * always added. A rejected value is listed as known, otherwise peers would send
+ * it again and again.
  */
 static bool add_bucket(struct conf_out *o, GPtrArray *entries)
 {
@@ -124,7 +132,7 @@
 		if (conf_out_key(o, str_from_c(entry->key),
 				 bad ? entry->bad_revision : own,
 				 !bad && !entry_is_live(entry),
-				 before ? KEYS_MAX_BYTES : SIZE_MAX))
+				 before ? MAX_KEYS_BYTES : SIZE_MAX))
 			continue;
 		g_array_set_size(o->items, before);
 		o->size = size;
@@ -133,7 +141,10 @@
 	return true;
 }
 
-/* Tells keys and revisions of the buckets that differ, from a random one on. */
+/*
+ * Answers with keys and revisions of the buckets that differ, starting at a
+ * random one since not all may fit.
+ */
 void confsync_on_buckets(struct confsync *c, const struct conf_message *msg,
 			 const struct member_info *from)
 {
@@ -147,7 +158,7 @@
 		return;
 	for (i = 0; i < CONFSYNC_BUCKETS; i++)
 		wanted[i] = msg->buckets[i] != (uint32_t)c->table.buckets[i];
-	g_tree_foreach(c->table.entries, sort_in, &by);
+	g_tree_foreach(c->table.entries, collect_by_bucket, &by);
 	conf_out_init(&o, CONF_KEYS);
 	o.mask = mask;
 	o.size += sizeof(mask);
@@ -167,17 +178,21 @@
 	confsync_send(c, from, &o);
 }
 
+/* Comparison of the table with a peer's CONF_KEYS message. */
 struct compare {
 	struct confsync *c;
 	const struct conf_message *msg;
-	GHashTable *theirs; /* key -> struct conf_item */
-	GPtrArray *gone; /* entries that the other knows to be removed */
-	struct conf_out items;
-	struct conf_out want;
+	GHashTable *peer_keys; /* set of the keys in the message */
+	GPtrArray *removed_by_peer; /* entries that the peer knows as removed */
+	struct conf_out items; /* what the peer lacks */
+	struct conf_out request; /* what is missing here */
 };
 
-/* What the other has: older here, newer here, or removed here. */
-static void compare_theirs(struct compare *cmp, const struct conf_item *in)
+/*
+ * Compares one item of the peer: sends a newer one or a tombstone, applies a
+ * removal, or requests the item.
+ */
+static void compare_peer_item(struct compare *cmp, const struct conf_item *in)
 {
 	struct confsync *c = cmp->c;
 	char *key = str_dup(in->key);
@@ -189,12 +204,13 @@
 	if (in->revision < own)
 		conf_out_item(&cmp->items, entry, true, limit);
 	else if (in->revision > own && in->removed)
-		confsync_take(c, in, false, NULL);
+		confsync_apply(c, in, false, NULL);
 	else if (in->revision > own && !own && in->revision <= complete)
 		conf_out_key(&cmp->items, in->key, complete, true, limit);
 	else if (in->revision > own &&
 		 (!entry || in->revision > entry->bad_revision))
-		conf_out_key(&cmp->want, in->key, in->revision, false, limit);
+		conf_out_key(&cmp->request, in->key, in->revision, false,
+			     limit);
 	g_free(key);
 }
 
@@ -207,38 +223,40 @@
 }
 
 /*
- * What the other does not list. If it is complete up to a higher revision, the
- * item was removed; else it is news to the other.
+ * Compares an entry that the peer does not list. If the peer's table is
+ * complete up to the entry's revision or beyond, the item was removed;
+ * otherwise the peer lacks it.
  */
-static gboolean compare_own(gpointer key, gpointer value, gpointer user)
+static gboolean compare_own_entry(gpointer key, gpointer value, gpointer user)
 {
 	struct compare *cmp = user;
 	struct entry *entry = value;
 
 	if (!entry->item || !in_mask(cmp->msg, entry) ||
-	    g_hash_table_contains(cmp->theirs, key))
+	    g_hash_table_contains(cmp->peer_keys, key))
 		return FALSE;
 	if (entry_revision(entry) <= cmp->msg->revision) {
 		if (entry_is_live(entry))
-			g_ptr_array_add(cmp->gone, entry);
+			g_ptr_array_add(cmp->removed_by_peer, entry);
 		return FALSE;
 	}
 	return !conf_out_item(&cmp->items, entry, true,
 			      cmp->c->settings.max_message_bytes);
 }
 
-/* The sender's complete table lacks the key: it was removed by then. */
-static void remove_gone(struct compare *cmp)
+/* Removes keys missing from the peer's table as of its revision. */
+static void apply_peer_removals(struct compare *cmp)
 {
 	unsigned i;
 
-	for (i = 0; i < cmp->gone->len; i++) {
-		struct entry *entry = g_ptr_array_index(cmp->gone, i);
+	for (i = 0; i < cmp->removed_by_peer->len; i++) {
+		struct entry *entry =
+			g_ptr_array_index(cmp->removed_by_peer, i);
 		struct conf_item in = { .key = str_from_c(entry->key),
 					.revision = cmp->msg->revision,
 					.removed = true };
 
-		confsync_take(cmp->c, &in, false, NULL);
+		confsync_apply(cmp->c, &in, false, NULL);
 	}
 }
 
@@ -251,7 +269,7 @@
 		conf_out_clear(o);
 }
 
-/* Sends what the other lacks and asks for what is missing here. */
+/* Sends items that the peer lacks and requests those missing here. */
 void confsync_on_keys(struct confsync *c, const struct conf_message *msg,
 		      const struct member_info *from, uint64_t now_us)
 {
@@ -261,57 +279,57 @@
 	(void)now_us;
 	if (!c->ready || c->tokens <= 0)
 		return;
-	cmp.theirs =
+	cmp.peer_keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	cmp.gone = g_ptr_array_new();
+	cmp.removed_by_peer = g_ptr_array_new();
 	conf_out_init(&cmp.items, CONF_ITEMS);
-	conf_out_init(&cmp.want, CONF_WANT);
+	conf_out_init(&cmp.request, CONF_REQUEST);
 	for (i = 0; i < msg->items->len; i++) {
 		const struct conf_item *in =
 			&g_array_index(msg->items, struct conf_item, i);
 
-		compare_theirs(&cmp, in);
-		g_hash_table_add(cmp.theirs, str_dup(in->key));
+		compare_peer_item(&cmp, in);
+		g_hash_table_add(cmp.peer_keys, str_dup(in->key));
 	}
-	g_tree_foreach(c->table.entries, compare_own, &cmp);
+	g_tree_foreach(c->table.entries, compare_own_entry, &cmp);
 	send_if_any(c, from, &cmp.items);
-	remove_gone(&cmp);
-	send_if_any(c, from, &cmp.want);
-	g_ptr_array_free(cmp.gone, TRUE);
-	g_hash_table_destroy(cmp.theirs);
+	apply_peer_removals(&cmp);
+	send_if_any(c, from, &cmp.request);
+	g_ptr_array_free(cmp.removed_by_peer, TRUE);
+	g_hash_table_destroy(cmp.peer_keys);
 }
 
 /*
- * Takes what was asked for or found missing. What this node knows to be
- * removed is answered with a tombstone.
+ * Applies items that were requested or found missing. Items that this node
+ * knows to be removed are answered with tombstones.
  */
 void confsync_on_items(struct confsync *c, const struct conf_message *msg,
 		       const struct member_info *from)
 {
-	struct conf_out gone;
+	struct conf_out tombstones;
 	unsigned i;
 
-	conf_out_init(&gone, CONF_ITEMS);
+	conf_out_init(&tombstones, CONF_ITEMS);
 	for (i = 0; i < msg->items->len; i++) {
 		const struct conf_item *in =
 			&g_array_index(msg->items, struct conf_item, i);
-		enum taken taken;
+		enum apply_result result;
 
 		if (!in->removed && !in->has_json)
 			continue;
-		taken = confsync_take(c, in, false, NULL);
-		c->stats.repaired += taken == TAKEN;
-		if (taken == TAKEN_REFUSED)
-			conf_out_key(&gone, in->key, confsync_revision(c), true,
-				     c->settings.max_message_bytes);
+		result = confsync_apply(c, in, false, NULL);
+		c->stats.repaired += result == APPLY_DONE;
+		if (result == APPLY_REFUSED)
+			conf_out_key(&tombstones, in->key, confsync_revision(c),
+				     true, c->settings.max_message_bytes);
 	}
-	if (from && gone.items->len)
-		confsync_send(c, from, &gone);
+	if (from && tombstones.items->len)
+		confsync_send(c, from, &tombstones);
 	else
-		conf_out_clear(&gone);
+		conf_out_clear(&tombstones);
 }
 
-/* The next part behind the cursor. */
+/* Answers with the next items after the cursor. */
 void confsync_on_fetch(struct confsync *c, const struct conf_message *msg,
 		       const struct member_info *from)
 {
@@ -324,8 +342,8 @@
 		send_header(c, from, CONF_BUSY);
 		return;
 	}
-	conf_out_init(&o, CONF_PART);
-	o.size += CONFSYNC_KEY_MAX;
+	conf_out_init(&o, CONF_FETCH_PART);
+	o.size += CONFSYNC_MAX_KEY_BYTES;
 	node = g_tree_upper_bound(c->table.entries, cursor);
 	for (; node; node = g_tree_node_next(node)) {
 		struct entry *entry = g_tree_node_value(node);
@@ -341,38 +359,38 @@
 	g_free(cursor);
 }
 
-/* Takes a part in and asks on; after the last one the node is ready. */
-void confsync_on_part(struct confsync *c, const struct conf_message *msg,
-		      uint64_t now_us)
+/* Applies a part and requests the next; after the last the node is ready. */
+void confsync_on_fetch_part(struct confsync *c, const struct conf_message *msg,
+			    uint64_t now_us)
 {
 	unsigned i;
 
-	if (c->ready || !c->fetching)
+	if (c->ready || !c->fetch_pending)
 		return;
 	for (i = 0; i < msg->items->len; i++) {
 		const struct conf_item *in =
 			&g_array_index(msg->items, struct conf_item, i);
 
 		if (in->has_json)
-			confsync_take(c, in, false, NULL);
+			confsync_apply(c, in, false, NULL);
 	}
-	c->fetching = false;
-	c->next_fetch_us = now_us;
+	c->fetch_pending = false;
+	c->next_fetch_at_us = now_us;
 	if (msg->last) {
 		c->ready = true;
-		c->next_digest_us = now_us;
+		c->next_digest_at_us = now_us;
 	} else if (msg->cursor.len) {
-		g_free(c->cursor);
-		c->cursor = str_dup(msg->cursor);
+		g_free(c->fetch_cursor);
+		c->fetch_cursor = str_dup(msg->cursor);
 		fetch_tick(c, now_us);
 	}
 }
 
-/* The peer is not ready itself or has spent its bytes. */
+/* The peer is not ready itself or has used up its send budget. */
 void confsync_on_busy(struct confsync *c, uint64_t now_us)
 {
-	if (c->ready || !c->fetching)
+	if (c->ready || !c->fetch_pending)
 		return;
-	c->fetching = false;
-	c->next_fetch_us = now_us + FETCH_AGAIN_US;
+	c->fetch_pending = false;
+	c->next_fetch_at_us = now_us + FETCH_BUSY_RETRY_US;
 }
--- a/packages/core/src/confsync_table.c
+++ b/packages/core/src/confsync_table.c
@@ -3,8 +3,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Tombstones that nothing proves needless are kept up to this many times. */
-#define TOMBSTONES_STRETCH 4
+/* Needed tombstones are kept up to this multiple of max_tombstones. */
+#define TOMBSTONES_HARD_FACTOR 4
 
 static gint compare_keys(gconstpointer a, gconstpointer b, gpointer user)
 {
@@ -21,12 +21,12 @@
 	g_free(entry);
 }
 
-/* An empty table. */
+/* Initializes an empty table. */
 void confsync_table_init(struct confsync_table *t)
 {
 	memset(t, 0, sizeof(*t));
 	t->entries = g_tree_new_full(compare_keys, NULL, NULL, entry_free);
-	t->least_bad = UINT64_MAX;
+	t->min_bad_revision = UINT64_MAX;
 }
 
 /* Frees the entries. */
@@ -35,13 +35,13 @@
 	g_tree_destroy(t->entries);
 }
 
-/* What is known of a key, or NULL. */
+/* The entry of a key, or NULL. */
 struct entry *confsync_table_find(struct confsync_table *t, const char *key)
 {
 	return g_tree_lookup(t->entries, key);
 }
 
-/* What is known of a key; a new, empty entry if nothing is. */
+/* The entry of a key; creates an empty one if needed. */
 struct entry *confsync_table_get(struct confsync_table *t, const char *key)
 {
 	struct entry *entry = confsync_table_find(t, key);
@@ -55,7 +55,7 @@
 	return entry;
 }
 
-/* The revision of what is in force or of the tombstone, 0 for neither. */
+/* The revision of the entry's item or tombstone, 0 without one. */
 uint64_t entry_revision(const struct entry *entry)
 {
 	return entry && entry->item ? entry->item->revision : 0;
@@ -67,12 +67,13 @@
 	return entry && entry->item && !entry->item->removed;
 }
 
-/* The part of the table that it belongs to. */
+/* The hash bucket of the entry. */
 unsigned confsync_bucket(const struct entry *entry)
 {
 	return entry->key_hash % CONFSYNC_BUCKETS;
 }
 
+/* The share of a live entry in the table's hash. */
 static uint64_t live_hash(const struct entry *entry)
 {
 	uint64_t revision = entry->item->revision;
@@ -80,7 +81,8 @@
 	return XXH64(&revision, sizeof(revision), entry->key_hash);
 }
 
-static void mix(struct confsync_table *t, const struct entry *entry)
+/* Adds the entry to the hashes, or removes it: XOR is its own inverse. */
+static void toggle_hash(struct confsync_table *t, const struct entry *entry)
 {
 	uint64_t hash = live_hash(entry);
 
@@ -88,12 +90,12 @@
 	t->buckets[confsync_bucket(entry)] ^= hash;
 }
 
-/* Notes what stood there before, the oldest note goes. */
-static void note_replaced(struct confsync_table *t, const struct entry *entry,
-			  uint64_t new_revision)
+/* Records a value that is replaced, overwriting the oldest record. */
+static void record_replaced(struct confsync_table *t, const struct entry *entry,
+			    uint64_t new_revision)
 {
-	struct replaced *slot =
-		&t->replaced[t->n_replaced++ % CONFSYNC_REPLACED_MAX];
+	struct replaced_value *slot =
+		&t->replaced[t->n_replaced++ % CONFSYNC_MAX_REPLACED];
 
 	t->replaced_floor = MAX(t->replaced_floor, slot->new_revision);
 	slot->old_revision = entry->item->revision;
@@ -101,18 +103,19 @@
 	slot->hash = live_hash(entry);
 }
 
-static gboolean find_least_bad(gpointer key, gpointer value, gpointer user)
+static gboolean find_min_bad(gpointer key, gpointer value, gpointer user)
 {
 	struct confsync_table *t = user;
 	struct entry *entry = value;
 
 	(void)key;
 	if (entry->bad_revision)
-		t->least_bad = MIN(t->least_bad, entry->bad_revision);
+		t->min_bad_revision =
+			MIN(t->min_bad_revision, entry->bad_revision);
 	return FALSE;
 }
 
-/* Notes the newest value as rejected; 0: there is none any more. */
+/* Sets the revision of the entry's rejected value; 0 clears it. */
 void confsync_table_set_bad(struct confsync_table *t, struct entry *entry,
 			    uint64_t revision)
 {
@@ -121,18 +124,18 @@
 	t->n_bad -= entry->bad_revision != 0;
 	t->n_bad += revision != 0;
 	entry->bad_revision = revision;
-	t->least_bad = UINT64_MAX;
+	t->min_bad_revision = UINT64_MAX;
 	if (t->n_bad)
-		g_tree_foreach(t->entries, find_least_bad, t);
+		g_tree_foreach(t->entries, find_min_bad, t);
 }
 
-/* Puts the item in place of what was there, if anything. */
+/* Replaces the entry's item, if any; takes a reference of its own. */
 void confsync_table_set(struct confsync_table *t, struct entry *entry,
 			struct item *item)
 {
 	if (entry_is_live(entry)) {
-		note_replaced(t, entry, item->revision);
-		mix(t, entry);
+		record_replaced(t, entry, item->revision);
+		toggle_hash(t, entry);
 		t->n_items--;
 	} else if (entry->item) {
 		t->n_tombstones--;
@@ -142,7 +145,7 @@
 	if (item->removed) {
 		t->n_tombstones++;
 	} else {
-		mix(t, entry);
+		toggle_hash(t, entry);
 		t->n_items++;
 	}
 	if (entry->bad_revision && entry->bad_revision <= item->revision)
@@ -151,7 +154,8 @@
 	t->changes++;
 }
 
-static gboolean find_oldest(gpointer key, gpointer value, gpointer user)
+static gboolean find_oldest_tombstone(gpointer key, gpointer value,
+				      gpointer user)
 {
 	struct entry **oldest = user;
 	struct entry *entry = value;
@@ -165,23 +169,24 @@
 }
 
 /*
- * Forgets the oldest tombstones above the limit. One at or below this node's
+ * Drops the oldest tombstones above the limit. One at or below this node's
  * revision is not needed: a key that is missing from a complete table is known
- * to be removed, see confsync_take().
+ * to be removed, see is_resurrection(). Newer ones are kept up to
+ * TOMBSTONES_HARD_FACTOR times the limit.
  */
 void confsync_table_trim(struct confsync *c)
 {
 	struct confsync_table *t = &c->table;
-	unsigned most = c->settings.max_tombstones;
+	unsigned limit = c->settings.max_tombstones;
 
-	while (t->n_tombstones > most) {
+	while (t->n_tombstones > limit) {
 		struct entry *oldest = NULL;
 
-		g_tree_foreach(t->entries, find_oldest, &oldest);
+		g_tree_foreach(t->entries, find_oldest_tombstone, &oldest);
 		if (entry_revision(oldest) > confsync_revision(c) &&
-		    t->n_tombstones <= TOMBSTONES_STRETCH * most)
+		    t->n_tombstones <= TOMBSTONES_HARD_FACTOR * limit)
 			return;
-		confsync_news_drop(c, oldest);
+		confsync_update_drop(c, oldest);
 		confsync_table_set_bad(t, oldest, 0);
 		t->n_tombstones--;
 		t->changes++;
@@ -189,14 +194,14 @@
 	}
 }
 
-struct hash_at {
+struct hash_at_revision {
 	uint64_t revision;
 	uint64_t hash;
 };
 
 static gboolean add_live(gpointer key, gpointer value, gpointer user)
 {
-	struct hash_at *at = user;
+	struct hash_at_revision *at = user;
 	struct entry *entry = value;
 
 	(void)key;
@@ -205,14 +210,14 @@
 	return FALSE;
 }
 
-static uint64_t work_out(struct confsync_table *t, uint64_t revision)
+static uint64_t compute_hash_at(struct confsync_table *t, uint64_t revision)
 {
-	struct hash_at at = { .revision = revision };
-	unsigned i, n = MIN(t->n_replaced, CONFSYNC_REPLACED_MAX);
+	struct hash_at_revision at = { .revision = revision };
+	unsigned i, n = MIN(t->n_replaced, CONFSYNC_MAX_REPLACED);
 
 	g_tree_foreach(t->entries, add_live, &at);
 	for (i = 0; i < n; i++) {
-		const struct replaced *r = &t->replaced[i];
+		const struct replaced_value *r = &t->replaced[i];
 
 		if (r->old_revision <= revision && r->new_revision > revision)
 			at.hash ^= r->hash;
@@ -221,8 +226,9 @@
 }
 
 /*
- * Hash of keys and revisions as they stood at a revision: what is newer does
- * not count, what that replaced does. False when too much was replaced since.
+ * Hash of keys and revisions as of a revision: newer items are left out, and
+ * the values that they replaced are included. False when more values were
+ * replaced since than are remembered.
  */
 bool confsync_table_hash_at(struct confsync_table *t, uint64_t revision,
 			    uint64_t *out)
@@ -233,11 +239,11 @@
 	}
 	if (revision < t->replaced_floor)
 		return false;
-	if (t->memo_changes != t->changes || t->memo_revision != revision) {
-		t->memo_hash = work_out(t, revision);
-		t->memo_changes = t->changes;
-		t->memo_revision = revision;
+	if (t->cached_changes != t->changes || t->cached_revision != revision) {
+		t->cached_hash = compute_hash_at(t, revision);
+		t->cached_changes = t->changes;
+		t->cached_revision = revision;
 	}
-	*out = t->memo_hash;
+	*out = t->cached_hash;
 	return true;
 }
