--- a/packages/core/include/celeryquay/core/admit.h
+++ b/packages/core/include/celeryquay/core/admit.h
@@ -2,10 +2,11 @@
 #define CELERYQUAY_CORE_ADMIT_H
 
 /*
- * The queue before a server's slots: fair between callers, priority within a
- * caller, shares per profile and caller, deadlines known. A request that can
- * not be run before its deadline is refused at once with the time after which
- * a retry makes sense. Entries are owned by the user of the queue.
+ * Admission queue of a server's slots: weighted fair queueing between callers,
+ * priorities within a caller, shares per profile and caller, deadlines. A
+ * request that can't be run before its deadline is refused at once with the
+ * time after which a retry makes sense. Entries are owned by the user of the
+ * queue.
  */
 
 #include <celeryquay/core/model.h>
@@ -13,18 +14,19 @@
 
 struct admit;
 
+/* A request in the queue or in a slot. */
 struct admit_entry {
 	struct str caller; /* must live as long as the entry is queued */
 	const struct profile *profile;
-	unsigned caller_share; /* percent */
-	uint64_t deadline_us;
+	unsigned caller_share; /* weight, in percent */
+	uint64_t deadline_us; /* instant */
 	void *user;
-	/* owned by admit */
-	uint64_t queued_us;
+	/* The rest is set by admit. */
+	uint64_t queued_at_us;
 	struct admit_flow *flow;
-	struct admit_use *use;
+	struct admit_profile_state *profile_state;
 	double estimate_us; /* expected service time */
-	uint64_t started_us;
+	uint64_t started_us; /* instant */
 	GList *link;
 };
 
@@ -33,21 +35,22 @@
 void admit_set_slots(struct admit *a, unsigned slots);
 
 /*
- * Queues an entry, or refuses: OVERLOADED or SHARE_USED_UP with
- * *retry_after_us set. Nothing of a refused entry is kept.
+ * Queues an entry, or refuses it: OVERLOADED or SHARE_USED_UP with
+ * *retry_after_us set. The queue keeps no pointer to a refused entry.
  */
 bool admit_push(struct admit *a, struct admit_entry *e, uint64_t now_us,
 		uint64_t *retry_after_us, struct err *err);
-/* The next entry to run when a slot is free, else NULL; takes the slot. */
+/* Takes a free slot for the next entry to run; NULL: none. */
 struct admit_entry *admit_pop(struct admit *a, uint64_t now_us);
-/* Takes a queued entry back out (caller gone, routed elsewhere). */
+/* Removes a queued entry (caller gone, routed elsewhere). */
 void admit_remove(struct admit *a, struct admit_entry *e);
-/* An entry whose deadline can't be met any more, removed; NULL: none. */
+/* Removes an entry whose deadline can't be met any more; NULL: none. */
 struct admit_entry *admit_expired(struct admit *a, uint64_t now_us);
-/* A popped entry is done; its service time feeds the estimate. */
+/* Frees a popped entry's slot; its service time updates the estimate. */
 void admit_done(struct admit *a, struct admit_entry *e, uint64_t service_us);
 unsigned admit_queued(const struct admit *a);
 unsigned admit_running(const struct admit *a);
+/* The expected time to run all queued requests; 0 with a free slot. */
 uint64_t admit_wait_us(const struct admit *a);
 /* The expected service time of a profile's request. */
 uint64_t admit_service_us(const struct admit *a, const struct profile *profile);
--- a/packages/core/include/celeryquay/core/confsync.h
+++ b/packages/core/include/celeryquay/core/confsync.h
@@ -27,7 +27,7 @@
 struct confsync_settings {
 	unsigned fanout; /* members that each round of updates goes to */
 	unsigned rounds; /* in which a node sends the same update */
-	uint64_t spread_interval_us; /* between rounds */
+	uint64_t round_interval_us; /* between rounds */
 	uint64_t digest_interval_us; /* between digests */
 	unsigned max_message_bytes; /* a larger item is sent alone */
 	/* Send budget; only updates may overdraw it, repairs wait. */
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -4,47 +4,51 @@
 #include <xxhash.h>
 
 #define PRIORITIES 10
+/* Entries that may be queued per slot. */
 #define QUEUE_PER_SLOT 128
+/* Estimated service time until one has been measured. */
 #define DEFAULT_SERVICE_US 5000.0
+/* Divisor of the moving average of service times. */
 #define SERVICE_SMOOTHING 8.0
-/* What is left of a running request at least, in parts of its estimate. */
-#define RESIDUAL_PART 0.25
+/* A running request is expected to take at least this part of its estimate. */
+#define MIN_REMAINING_RATIO 0.25
 #define RETRY_AFTER_MIN_US (20 * USEC_PER_MSEC)
 
 /*
- * One caller's requests. Its tag is the virtual time at which it may start
- * next: service time divided by weight, so of two backlogged callers the one
- * that had less for its weight has the lower tag.
+ * One caller's requests. Its tag is the virtual start time of its next request:
+ * service time divided by weight, so of two backlogged callers the one that
+ * received less for its weight has the lower tag.
  */
 struct admit_flow {
 	char *name;
-	struct str caller; /* of the name */
+	struct str caller; /* view of name, key of by_caller */
 	unsigned weight;
 	double tag;
 	unsigned queued;
 	unsigned running;
-	double work_us; /* expected service time of the queued */
+	double work_us; /* expected service time of queued entries */
 	GQueue entries[PRIORITIES];
 };
 
-/* What is known of a profile's requests. */
-struct admit_use {
+/* Counts and service time of a profile's requests. */
+struct admit_profile_state {
 	unsigned queued;
 	unsigned running;
-	double service_us; /* smoothed, 0: never measured */
+	double service_us; /* moving average, 0: never measured */
 };
 
 struct admit {
 	unsigned slots;
 	unsigned queued;
-	double work_us;
-	double virtual_us; /* tag of the last request that started */
-	uint64_t doomed_us; /* nothing is doomed before */
+	double work_us; /* expected service time of queued entries */
+	double virtual_us; /* virtual time: highest tag that started */
+	uint64_t next_expiry_at_us; /* no queued entry expires before */
 	GHashTable *by_caller; /* struct str -> flow */
-	GPtrArray *flows; /* owned, in the order in which they came */
-	GHashTable *uses; /* profile name -> use, owned */
+	GPtrArray *flows; /* owned */
+	GHashTable *
+		profile_states; /* profile name -> admit_profile_state, owned */
 	GQueue running;
-	double service_us; /* smoothed over all */
+	double service_us; /* moving average over all profiles */
 };
 
 static guint hash_str(gconstpointer key)
@@ -70,52 +74,52 @@
 	g_free(flow);
 }
 
-/* An empty queue before so many slots. */
+/* Creates an empty queue for this number of slots. */
 struct admit *admit_create(unsigned slots)
 {
 	struct admit *a = g_new0(struct admit, 1);
 
 	a->slots = slots;
-	a->doomed_us = UINT64_MAX;
+	a->next_expiry_at_us = UINT64_MAX;
 	a->by_caller = g_hash_table_new(hash_str, equal_str);
 	a->flows = g_ptr_array_new_with_free_func(free_flow);
-	a->uses =
+	a->profile_states =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_queue_init(&a->running);
 	return a;
 }
 
-/* Frees; the entries, which are the user's, must be out. */
+/* Frees the queue; it must hold no entries. */
 void admit_destroy(struct admit *a)
 {
 	if (!a)
 		return;
 	g_hash_table_destroy(a->by_caller);
 	g_ptr_array_free(a->flows, TRUE);
-	g_hash_table_destroy(a->uses);
+	g_hash_table_destroy(a->profile_states);
 	g_free(a);
 }
 
-/* Changes the slots; what runs beyond them runs on. */
+/* Changes the number of slots; requests beyond it keep running. */
 void admit_set_slots(struct admit *a, unsigned slots)
 {
 	a->slots = slots;
 }
 
-static bool flow_is_spent(const struct admit *a, const struct admit_flow *flow)
+static bool flow_is_idle(const struct admit *a, const struct admit_flow *flow)
 {
 	return !flow->queued && !flow->running && flow->tag <= a->virtual_us;
 }
 
-/* Forgets callers that wait for nothing and owe nothing. */
-static void sweep_flows(struct admit *a)
+/* Removes callers without requests whose tag is not ahead of virtual time. */
+static void remove_idle_flows(struct admit *a)
 {
 	unsigned i = 0;
 
 	while (i < a->flows->len) {
 		struct admit_flow *flow = g_ptr_array_index(a->flows, i);
 
-		if (flow_is_spent(a, flow)) {
+		if (flow_is_idle(a, flow)) {
 			g_hash_table_remove(a->by_caller, &flow->caller);
 			g_ptr_array_remove_index_fast(a->flows, i);
 		} else {
@@ -131,7 +135,7 @@
 
 	if (flow)
 		return flow;
-	sweep_flows(a);
+	remove_idle_flows(a);
 	flow = g_new0(struct admit_flow, 1);
 	flow->name = str_dup(caller);
 	flow->caller = (struct str){ flow->name, caller.len };
@@ -143,43 +147,47 @@
 	return flow;
 }
 
-static struct admit_use *get_use(struct admit *a, const char *profile)
+static struct admit_profile_state *get_profile_state(struct admit *a,
+						     const char *profile)
 {
-	struct admit_use *use = g_hash_table_lookup(a->uses, profile);
+	struct admit_profile_state *state =
+		g_hash_table_lookup(a->profile_states, profile);
 
-	if (use)
-		return use;
-	use = g_new0(struct admit_use, 1);
-	g_hash_table_insert(a->uses, g_strdup(profile), use);
-	return use;
+	if (state)
+		return state;
+	state = g_new0(struct admit_profile_state, 1);
+	g_hash_table_insert(a->profile_states, g_strdup(profile), state);
+	return state;
 }
 
-static double estimate_us(const struct admit *a, const struct admit_use *use)
+static double estimate_us(const struct admit *a,
+			  const struct admit_profile_state *state)
 {
-	if (use->service_us > 0)
-		return use->service_us;
+	if (state->service_us > 0)
+		return state->service_us;
 	return a->service_us > 0 ? a->service_us : DEFAULT_SERVICE_US;
 }
 
 /*
- * When an entry is given up unless it has started: once less than its service
- * time is left. Not before it could start at once, for an estimate that is far
- * too high is only mended by running.
+ * When a queued entry expires: once less than its expected service time is
+ * left. It always gets the chance to start at once after it was queued, since
+ * an estimate that is far too high is corrected only by running requests.
  */
-static uint64_t doomed_at_us(const struct admit_entry *e)
+static uint64_t expires_at_us(const struct admit_entry *e)
 {
-	uint64_t least_us = (uint64_t)e->estimate_us;
+	uint64_t service_us = (uint64_t)e->estimate_us;
 
-	if (e->deadline_us <= e->queued_us + least_us)
-		return MIN(e->deadline_us, e->queued_us + 1);
-	return e->deadline_us - least_us;
+	if (e->deadline_us <= e->queued_at_us + service_us)
+		return MIN(e->deadline_us, e->queued_at_us + 1);
+	return e->deadline_us - service_us;
 }
 
-static double residual_us(const struct admit_entry *e, uint64_t now_us)
+/* The expected remaining service time of a running request. */
+static double remaining_us(const struct admit_entry *e, uint64_t now_us)
 {
 	double left_us = e->estimate_us - (double)(now_us - e->started_us);
 
-	return MAX(left_us, e->estimate_us * RESIDUAL_PART);
+	return MAX(left_us, e->estimate_us * MIN_REMAINING_RATIO);
 }
 
 static double running_work_us(const struct admit *a, uint64_t now_us)
@@ -188,12 +196,12 @@
 	GList *l;
 
 	for (l = a->running.head; l; l = l->next)
-		work_us += residual_us(l->data, now_us);
+		work_us += remaining_us(l->data, now_us);
 	return work_us;
 }
 
-/* What of the caller's own requests goes before one of this priority. */
-static double own_work_us(const struct admit_flow *flow, unsigned priority)
+/* Work of the caller's own requests that run before one of this priority. */
+static double queued_ahead_us(const struct admit_flow *flow, unsigned priority)
 {
 	double work_us = 0;
 	unsigned i;
@@ -211,14 +219,14 @@
 }
 
 /*
- * How long a new entry would wait: the work that goes before it in fair order,
- * over the slots. Of the other callers that is what starts at a lower tag.
+ * How long a new entry would wait: the work that runs before it in fair order,
+ * divided by the slots. Of other callers that is what starts at a lower tag.
  */
 static double predict_wait_us(const struct admit *a,
 			      const struct admit_flow *flow, unsigned priority,
 			      unsigned weight, uint64_t now_us)
 {
-	double own_us = flow ? own_work_us(flow, priority) : 0;
+	double own_us = flow ? queued_ahead_us(flow, priority) : 0;
 	double tag = a->virtual_us;
 	double ahead_us = own_us;
 	unsigned i;
@@ -243,9 +251,9 @@
 }
 
 /*
- * Whether the caller's flow may queue one more: as much as is left of the
- * queue. So the limit shrinks as the queue fills: one caller alone gets half,
- * two a third each, and there is always room for another.
+ * Whether the caller may queue one more: it may have as many entries as there
+ * is room left in the queue. So the limit shrinks as the queue fills: a single
+ * caller gets half, two get a third each, and there is always room for another.
  */
 static bool flow_has_room(const struct admit *a, const struct admit_flow *flow)
 {
@@ -254,12 +262,13 @@
 	return flow->queued < left;
 }
 
-/* A profile's share of the queue counts only while others wait too. */
+/* A profile's share limits it only while other profiles wait too. */
 static bool profile_has_room(const struct admit *a, const struct admit_entry *e)
 {
 	unsigned limit = queue_limit(a) * e->profile->share / 100;
 
-	return e->use->queued < MAX(limit, 1) || e->use->queued == a->queued;
+	return e->profile_state->queued < MAX(limit, 1) ||
+	       e->profile_state->queued == a->queued;
 }
 
 static bool refuse(struct err *err, enum err_code code, double wait_us,
@@ -272,9 +281,9 @@
 }
 
 /*
- * The refusals, in the order in which they are told. With a free slot the
- * deadline refuses nothing: were an estimate ever too high, nothing would run
- * and nothing correct it.
+ * Checks the reasons for refusal in the order in which they are reported. With
+ * a free slot nothing is refused because of its deadline: otherwise, with an
+ * estimate that is too high, nothing would run and correct it.
  */
 static bool may_queue(const struct admit *a, const struct admit_entry *e,
 		      uint64_t now_us, uint64_t *retry_after_us,
@@ -312,10 +321,10 @@
 	e->link = q->tail;
 	flow->queued++;
 	flow->work_us += e->estimate_us;
-	e->use->queued++;
+	e->profile_state->queued++;
 	a->queued++;
 	a->work_us += e->estimate_us;
-	a->doomed_us = MIN(a->doomed_us, doomed_at_us(e));
+	a->next_expiry_at_us = MIN(a->next_expiry_at_us, expires_at_us(e));
 }
 
 static void dequeue(struct admit *a, struct admit_entry *e)
@@ -326,45 +335,49 @@
 	e->link = NULL;
 	flow->queued--;
 	flow->work_us = flow->queued ? flow->work_us - e->estimate_us : 0;
-	e->use->queued--;
+	e->profile_state->queued--;
 	a->queued--;
 	a->work_us = a->queued ? a->work_us - e->estimate_us : 0;
 }
 
 /*
- * Queues an entry, or refuses it at once when it would not be served before
- * its deadline: waiting for nothing costs the caller the time in which it
- * could have tried elsewhere, and the server the work.
+ * Queues an entry, or refuses it at once when it would not be served before its
+ * deadline: waiting in vain costs the caller the time in which it could have
+ * tried elsewhere, and the server the work.
  */
 bool admit_push(struct admit *a, struct admit_entry *e, uint64_t now_us,
 		uint64_t *retry_after_us, struct err *err)
 {
 	e->flow = get_flow(a, e->caller);
 	e->flow->weight = MAX(e->caller_share, 1);
-	e->use = get_use(a, e->profile->name);
-	e->estimate_us = estimate_us(a, e->use);
+	e->profile_state = get_profile_state(a, e->profile->name);
+	e->estimate_us = estimate_us(a, e->profile_state);
 	if (!may_queue(a, e, now_us, retry_after_us, err)) {
 		e->flow = NULL;
 		return false;
 	}
-	e->queued_us = now_us;
+	e->queued_at_us = now_us;
 	enqueue(a, e);
 	return true;
 }
 
-/* Whether the profile runs in as many slots as its share, others waiting. */
+/*
+ * Whether the profile has taken its share of the slots while other profiles
+ * wait.
+ */
 static bool profile_is_capped(const struct admit *a,
 			      const struct admit_entry *e)
 {
 	unsigned limit = a->slots * e->profile->share / 100;
 
-	return e->use->running >= MAX(limit, 1) && e->use->queued != a->queued;
+	return e->profile_state->running >= MAX(limit, 1) &&
+	       e->profile_state->queued != a->queued;
 }
 
-/* The first entry of the caller that may start, the highest priority first. */
-static struct admit_entry *flow_pick(const struct admit *a,
-				     const struct admit_flow *flow,
-				     bool keep_shares, uint64_t now_us)
+/* The caller's first entry that may start, in the order of priority. */
+static struct admit_entry *flow_pick_entry(const struct admit *a,
+					   const struct admit_flow *flow,
+					   bool enforce_shares, uint64_t now_us)
 {
 	unsigned i;
 
@@ -374,18 +387,18 @@
 		for (l = flow->entries[i - 1].head; l; l = l->next) {
 			struct admit_entry *e = l->data;
 
-			if (now_us >= doomed_at_us(e))
+			if (now_us >= expires_at_us(e))
 				continue;
-			if (!keep_shares || !profile_is_capped(a, e))
+			if (!enforce_shares || !profile_is_capped(a, e))
 				return e;
 		}
 	}
 	return NULL;
 }
 
-/* The pick of the caller with the lowest tag that has one. */
-static struct admit_entry *pick(const struct admit *a, bool keep_shares,
-				uint64_t now_us)
+/* Of callers with an entry that may start, the entry of the lowest tag. */
+static struct admit_entry *pick_entry(const struct admit *a,
+				      bool enforce_shares, uint64_t now_us)
 {
 	struct admit_entry *best = NULL;
 	unsigned i;
@@ -396,7 +409,7 @@
 
 		if (!flow->queued || (best && flow->tag >= best->flow->tag))
 			continue;
-		e = flow_pick(a, flow, keep_shares, now_us);
+		e = flow_pick_entry(a, flow, enforce_shares, now_us);
 		if (e)
 			best = e;
 	}
@@ -404,11 +417,12 @@
 }
 
 /*
- * A caller that was passed over because its profiles run in as many slots as
- * they may gets no credit for it. Otherwise heavy requests that were held to
- * their share for a minute come before all others for the next one.
+ * Raises the tags of callers that were passed over because their profiles have
+ * taken their share of the slots, so that they gain no credit by it. Otherwise
+ * heavy requests that were held to their share for a minute would run before
+ * all others for the next minute.
  */
-static void forfeit_turns(const struct admit *a, double tag)
+static void forfeit_credit(const struct admit *a, double tag)
 {
 	unsigned i;
 
@@ -421,8 +435,8 @@
 }
 
 /*
- * The next entry to run when a slot is free, in fair order; takes the slot.
- * Shares of profiles give way when a slot would stay empty otherwise.
+ * Takes a free slot for the next entry to run, in fair order. The shares of
+ * profiles are ignored when a slot would stay empty otherwise.
  */
 struct admit_entry *admit_pop(struct admit *a, uint64_t now_us)
 {
@@ -430,45 +444,46 @@
 
 	if (!a->queued || a->running.length >= a->slots)
 		return NULL;
-	e = pick(a, true, now_us);
+	e = pick_entry(a, true, now_us);
 	if (!e)
-		e = pick(a, false, now_us);
+		e = pick_entry(a, false, now_us);
 	if (!e)
 		return NULL;
 	dequeue(a, e);
-	forfeit_turns(a, e->flow->tag);
+	forfeit_credit(a, e->flow->tag);
 	a->virtual_us = MAX(a->virtual_us, e->flow->tag);
 	e->flow->tag += e->estimate_us / e->flow->weight;
 	e->flow->running++;
-	e->use->running++;
+	e->profile_state->running++;
 	e->started_us = now_us;
 	g_queue_push_tail(&a->running, e);
 	e->link = a->running.tail;
 	return e;
 }
 
-/* Takes a queued entry back out (caller gone, routed elsewhere). */
+/* Removes a queued entry (caller gone, routed elsewhere). */
 void admit_remove(struct admit *a, struct admit_entry *e)
 {
 	dequeue(a, e);
 }
 
-/* The first entry given up by now; else *next_us is when the next will be. */
-static struct admit_entry *find_doomed(const struct admit *a, uint64_t now_us,
-				       uint64_t *next_us)
+/* An expired entry, or NULL and in *next_at_us when the next one expires. */
+static struct admit_entry *find_expired(const struct admit *a, uint64_t now_us,
+					uint64_t *next_at_us)
 {
 	unsigned i, k;
 	GList *l;
 
-	*next_us = UINT64_MAX;
+	*next_at_us = UINT64_MAX;
 	for (i = 0; i < a->flows->len; i++) {
 		const struct admit_flow *flow = g_ptr_array_index(a->flows, i);
 
 		for (k = 0; k < PRIORITIES; k++) {
 			for (l = flow->entries[k].head; l; l = l->next) {
-				if (now_us >= doomed_at_us(l->data))
+				if (now_us >= expires_at_us(l->data))
 					return l->data;
-				*next_us = MIN(*next_us, doomed_at_us(l->data));
+				*next_at_us = MIN(*next_at_us,
+						  expires_at_us(l->data));
 			}
 		}
 	}
@@ -476,21 +491,21 @@
 }
 
 /*
- * An entry whose deadline can't be met any more, removed; NULL: none. Call it
- * until then, so that each gets its final answer at once.
+ * Removes and returns an entry whose deadline can't be met any more; NULL:
+ * none. Call it until it returns NULL, so that each is answered at once.
  */
 struct admit_entry *admit_expired(struct admit *a, uint64_t now_us)
 {
 	struct admit_entry *e;
-	uint64_t next_us;
+	uint64_t next_at_us;
 
-	if (!a->queued || now_us < a->doomed_us)
+	if (!a->queued || now_us < a->next_expiry_at_us)
 		return NULL;
-	e = find_doomed(a, now_us, &next_us);
+	e = find_expired(a, now_us, &next_at_us);
 	if (e)
 		dequeue(a, e);
 	else
-		a->doomed_us = next_us;
+		a->next_expiry_at_us = next_at_us;
 	return e;
 }
 
@@ -503,9 +518,9 @@
 }
 
 /*
- * A popped entry is done and frees its slot. Its caller pays for the time that
- * it took in place of the estimate. 0 for one that ended without being served:
- * it costs nothing and teaches nothing.
+ * Frees the slot of a popped entry. Its caller is charged the service time
+ * instead of the estimate. A service time of 0 means that it ended without
+ * being served: the caller is charged nothing, and the estimates stay.
  */
 void admit_done(struct admit *a, struct admit_entry *e, uint64_t service_us)
 {
@@ -513,29 +528,29 @@
 
 	g_queue_delete_link(&a->running, e->link);
 	e->link = NULL;
-	e->use->running--;
+	e->profile_state->running--;
 	e->flow->running--;
 	e->flow->tag += error_us / e->flow->weight;
 	if (service_us) {
-		smooth(&e->use->service_us, (double)service_us);
+		smooth(&e->profile_state->service_us, (double)service_us);
 		smooth(&a->service_us, (double)service_us);
 	}
 	e->flow = NULL;
 }
 
-/* How many wait. */
+/* The number of queued entries. */
 unsigned admit_queued(const struct admit *a)
 {
 	return a->queued;
 }
 
-/* How many slots are taken. */
+/* The number of taken slots. */
 unsigned admit_running(const struct admit *a)
 {
 	return a->running.length;
 }
 
-/* How long what is queued keeps the slots busy; 0 when one is free. */
+/* The expected time to run all queued requests; 0 with a free slot. */
 uint64_t admit_wait_us(const struct admit *a)
 {
 	if (!a->queued && a->running.length < a->slots)
@@ -544,8 +559,8 @@
 }
 
 /*
- * How long a request of this caller and profile would wait if it were pushed
- * now, so that routing can compare servers by it. 0 with a free slot.
+ * How long a request of this caller and profile would wait if pushed now, for
+ * routing to compare servers. 0 with a free slot and an empty queue.
  */
 uint64_t admit_predict_us(const struct admit *a, struct str caller,
 			  const struct profile *profile, unsigned caller_share,
@@ -562,9 +577,9 @@
 /* The expected service time of a profile's request on this server. */
 uint64_t admit_service_us(const struct admit *a, const struct profile *profile)
 {
-	static const struct admit_use unknown;
-	const struct admit_use *use =
-		g_hash_table_lookup(a->uses, profile->name);
+	static const struct admit_profile_state unknown;
+	const struct admit_profile_state *known =
+		g_hash_table_lookup(a->profile_states, profile->name);
 
-	return (uint64_t)estimate_us(a, use ? use : &unknown);
+	return (uint64_t)estimate_us(a, known ? known : &unknown);
 }
--- a/packages/core/src/confsync.c
+++ b/packages/core/src/confsync.c
@@ -23,7 +23,7 @@
 	*s = (struct confsync_settings){
 		.fanout = 3,
 		.rounds = 4,
-		.spread_interval_us = 200 * USEC_PER_MSEC,
+		.round_interval_us = 200 * USEC_PER_MSEC,
 		.digest_interval_us = 2 * USEC_PER_SEC,
 		.max_message_bytes = 60000,
 		.max_bytes_per_s = 5000,
--- a/packages/core/src/confsync_news.c
+++ b/packages/core/src/confsync_news.c
@@ -105,7 +105,7 @@
 	if (!updates->count || now_us < updates->next_at_us ||
 	    c->tokens <= -max_overdraft(c))
 		return;
-	updates->next_at_us = now_us + c->settings.spread_interval_us;
+	updates->next_at_us = now_us + c->settings.round_interval_us;
 	send_to_random_peers(c);
 	/* Selects the same entries again to count the round. */
 	conf_out_init(&o, CONF_UPDATE);
