--- a/packages/core/include/celeryquay/core/admit.h
+++ b/packages/core/include/celeryquay/core/admit.h
@@ -50,7 +50,7 @@
 void admit_done(struct admit *a, struct admit_entry *e, uint64_t service_us);
 unsigned admit_queued(const struct admit *a);
 unsigned admit_running(const struct admit *a);
-/* The expected time to run all queued requests; 0 with a free slot. */
+/* The expected time to run all queued requests; 0 when none is queued. */
 uint64_t admit_wait_us(const struct admit *a);
 /* The expected service time of a profile's request. */
 uint64_t admit_service_us(const struct admit *a, const struct profile *profile);
--- a/packages/core/include/celeryquay/core/model.h
+++ b/packages/core/include/celeryquay/core/model.h
@@ -3,8 +3,8 @@
 
 /*
  * The operators' configuration as typed items. Items are immutable and
- * reference-counted: a request keeps those that it began with. model_parse()
- * checks a JSON value whole before anything of it is in force.
+ * reference-counted: a request keeps those that it began with. item_parse()
+ * validates a whole JSON value before any of it can be put in force.
  */
 
 #include <celeryquay/base/err.h>
@@ -28,10 +28,11 @@
 struct profile {
 	char *name;
 	enum access access;
-	uint64_t max_age_us; /* 0: must reflect all acknowledged before */
+	/* accepted staleness; 0: all writes acknowledged before are seen */
+	uint64_t max_age_us;
 	bool idempotent;
-	uint64_t deadline_us;
-	unsigned priority; /* 0 to 9, 9 first */
+	uint64_t deadline_us; /* time allowed for a request */
+	unsigned priority; /* 0 to 9, 9 is served first */
 	unsigned share; /* percent of a server's slots and queue */
 	uint64_t max_answer_bytes;
 	uint64_t wait_for_replica_us;
@@ -43,8 +44,8 @@
 	uint16_t port;
 	char *data_centre;
 	char *region;
-	unsigned slots;
-	unsigned connections;
+	unsigned slots; /* requests run at the same time */
+	unsigned connections; /* limit for all proxies together */
 	bool leaving;
 };
 
@@ -53,24 +54,25 @@
 	char *name;
 	char *user;
 	char *dbname;
-	unsigned reserve; /* connections per server kept for a new home */
+	/* connections per server kept free for a home that takes over */
+	unsigned reserve;
 	unsigned n_servers;
 	struct server_conf *servers;
 };
 
 struct caller_conf {
 	char *name;
-	char **token_sha256; /* lower-case hex, NULL-ended */
+	char **token_sha256; /* lower-case hex, NULL-terminated */
 	char **services; /* "*" allows all */
 	char **profiles; /* "*" allows all */
-	unsigned share;
+	unsigned share; /* percent, weight in a server's queue */
 	bool operator_rights;
 };
 
 struct key_conf {
 	char *id;
 	uint8_t secret[32];
-	bool signing;
+	bool signing; /* else only verifies */
 };
 
 struct limit_conf {
@@ -94,11 +96,11 @@
 struct item {
 	int refs;
 	enum item_kind kind;
-	char *key; /* below the prefix, as "profile/write" */
+	char *key; /* without MODEL_PREFIX, e.g. "profile/write" */
 	uint64_t revision; /* the store's mod revision */
-	bool removed; /* a tombstone; no value */
-	char *change; /* id of the change that wrote it */
-	char *json; /* the value as written, for peers and operators */
+	bool removed; /* tombstone without a value */
+	char *change; /* identifier of the change that wrote it */
+	char *json; /* the value as stored, for peers and operators */
 	union {
 		struct profile profile;
 		struct database_conf database;
@@ -110,6 +112,7 @@
 	} u;
 };
 
+/* Prefix of the configuration's keys in the store. */
 #define MODEL_PREFIX "/celeryquay/v1/"
 
 struct item *item_parse(const char *key, uint64_t revision, struct str json,
@@ -119,18 +122,18 @@
 void item_unref(struct item *item);
 const char *item_kind_name(enum item_kind kind);
 
-/* The items in force, by key. */
+/* The items and tombstones in force, by key. */
 struct model;
 
 struct model *model_create(void);
 void model_destroy(struct model *model);
-/* Puts an item in force unless an equal or higher revision is; takes a ref. */
+/* Puts an item in force if its revision is higher; takes a reference. */
 bool model_put(struct model *model, struct item *item);
 struct item *model_get(struct model *model, const char *key);
 const struct profile *model_profile(struct model *model, struct str name);
 const struct database_conf *model_database(struct model *model,
 					   struct str service, struct str name);
-/* The caller with this token, hashed and compared in constant time. */
+/* The caller with this token, compared by its hash in constant time. */
 const struct caller_conf *model_caller_by_token(struct model *model,
 						struct str token);
 /* The signing key of the highest revision, or NULL. */
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -45,8 +45,7 @@
 	uint64_t next_expiry_at_us; /* no queued entry expires before */
 	GHashTable *by_caller; /* struct str -> flow */
 	GPtrArray *flows; /* owned */
-	GHashTable *
-		profile_states; /* profile name -> admit_profile_state, owned */
+	GHashTable *profile_states; /* by profile name, owned */
 	GQueue running;
 	double service_us; /* moving average over all profiles */
 };
@@ -550,7 +549,7 @@
 	return a->running.length;
 }
 
-/* The expected time to run all queued requests; 0 with a free slot. */
+/* The expected time to run all queued requests; 0 when none is queued. */
 uint64_t admit_wait_us(const struct admit *a)
 {
 	if (!a->queued && a->running.length < a->slots)
--- a/packages/core/src/item.c
+++ b/packages/core/src/item.c
@@ -6,9 +6,11 @@
 #include <celeryquay/core/types.h>
 #include <string.h>
 
+/* Bounds the size of a value, in bytes. */
 #define ITEM_MAX_JSON 1048576
-/* One for the value, its lists and each of its servers, and room. */
+/* One each for the value, its lists and its servers, and some to spare. */
 #define ITEM_MAX_BRACKETS 64
+/* Parts of a key between slashes: the kind and up to two names. */
 #define ITEM_MAX_PARTS 3
 
 #define SHA256_HEX_LEN 64
@@ -25,9 +27,10 @@
 typedef bool (*item_read_fn)(struct item *item, char **names,
 			     struct settings *s, struct err *err);
 
+/* How the items of a kind are read and freed. */
 struct kind_info {
 	const char *name;
-	unsigned n_names; /* parts of the key after the kind */
+	unsigned n_names; /* names in the key after the kind */
 	item_read_fn read;
 	void (*clear)(struct item *item);
 };
@@ -54,7 +57,7 @@
 	bool writes;
 
 	p->name = g_strdup(names[0]);
-	if (!field_either(s, "access", SETTINGS_REQUIRED_STR, "read", "write",
+	if (!field_choice(s, "access", SETTINGS_REQUIRED_STR, "read", "write",
 			  &writes, err))
 		return false;
 	p->access = writes ? ACCESS_WRITE : ACCESS_READ;
@@ -69,7 +72,7 @@
 		return false;
 	if (p->wait_for_replica_us > p->deadline_us)
 		return settings_fail(s, "wait_for_replica_ms", err,
-				     "is longer than the deadline");
+				     "must not be longer than the deadline");
 	return true;
 }
 
@@ -85,19 +88,19 @@
 			&c->name, err) ||
 	    !field_text(s, "host", SETTINGS_REQUIRED_STR, &c->host, err) ||
 	    !field_port(s, "port", &c->port, err) ||
-	    !field_name(s, "data_centre", "", ITEM_MAX_PLACE, &c->data_centre,
-			err) ||
-	    !field_name(s, "region", "", ITEM_MAX_PLACE, &c->region, err) ||
+	    !field_name(s, "data_centre", "", ITEM_MAX_LOCATION,
+			&c->data_centre, err) ||
+	    !field_name(s, "region", "", ITEM_MAX_LOCATION, &c->region, err) ||
 	    !field_count(s, "slots", 1, SLOTS_LIMIT, SETTINGS_REQUIRED_INT,
 			 &c->slots, err) ||
 	    !field_count(s, "connections", 1, CONNECTIONS_LIMIT,
 			 SETTINGS_REQUIRED_INT, &c->connections, err) ||
-	    !field_either(s, "state", "active", "active", "leaving",
+	    !field_choice(s, "state", "active", "active", "leaving",
 			  &c->leaving, err))
 		return false;
 	if (c->connections < c->slots)
 		return settings_fail(s, "connections", err,
-				     "fewer than the slots");
+				     "must not be fewer than the slots");
 	return settings_done(s, err);
 }
 
@@ -126,7 +129,7 @@
 
 	if (!count || count > FRESH_MAX_SERVERS)
 		return settings_fail(s, "servers", err,
-				     "a list of 1 to %d is wanted",
+				     "must be a list of 1 to %d",
 				     FRESH_MAX_SERVERS);
 	db->servers = g_new0(struct server_conf, count);
 	db->n_servers = count;
@@ -232,7 +235,7 @@
 	if (ok)
 		memcpy(k->secret, bytes, len);
 	else
-		settings_fail(s, "secret", err, "base64 of %zu bytes is wanted",
+		settings_fail(s, "secret", err, "must be base64 of %zu bytes",
 			      sizeof(k->secret));
 	g_free(bytes);
 	g_free(text);
@@ -246,7 +249,7 @@
 
 	k->id = g_strdup(names[0]);
 	return read_secret(k, s, err) &&
-	       field_either(s, "state", SETTINGS_REQUIRED_STR, "accepting",
+	       field_choice(s, "state", SETTINGS_REQUIRED_STR, "accepting",
 			    "signing", &k->signing, err);
 }
 
@@ -300,7 +303,7 @@
 	m->name = g_strdup(names[0]);
 	return field_text(s, "host", SETTINGS_REQUIRED_STR, &m->host, err) &&
 	       field_port(s, "peer_port", &m->peer_port, err) &&
-	       field_either(s, "state", "live", "live", "leaving", &m->leaving,
+	       field_choice(s, "state", "live", "live", "leaving", &m->leaving,
 			    err);
 }
 
@@ -320,7 +323,7 @@
 	[ITEM_MEMBER] = { "member", 1, read_member, clear_member },
 };
 
-/* The kind as keys begin with it. */
+/* The name with which keys of this kind begin. */
 const char *item_kind_name(enum item_kind kind)
 {
 	return kinds[kind].name;
@@ -339,7 +342,7 @@
 	return true;
 }
 
-/* Finds the kind of a key that was split at its slashes. */
+/* Finds the kind of a key split at its slashes; false if it is malformed. */
 static bool key_kind(char **parts, enum item_kind *out)
 {
 	unsigned i;
@@ -355,11 +358,11 @@
 }
 
 /*
- * Whether there are no more brackets than any item needs, within strings or
- * not. The JSON parser calls itself for each level, so that a megabyte of "["
- * would use up the stack.
+ * Whether the text has no more opening brackets than any item needs, counting
+ * those in strings too. The JSON parser recurses for each level, so a megabyte
+ * of "[" would overflow the stack.
  */
-static bool brackets_ok(struct str json)
+static bool bracket_count_ok(struct str json)
 {
 	unsigned count = 0;
 	size_t i;
@@ -383,7 +386,7 @@
 	return item;
 }
 
-/* Reads the value of an item that has its key; the whole is checked. */
+/* Reads and validates the whole value of an item whose key is set. */
 static bool read_value(struct item *item, char **parts, struct str json,
 		       struct err *err)
 {
@@ -401,8 +404,8 @@
 }
 
 /*
- * Reads and checks one item. The key is that below MODEL_PREFIX. NULL and
- * BAD_ITEM, naming item, key and reason, when anything of it is wrong.
+ * Reads and validates one item. The key is given without MODEL_PREFIX. NULL and
+ * BAD_ITEM, naming item, field and reason, when any of it is invalid.
  */
 struct item *item_parse(const char *key, uint64_t revision, struct str json,
 			struct err *err)
@@ -415,8 +418,9 @@
 		err_set(err, ERR_BAD_ITEM, "%s: no such kind of item", key);
 		goto out;
 	}
-	if (json.len > ITEM_MAX_JSON || !brackets_ok(json)) {
-		err_set(err, ERR_BAD_ITEM, "%s: larger than any item", key);
+	if (json.len > ITEM_MAX_JSON || !bracket_count_ok(json)) {
+		err_set(err, ERR_BAD_ITEM,
+			"%s: value too large or with too many brackets", key);
 		goto out;
 	}
 	item = item_create(key, kind, revision);
@@ -432,7 +436,7 @@
 	return item;
 }
 
-/* The mark that an item was removed at a revision; NULL for a bad key. */
+/* Records that an item was removed at a revision; NULL for a bad key. */
 struct item *item_tombstone(const char *key, uint64_t revision)
 {
 	char **parts = g_strsplit(key, "/", ITEM_MAX_PARTS + 1);
@@ -447,14 +451,14 @@
 	return item;
 }
 
-/* One more owner. */
+/* Takes a reference. */
 struct item *item_ref(struct item *item)
 {
 	item->refs++;
 	return item;
 }
 
-/* One owner less; the last one frees. */
+/* Drops a reference; the last one frees the item. */
 void item_unref(struct item *item)
 {
 	if (!item || --item->refs)
--- a/packages/core/src/item_field.c
+++ b/packages/core/src/item_field.c
@@ -3,12 +3,15 @@
 #include <celeryquay/core/types.h>
 #include <string.h>
 
-static bool name_char(char c)
+static bool is_name_char(char c)
 {
 	return g_ascii_isalnum(c) || c == '-' || c == '_' || c == '.';
 }
 
-/* Whether a name has 1 to max of the characters that keys may have. */
+/*
+ * Whether a name has 1 to max characters, all allowed in keys, and does not
+ * begin with a dot.
+ */
 bool item_name_ok(const char *name, size_t max)
 {
 	size_t len = strlen(name);
@@ -17,13 +20,13 @@
 	if (!len || len > max || name[0] == '.')
 		return false;
 	for (i = 0; i < len; i++) {
-		if (!name_char(name[i]))
+		if (!is_name_char(name[i]))
 			return false;
 	}
 	return true;
 }
 
-/* Reads a name that fits keys and messages; an empty fallback may stay. */
+/* Reads a name that fits keys and messages; empty only if the fallback is. */
 bool field_name(struct settings *s, const char *key, const char *fallback,
 		size_t max, char **out, struct err *err)
 {
@@ -33,7 +36,7 @@
 		return true;
 	if (!item_name_ok(*out, max))
 		return settings_fail(s, key, err,
-				     "1 to %zu of a-z A-Z 0-9 - _ . are wanted",
+				     "must have 1 to %zu of a-z A-Z 0-9 - _ .",
 				     max);
 	return true;
 }
@@ -49,7 +52,7 @@
 	len = strlen(*out);
 	if (!len || len > ITEM_MAX_TEXT)
 		return settings_fail(s, key, err,
-				     "1 to %d characters are wanted",
+				     "must have 1 to %d characters",
 				     ITEM_MAX_TEXT);
 	return true;
 }
@@ -66,7 +69,7 @@
 	return true;
 }
 
-/* Reads milliseconds from min to max into microseconds. */
+/* Reads min to max milliseconds, converted to microseconds. */
 bool field_ms(struct settings *s, const char *key, int64_t min, int64_t max,
 	      int64_t fallback, uint64_t *out_us, struct err *err)
 {
@@ -78,8 +81,8 @@
 	return true;
 }
 
-/* One of two words; *out tells whether it was the second. */
-bool field_either(struct settings *s, const char *key, const char *fallback,
+/* Reads one of two words; *out tells whether it is the second. */
+bool field_choice(struct settings *s, const char *key, const char *fallback,
 		  const char *first, const char *second, bool *out,
 		  struct err *err)
 {
@@ -90,13 +93,13 @@
 		return false;
 	*out = !strcmp(word, second);
 	if (!*out && strcmp(word, first) != 0)
-		ok = settings_fail(s, key, err, "\"%s\" or \"%s\" is wanted",
+		ok = settings_fail(s, key, err, "must be \"%s\" or \"%s\"",
 				   first, second);
 	g_free(word);
 	return ok;
 }
 
-/* Reads a port, which must be there. */
+/* Reads a port, which is required. */
 bool field_port(struct settings *s, const char *key, uint16_t *out,
 		struct err *err)
 {
--- a/packages/core/src/item_field.h
+++ b/packages/core/src/item_field.h
@@ -2,16 +2,17 @@
 #define CELERYQUAY_CORE_ITEM_FIELD_H
 
 /*
- * Typed fields of configuration items, read through the checked settings:
- * names that fit keys and messages, durations, ports, two-word choices.
+ * Readers of the typed fields of configuration items: names that fit keys and
+ * messages, durations, ports, choices of two words.
  */
 
 #include <celeryquay/base/settings.h>
 
-/* service/database must fit struct session_entry. */
+/* Bounds a name so that service/database fits struct session_entry. */
 #define ITEM_MAX_NAME 47
-/* Data centres and regions must fit struct member_info. */
-#define ITEM_MAX_PLACE 31
+/* Bounds data centres and regions, which must fit struct member_info. */
+#define ITEM_MAX_LOCATION 31
+/* Bounds other texts, in bytes. */
 #define ITEM_MAX_TEXT 255
 
 bool item_name_ok(const char *name, size_t max);
@@ -23,7 +24,7 @@
 		 int64_t fallback, unsigned *out, struct err *err);
 bool field_ms(struct settings *s, const char *key, int64_t min, int64_t max,
 	      int64_t fallback, uint64_t *out_us, struct err *err);
-bool field_either(struct settings *s, const char *key, const char *fallback,
+bool field_choice(struct settings *s, const char *key, const char *fallback,
 		  const char *first, const char *second, bool *out,
 		  struct err *err);
 bool field_port(struct settings *s, const char *key, uint16_t *out,
--- a/packages/core/src/model.c
+++ b/packages/core/src/model.c
@@ -5,15 +5,15 @@
 #include <stdio.h>
 #include <string.h>
 
-#define KEY_MAX 128
+/* Size of the buffer for a key that is looked up, NUL included. */
+#define KEY_BUFFER_SIZE 128
 
 struct model {
 	GTree *items; /* key -> item, owned */
 	uint64_t revision;
-	/* SHA-256 in hex -> caller_conf, both within items; NULL: to be built
-	 */
+	/* token's SHA-256 in hex -> caller_conf, both in items; NULL: stale */
 	GHashTable *callers;
-	/* The newest signing key, within items; NULL: to be looked for. */
+	/* The newest signing key, in items; NULL: not looked up. */
 	struct item *signing;
 };
 
@@ -28,7 +28,7 @@
 	item_unref(item);
 }
 
-/* An empty model. */
+/* Creates an empty model. */
 struct model *model_create(void)
 {
 	struct model *model = g_new0(struct model, 1);
@@ -37,27 +37,27 @@
 	return model;
 }
 
-static void forget_callers(struct model *model)
+static void drop_caller_index(struct model *model)
 {
 	if (model->callers)
 		g_hash_table_destroy(model->callers);
 	model->callers = NULL;
 }
 
-/* Lets go of all items; those that requests hold live on. */
+/* Releases all items; those that requests hold stay valid. */
 void model_destroy(struct model *model)
 {
 	if (!model)
 		return;
-	forget_callers(model);
+	drop_caller_index(model);
 	g_tree_destroy(model->items);
 	g_free(model);
 }
 
 /*
- * Puts an item or a tombstone in force, with a reference of the model's own.
- * False when one of an equal or higher revision is there: news that comes late
- * or twice can't bring an old value back.
+ * Puts an item or a tombstone in force and takes a reference. False when one of
+ * an equal or higher revision is in force: a late or repeated update can't
+ * bring an old value back.
  */
 bool model_put(struct model *model, struct item *item)
 {
@@ -66,29 +66,29 @@
 	if (old && old->revision >= item->revision)
 		return false;
 	if (item->kind == ITEM_CALLER)
-		forget_callers(model);
+		drop_caller_index(model);
 	if (item->kind == ITEM_KEY)
 		model->signing = NULL;
-	/* Replaces the key too, which lives in the old item. */
+	/* Replaces the key too, since it is owned by the old item. */
 	g_tree_replace(model->items, item->key, item_ref(item));
 	model->revision = MAX(model->revision, item->revision);
 	return true;
 }
 
 /*
- * The item in force under a key, or its tombstone (see removed), or NULL. It
- * is the model's: take a reference to keep it.
+ * The item of a key, or its tombstone (see removed), or NULL. The model owns
+ * it: take a reference to keep it.
  */
 struct item *model_get(struct model *model, const char *key)
 {
 	return g_tree_lookup(model->items, key);
 }
 
-/* Looks up a key built of a kind and names; NULL when removed. */
+/* Looks up the item of a kind and one or two names; NULL when removed. */
 static struct item *get_live(struct model *model, const char *kind,
 			     struct str first, const struct str *second)
 {
-	char key[KEY_MAX];
+	char key[KEY_BUFFER_SIZE];
 	struct item *item;
 
 	if (first.len + (second ? second->len : 0) + 16 > sizeof(key))
@@ -103,7 +103,7 @@
 	return item && !item->removed ? item : NULL;
 }
 
-/* The profile of this name in force, or NULL. */
+/* The profile of this name, or NULL. */
 const struct profile *model_profile(struct model *model, struct str name)
 {
 	struct item *item = get_live(model, "profile", name, NULL);
@@ -111,7 +111,7 @@
 	return item ? &item->u.profile : NULL;
 }
 
-/* The database of this service and name in force, or NULL. */
+/* The database of this service and name, or NULL. */
 const struct database_conf *model_database(struct model *model,
 					   struct str service, struct str name)
 {
@@ -120,13 +120,13 @@
 	return item ? &item->u.database : NULL;
 }
 
-/* Equal hashes in constant time; the table's own hash is of the digest. */
+/* Compares digests in constant time; the table hashes the digest itself. */
 static gboolean digest_equal(gconstpointer a, gconstpointer b)
 {
 	return !CRYPTO_memcmp(a, b, SHA256_HEX_LEN);
 }
 
-/* Items come in the order of keys, so of two equal tokens the first counts. */
+/* Items come in the order of keys; of two equal tokens the first one wins. */
 static void index_caller(struct item *item, void *ctx)
 {
 	GHashTable *callers = ctx;
@@ -142,8 +142,8 @@
 }
 
 /*
- * The caller with this token, or NULL. What is looked up is the token's hash,
- * so the time that it takes tells nothing about a token that is nearly right.
+ * The caller with this token, or NULL. The token's hash is looked up, so the
+ * time that it takes reveals nothing about a token that is nearly right.
  */
 const struct caller_conf *model_caller_by_token(struct model *model,
 						struct str token)
@@ -170,7 +170,7 @@
 }
 
 /*
- * The key that signs: of several, that of the highest revision, so that all
+ * The key to sign with: of several the one of the highest revision, so that all
  * proxies that know the same keys use the same one. NULL when there is none.
  */
 const struct key_conf *model_signing_key(struct model *model)
@@ -180,7 +180,7 @@
 	return model->signing ? &model->signing->u.signing_key : NULL;
 }
 
-/* The limit of this name in force, or the fallback. */
+/* The value of the limit of this name, or the fallback. */
 int64_t model_limit(struct model *model, const char *name, int64_t fallback)
 {
 	struct item *item = get_live(model, "limit", str_from_c(name), NULL);
@@ -210,7 +210,7 @@
 	g_tree_foreach(model->items, visit_item, &v);
 }
 
-/* The highest revision that was ever put in force. */
+/* The highest revision that has been put in force. */
 uint64_t model_revision(struct model *model)
 {
 	return model->revision;
--- a/packages/core/src/sha256.c
+++ b/packages/core/src/sha256.c
@@ -4,22 +4,22 @@
 
 #define HASH_LEN (SHA256_HEX_LEN / 2)
 
-/* One context for the life of the process; there is one thread. */
+/* Reused for the life of the process, which has a single thread. */
 static struct {
 	EVP_MD *md;
 	EVP_MD_CTX *ctx;
 } state;
 
-/* Without SHA-256 no caller could be told from another. */
-static void prepare(void)
+/* Aborts without SHA-256, since no caller could be authenticated. */
+static void init_state(void)
 {
 	state.md = EVP_MD_fetch(NULL, "SHA256", NULL);
 	state.ctx = EVP_MD_CTX_new();
 	if (!state.md || !state.ctx)
-		g_error("OpenSSL has no SHA-256");
+		g_error("OpenSSL provides no SHA-256");
 }
 
-/* The hash of the text in small hexadecimal digits, and a NUL. */
+/* Writes the hash in lower-case hexadecimal digits, and a NUL. */
 void sha256_hex(struct str text, char out[SHA256_HEX_LEN + 1])
 {
 	static const char digits[] = "0123456789abcdef";
@@ -27,7 +27,7 @@
 	size_t i;
 
 	if (!state.ctx)
-		prepare();
+		init_state();
 	if (!EVP_DigestInit_ex2(state.ctx, state.md, NULL) ||
 	    !EVP_DigestUpdate(state.ctx, text.data, text.len) ||
 	    !EVP_DigestFinal_ex(state.ctx, hash, NULL))
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -5,10 +5,10 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* A status is small; a longer text is not one. */
-#define STATUS_MAX 65536
+/* Bounds the size of a status, in bytes; real ones are far smaller. */
+#define STATUS_MAX_BYTES 65536
 
-/* Reads a whole number from 0 on; false for anything else. */
+/* Reads an integer of at least 0; false for anything else. */
 static bool node_u64(JsonNode *node, uint64_t *out)
 {
 	gint64 value;
@@ -33,7 +33,7 @@
 	return json_object_get_boolean_member_with_default(o, key, FALSE);
 }
 
-/* A string that fits; absent or null gives the empty one. */
+/* Reads a string that fits with its NUL; absent or null gives an empty one. */
 static bool get_name(JsonObject *o, const char *key, char *out, size_t size)
 {
 	JsonNode *node = json_object_get_member(o, key);
@@ -76,7 +76,7 @@
 	       node_u64(json_array_get_element(pair, 1), &out->start);
 }
 
-/* Terms and their first positions both rise, else the text is no history. */
+/* Reads the newest HISTORY_MAX entries; terms and starts must both rise. */
 static bool get_history(JsonObject *o, struct history *out)
 {
 	JsonNode *node = json_object_get_member(o, "history");
@@ -131,7 +131,7 @@
 	       get_history(o, &out->history) && get_counts(o, out);
 }
 
-/* Reads a status in any form that JSON allows. */
+/* Reads a status in any JSON notation. */
 static bool parse_json(struct str json, struct server_status *out)
 {
 	JsonParser *parser = json_parser_new();
@@ -149,25 +149,25 @@
 }
 
 /*
- * Reads a status. All of it must be there and make sense: a status that is
- * half understood could confirm a write that no majority has. *out is void
+ * Reads a status. It must be complete and valid: a status that is only partly
+ * understood could confirm a write that no majority has. *out is undefined
  * after a failure.
  */
 bool status_parse(struct str json, struct server_status *out, struct err *err)
 {
-	if (json.len > STATUS_MAX) {
-		err_set(err, ERR_BAD_MESSAGE, "a status of %zu bytes",
+	if (json.len > STATUS_MAX_BYTES) {
+		err_set(err, ERR_BAD_MESSAGE, "status too large: %zu bytes",
 			json.len);
 		return false;
 	}
 	if (status_scan(json, out) || parse_json(json, out))
 		return true;
-	err_set(err, ERR_BAD_MESSAGE, "not a status: %.*s",
+	err_set(err, ERR_BAD_MESSAGE, "not a valid status: %.*s",
 		(int)MIN(json.len, 120), json.data);
 	return false;
 }
 
-/* Reads "term:position"; *out stays as it was after a failure. */
+/* Reads "term:index"; *out is unchanged after a failure. */
 bool position_parse(struct str text, struct position *out)
 {
 	const char *colon = memchr(text.data, ':', text.len);
--- a/packages/core/src/status_scan.c
+++ b/packages/core/src/status_scan.c
@@ -3,29 +3,30 @@
 #include <stddef.h>
 #include <string.h>
 
-/* Up to this, no number can be too large for 64 bits. */
-#define DIGITS_MAX 18
+/* Numbers of up to this many digits fit into 64 bits. */
+#define MAX_DIGITS 18
 
 struct scan {
-	const char *p;
+	const char *p; /* next character */
 	const char *end;
 };
 
 enum kind {
 	KIND_NUMBER,
-	KIND_COUNT, /* a number that is cut to an unsigned */
+	KIND_COUNT, /* a number that is capped at UINT_MAX */
 	KIND_BOOL,
 	KIND_NAME,
 	KIND_ROLE,
 	KIND_HISTORY,
 };
 
+/* A member of the JSON object and the field that it is read into. */
 struct member {
 	struct str key;
 	enum kind kind;
 	bool optional;
 	size_t offset;
-	size_t size; /* of a name */
+	size_t size; /* of the field; bounds a name */
 };
 
 #define MEMBER(key, kind, field, optional)                            \
@@ -35,7 +36,7 @@
 			sizeof(((struct server_status *)NULL)->field) \
 	}
 
-/* In the order in which they usually come. */
+/* In the order in which machines usually write them. */
 static const struct member members[] = {
 	MEMBER("server", KIND_NAME, name, true),
 	MEMBER("term", KIND_NUMBER, term, false),
@@ -76,7 +77,7 @@
 	uint64_t value = 0;
 
 	while (s->p < s->end && g_ascii_isdigit(*s->p)) {
-		if (s->p - from == DIGITS_MAX)
+		if (s->p - from == MAX_DIGITS)
 			return false;
 		value = value * 10 + (uint64_t)(*s->p++ - '0');
 	}
@@ -100,7 +101,7 @@
 	return *out || take_word(s, STR("false"));
 }
 
-/* ASCII without escapes, that fits with its NUL; null is the empty name. */
+/* Printable ASCII without escapes that fits with its NUL; null: empty. */
 static bool take_name(struct scan *s, char *out, size_t size)
 {
 	size_t n = 0;
@@ -127,7 +128,7 @@
 	return take_word(s, STR("\"replica\""));
 }
 
-/* [term,start],...] with both rising, as far as there is room for them. */
+/* [[term,start],...] with both rising; at most HISTORY_MAX entries. */
 static bool take_history(struct scan *s, struct history *out)
 {
 	struct history_entry last = { 0 };
@@ -173,7 +174,7 @@
 	return false;
 }
 
-/* The member whose key comes next, looked for from the one expected on. */
+/* Reads the next key and finds its member, trying the expected one first. */
 static const struct member *take_key(struct scan *s, size_t expected)
 {
 	size_t i;
@@ -206,10 +207,10 @@
 }
 
 /*
- * Reads a status without blanks, escapes, unknown or doubled members, with
- * numbers that need no second look. False for any other text, which may be a
- * status all the same: the JSON library has the last word on it. What is read
- * here is read to the same by the library.
+ * Reads a status without blanks, escapes, unknown or repeated members, whose
+ * numbers have at most MAX_DIGITS digits and no leading zeros. False for any
+ * other text, which may still be a valid status: the JSON library decides. A
+ * status read here gives the same result as with the library.
  */
 bool status_scan(struct str json, struct server_status *out)
 {
--- a/packages/core/src/status_scan.h
+++ b/packages/core/src/status_scan.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_CORE_STATUS_SCAN_H
 
 /*
- * Reads a status as the servers' machines write it. A write brings about three
- * statuses, and the JSON library takes some 98,000 instructions for each.
+ * Fast path for statuses in the notation that the servers' machines write. Each
+ * write causes about three statuses, and the JSON library takes some 98,000
+ * instructions for each.
  */
 
 #include <celeryquay/core/types.h>
