--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -174,11 +174,11 @@
  */
 static uint64_t expires_at_us(const struct admit_entry *e)
 {
-	uint64_t service_us = (uint64_t)e->estimate_us;
+	uint64_t expected_us = (uint64_t)e->estimate_us;
 
-	if (e->deadline_us <= e->queued_at_us + service_us)
+	if (e->deadline_us <= e->queued_at_us + expected_us)
 		return MIN(e->deadline_us, e->queued_at_us + 1);
-	return e->deadline_us - service_us;
+	return e->deadline_us - expected_us;
 }
 
 /* The expected remaining service time of a running request. */
--- a/packages/core/src/confsync_internal.h
+++ b/packages/core/src/confsync_internal.h
@@ -5,8 +5,8 @@
  * Shared by the files of the configuration gossip. confsync.c holds the public
  * functions and handles input from the store; confsync_table.c holds the items
  * and their hashes; confsync_apply.c decides which items are applied;
- * confsync_news.c pushes updates to peers; confsync_repair.c runs
- * anti-entropy and the initial fetch; confsync_message.c is the codec.
+ * confsync_news.c pushes updates to peers; confsync_repair.c runs anti-entropy
+ * and the initial fetch; confsync_message.c is the codec.
  */
 
 #include <celeryquay/core/confsync.h>
@@ -16,6 +16,7 @@
 #define CONFSYNC_MAX_KEY_BYTES 255
 /* Hash buckets of the table, compared to find where two tables differ. */
 #define CONFSYNC_BUCKETS 256
+/* Size of a bit set of the buckets. */
 #define CONFSYNC_MASK_BYTES (CONFSYNC_BUCKETS / 8)
 /* Upper bound of the setting rounds. */
 #define CONFSYNC_MAX_ROUNDS 16
@@ -49,6 +50,7 @@
 	uint64_t hash; /* its share of the table's hash */
 };
 
+/* The known items and tombstones, with hashes to compare tables by. */
 struct confsync_table {
 	GTree *entries; /* by key */
 	uint64_t hash; /* XOR over live items' keys and revisions */
@@ -59,7 +61,7 @@
 	unsigned n_bad; /* entries with a bad_revision */
 	uint64_t min_bad_revision; /* lowest bad_revision, UINT64_MAX: none */
 	uint64_t changes; /* counts modifications of the table */
-	/* ring buffer */
+	/* ring buffer of the last replaced values */
 	struct replaced_value replaced[CONFSYNC_MAX_REPLACED];
 	unsigned n_replaced; /* ever written to the ring buffer */
 	/* highest new_revision that the ring buffer has overwritten */
@@ -87,11 +89,12 @@
 struct conf_item {
 	struct str key;
 	uint64_t revision;
-	bool removed;
-	bool has_json;
+	bool removed; /* tombstone */
+	bool has_json; /* else key and revision alone */
 	struct str json;
 };
 
+/* A received message. */
 struct conf_message {
 	uint64_t type;
 	uint64_t revision; /* the sender's confsync_revision() */
@@ -99,9 +102,9 @@
 	uint64_t revision_hash; /* of the sender's table as of that revision */
 	uint64_t hash; /* of the sender's current table */
 	bool as_update; /* request: answer with CONF_UPDATE, not CONF_ITEMS */
-	struct str cursor;
-	bool last;
-	struct str mask; /* buckets covered; empty: none given */
+	struct str cursor; /* the last key of the fetch so far */
+	bool last; /* no items follow this part */
+	struct str mask; /* bit set of the buckets covered, may be empty */
 	bool has_buckets;
 	uint32_t buckets[CONFSYNC_BUCKETS];
 	GArray *items; /* struct conf_item */
