--- a/packages/core/src/item.c
+++ b/packages/core/src/item.c
@@ -420,7 +420,7 @@
 	}
 	if (json.len > ITEM_MAX_JSON || !bracket_count_ok(json)) {
 		err_set(err, ERR_BAD_ITEM,
-			"%s: larger or with more brackets than any item", key);
+			"%s: too large or too many brackets for any item", key);
 		goto out;
 	}
 	item = item_create(key, kind, revision);
