--- a/packages/transport/include/celeryquay/transport/kv_feed.h
+++ b/packages/transport/include/celeryquay/transport/kv_feed.h
@@ -2,9 +2,10 @@
 #define CELERYQUAY_TRANSPORT_KV_FEED_H
 
 /*
- * Serves to other proxies what this one follows in a store: all of it once,
- * then what changes, as a store would. An answer says how long ago the store
- * was heard. Changes are numbered by a cursor of this process.
+ * Serves the keys that this proxy follows in a store to other proxies, as the
+ * store would: everything once, then the changes. Each answer says how long ago
+ * the store last answered. Changes are numbered by a cursor that is valid for
+ * this process only.
  */
 
 #include <celeryquay/transport/kv_follow.h>
@@ -13,26 +14,33 @@
 struct kv_feed;
 
 struct kv_feed *kv_feed_create(uv_loop_t *loop, const struct kv_codec *codec);
-/* Before the port that it serves. */
+/* Call it before the HTTP port that it serves is destroyed. */
 void kv_feed_destroy(struct kv_feed *f);
 
-/* Values of up to so many bytes are sent, others are only named. */
+/* Values of up to value_max bytes are sent; larger ones are named only. */
 void kv_feed_limit(struct kv_feed *f, size_t value_max);
 
-/* As the follower tells them. */
+/* To be called from the follower's events of the same meaning. */
 void kv_feed_set(struct kv_feed *f, const char *key, uint64_t revision,
 		 struct str value);
 void kv_feed_gone(struct kv_feed *f, const char *key, uint64_t revision);
-/* What was told so far belongs together; `at` is the store's revision. */
+/*
+ * The changes reported so far form one consistent state; at: its revision of
+ * the store.
+ */
 void kv_feed_settled(struct kv_feed *f, uint64_t at);
-/* The store was heard that long before. */
+/* The store answered age_us ago. */
 void kv_feed_heard(struct kv_feed *f, uint64_t age_us);
-/* All that the store had then is known, by the boot clock. */
-void kv_feed_known(struct kv_feed *f, uint64_t known_us);
+/*
+ * Everything that the store had at known_at_us, by the boot clock, has been
+ * reported.
+ */
+void kv_feed_known(struct kv_feed *f, uint64_t known_at_us);
 
 /*
- * A call of another proxy: "since=R" for all, where what is not newer than R
- * comes without its value, or "after=C&waitMs=N" for what changed since C.
+ * Answers a request of another proxy: "since=R" for every key, where a value
+ * not newer than R is left out, or "after=C&waitMs=N" for what changed since
+ * cursor C, with up to N ms of waiting.
  */
 void kv_feed_ask(struct kv_feed *f, struct str query, struct ready_wait *wait);
 
--- a/packages/transport/include/celeryquay/transport/kv_follow.h
+++ b/packages/transport/include/celeryquay/transport/kv_follow.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TRANSPORT_KV_FOLLOW_H
 
 /*
- * Follows a key-value store over HTTP: reads all of it once, page by page,
- * then one waiting call after the other brings what changes. How the store is
- * asked and answers is a table of functions.
+ * Follows a key-value store over HTTP: reads everything once, page by page,
+ * then receives the changes by long polling. A codec, a table of functions,
+ * builds the requests and parses the answers.
  */
 
 #include <celeryquay/transport/http.h>
@@ -13,99 +13,119 @@
 	const char *key;
 	uint64_t revision;
 	bool deleted;
-	struct str value; /* data NULL: none, or it is known already */
-	struct str packed; /* to be written in its place; data NULL: not */
+	struct str value; /* data NULL: none, or left out by the sender */
+	/* compressed, written instead of value if data is not NULL */
+	struct str packed;
 };
 
 struct kv_answer {
-	uint64_t at; /* the store's revision */
-	uint64_t cursor; /* the watch goes on from it; a store's is `at` */
-	uint64_t age_us; /* what another proxy says is so old */
+	uint64_t at; /* revision of the store */
+	uint64_t cursor; /* where the next watch starts; 0: at `at` */
+	/* Of another proxy: time since the store last answered it. */
+	uint64_t age_us;
 	/*
-	 * Of another proxy: when all that the store had was known there, after
-	 * the question came (before it, if negative); INT64_MIN: not said.
+	 * Of another proxy: the time up to which it knows everything that the
+	 * store had, relative to the arrival of the request (negative: before
+	 * it); INT64_MIN: not given.
 	 */
 	int64_t known_us;
-	uint64_t written; /* the revision that a write got */
-	bool more; /* pages follow */
-	bool partial; /* of a proxy: only what is newer than `since` */
+	uint64_t written; /* revision that a write was given */
+	bool more; /* further pages follow */
+	bool partial; /* of another proxy: only the changes after `since` */
 };
 
 typedef void (*kv_item_fn)(void *ctx, const struct kv_item *item);
 
 struct kv_codec {
-	/* The next page after this key (NULL: the first one). */
+	/* The page of the range after this key; NULL: the first page. */
 	char *(*range_url)(const char *base, const char *page);
-	/* Answered as soon as there is something newer than `at`. */
+	/* A long poll, answered when there is a change after revision `at`. */
 	char *(*watch_url)(const char *base, uint64_t at, unsigned wait_ms);
-	/* One key; read() takes its answer, which has no `at`. */
+	/* Reads one key. read() parses the answer, which has no `at`. */
 	char *(*key_url)(const char *base, const char *key);
-	/* The same two of another proxy; since: values up to it are known. */
+	/*
+	 * Range and watch at another proxy. since: values up to this revision
+	 * of the store are known and need not be sent.
+	 */
 	char *(*feed_range_url)(const char *base, uint64_t since);
 	char *(*feed_watch_url)(const char *base, uint64_t cursor,
 				unsigned wait_ms);
-	/* Calls `take` with each item; false: it is no answer. */
+	/* Parses an answer and calls `take` for each item; false: malformed. */
 	bool (*read)(struct str body, struct kv_answer *answer, kv_item_fn take,
 		     void *ctx);
-	/* Compresses a value; NULL, or it gives NULL: it is sent as it is. */
+	/*
+	 * Compresses a value. If this is NULL or returns NULL, the value is
+	 * sent uncompressed.
+	 */
 	GBytes *(*pack)(struct str value);
-	/* Writes what read() reads. */
+	/* Writes an answer in the format that read() parses. */
 	void (*write)(GString *out, const struct kv_answer *answer,
 		      const struct kv_item *items, unsigned n);
-	long too_old; /* the status that says that `at` is */
-	long not_found; /* the status of a key that went */
-	/* Keys that are missing in an outage and may only have lapsed. */
+	long too_old; /* HTTP status for an `at` whose history is gone */
+	long not_found; /* HTTP status for a key that doesn't exist */
+	/*
+	 * Keys under this prefix expire unless refreshed. If one is missing
+	 * after an outage, its deletion is held back for a while.
+	 */
 	const char *held_prefix;
 };
 
-/* Whom the next range or watch asks, and how long it waits for news. */
+/* Where the next range or watch is sent, and its time limits. */
 struct kv_source {
-	const char *base; /* "http://IP:PORT"; NULL: the store */
+	/* base URL of a proxy, "http://IP:PORT"; NULL: the store */
+	const char *base;
 	unsigned wait_ms;
-	/* It is sent once more after so long without an answer; 0: it isn't. */
+	/* A call without an answer is sent again after this time; 0: never. */
 	unsigned repeat_ms;
-	/* Until the answer begins, and between two parts; more than it waits.
+	/*
+	 * Limit until the answer begins and between two of its parts; longer
+	 * than wait_ms.
 	 */
 	uint64_t timeout_us;
-	uint64_t most_us; /* of the whole call, however its answer goes on */
+	uint64_t most_us; /* limit of the whole call */
 };
 
 struct kv_events {
-	/* Each revision once. */
+	/* Each revision of a key is reported once. */
 	void (*set)(void *ctx, const char *key, uint64_t revision,
 		    struct str value);
 	void (*gone)(void *ctx, const char *key, uint64_t revision);
-	/* What was told so far belongs together; at: the store's revision. */
+	/*
+	 * The changes reported so far form one consistent state; at: its
+	 * revision of the store.
+	 */
 	void (*settled)(void *ctx, uint64_t at);
 	/*
-	 * The first page of the first range was told, and others follow; whom
-	 * they are asked from may go by it.
+	 * The first page of the first range has been reported and others
+	 * follow. source() may choose another source for these by its content.
 	 */
 	void (*first_page)(void *ctx);
 	/*
-	 * Asked before each call; base is copied. reads_all: the call is to
-	 * read all where the source stays the same.
+	 * Called before each call to choose its source; base is copied.
+	 * reads_all: the call reads everything if the source stays the same.
 	 */
 	void (*source)(void *ctx, bool reads_all, struct kv_source *out);
 	/*
-	 * The store answered a call, or did not. took_us: of one that doesn't
-	 * wait for news, 0 otherwise.
+	 * A call to the store was answered or failed. took_us: its duration if
+	 * it was no watch, otherwise 0.
 	 */
 	void (*heard)(void *ctx, bool answers, uint64_t took_us);
-	/* An answer of so many bytes can't be read; it is asked for again. */
+	/* An answer of len bytes is malformed; the call will be repeated. */
 	void (*refused)(void *ctx, long status, size_t len);
 	/*
-	 * All that the store had at that time of the boot clock is told.
+	 * Everything that the store had at this time of the boot clock has been
+	 * reported.
 	 */
-	void (*known)(void *ctx, uint64_t known_us);
+	void (*known)(void *ctx, uint64_t known_at_us);
 	/*
-	 * A proxy told of a value that it doesn't send; the store is to be
-	 * asked for it once.
+	 * A proxy named a value without sending it; source() has to choose the
+	 * store once, for this value.
 	 */
 	void (*missing)(void *ctx);
 	/*
-	 * Another proxy did; age_us: since the store was heard there. Says
-	 * whether that is current.
+	 * A call to another proxy was answered or failed. age_us: time since
+	 * the store last answered that proxy. Returns whether that is recent
+	 * enough.
 	 */
 	bool (*fed)(void *ctx, bool answered, uint64_t age_us);
 };
@@ -116,12 +136,12 @@
 				   const char *base,
 				   const struct kv_codec *codec,
 				   const struct kv_events *events, void *ctx);
-/* After http_destroy(), which ends its calls. */
+/* Call it after http_destroy(), which ends the calls in flight. */
 void kv_follow_destroy(struct kv_follow *f);
-/* Takes the items of an answer to another call. */
+/* Parses the answer to a call made elsewhere and reports its items. */
 bool kv_follow_read(struct kv_follow *f, struct str body,
 		    struct kv_answer *answer);
-/* Of a key, as it was taken last; 0: there is none. */
+/* The last revision taken of a key; 0: none. */
 uint64_t kv_follow_revision(const struct kv_follow *f, const char *key);
 
 #endif
--- a/packages/transport/include/celeryquay/transport/kv_pack.h
+++ b/packages/transport/include/celeryquay/transport/kv_pack.h
@@ -1,14 +1,14 @@
 #ifndef CELERYQUAY_TRANSPORT_KV_PACK_H
 #define CELERYQUAY_TRANSPORT_KV_PACK_H
 
-/* Values that go from proxy to proxy, compressed (zlib). */
+/* Compresses values that are sent between proxies, with zlib. */
 
 #include <celeryquay/base/str.h>
 #include <stdbool.h>
 
-/* NULL where it saves too little. */
+/* NULL if compression saves too little. */
 GBytes *kv_pack(struct str value);
-/* The value, which is known to have so many bytes; NULL: it can't be read. */
+/* Decompresses a value of `size` bytes; NULL if the input is malformed. */
 GBytes *kv_unpack(struct str packed, size_t size);
 
 #endif
--- a/packages/transport/include/celeryquay/transport/kv_table.h
+++ b/packages/transport/include/celeryquay/transport/kv_table.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TRANSPORT_KV_TABLE_H
 
 /*
- * Which revision of each key was taken, so that one is taken once, in
- * whatever order pages, events and answers tell of it. Keys that went while
- * the store was not to be trusted can be kept back for a while.
+ * The last revision taken of each key, so that each revision is taken once, in
+ * whatever order pages, events and answers report it. Deletions seen while the
+ * store is unreliable can be held back for a while.
  */
 
 #include <glib.h>
@@ -15,21 +15,27 @@
 
 struct kv_table *kv_table_create(void);
 void kv_table_destroy(struct kv_table *t);
-/* True when the value is news. */
+/* True if the revision is newer than the one taken. */
 bool kv_table_put(struct kv_table *t, const char *key, uint64_t revision);
-/* True: it is known at this revision, and is in the range. */
+/*
+ * A range named the key without its value. True if at least this revision has
+ * been taken.
+ */
 bool kv_table_confirm(struct kv_table *t, const char *key, uint64_t revision);
-/* True when the key went; hold: it is kept back instead. */
+/* True if the key was removed. hold: the deletion is held back instead. */
 bool kv_table_delete(struct kv_table *t, const char *key, uint64_t revision,
 		     bool hold);
-/* Between the two, each item of the range is put. */
+/* Call put or confirm for each item of the range between begin and end. */
 void kv_table_range_begin(struct kv_table *t);
-/* Adds the keys that went; at: the store's revision as the range began. */
+/*
+ * Adds the deleted keys to `gone`. at: the store's revision when the range
+ * began.
+ */
 void kv_table_range_end(struct kv_table *t, const char *prefix, uint64_t at,
 			const char *held_prefix, GPtrArray *gone);
-/* Ends the keeping back: adds the keys that have not come back. */
+/* Stops holding deletions back: adds the keys that have not reappeared. */
 void kv_table_release(struct kv_table *t, GPtrArray *gone);
-/* Of a key; 0: there is none. */
+/* The last revision taken of a key; 0: none. */
 uint64_t kv_table_revision(const struct kv_table *t, const char *key);
 
 #endif
--- a/packages/transport/src/kv_feed.c
+++ b/packages/transport/src/kv_feed.c
@@ -8,35 +8,48 @@
 #include <string.h>
 
 #define HTTP_OK 200
-#define HTTP_BAD 400
+#define HTTP_BAD_REQUEST 400
 #define HTTP_GONE 410
 #define HTTP_UNAVAILABLE 503
 /*
- * Larger values are not sent: who follows asks the store for them.
+ * Lowest limit on the size of a value that is sent; also the limit where
+ * neither the link nor the number of followers is known. A larger value is only
+ * named, and each follower reads it from the store.
  *
- * Failure: a configuration of a few hundred kilobytes goes to 75 followers over
- * a link of 10 Mbit/s. It takes many seconds, their calls end after one, they
- * leave for other watchers and fill those links, too. It shows as watchers that
- * answer nobody while the store, with a link for it, is idle. Guard: what is
- * sent goes by the link and its followers; this much where neither is known.
+ * Without a limit, a configuration of a few hundred kilobytes goes to 75
+ * followers over a link of 10 Mbit/s. That takes many seconds; the followers'
+ * calls time out after one, they switch to other watchers and fill those links
+ * as well, so that watchers answer nobody while the store, whose link could
+ * carry the value, is idle. Hence the limit follows from the link's bandwidth
+ * and the number of followers.
  */
-#define VALUE_LEAST_BYTES 4096
-/* Changes that are kept; who is further behind reads all. */
+#define VALUE_LIMIT_MIN_BYTES 4096
+/* Changes that are kept. A follower further behind has to read everything. */
 #define CHANGES_MAX 4096
 #define WAIT_MAX_MS 5000
-/* Shorter than a follower waits for the beginning of an answer. */
-#define START_WAIT_MS 800
-/* Between two answers of the store; one of a calm day comes sooner. */
-#define SILENCE_US (1500 * USEC_PER_MSEC)
-/* A cursor is this process's number above the count of changes. */
+/*
+ * How long a read of everything may wait for this proxy's own first read.
+ * Shorter than a follower waits for the beginning of an answer.
+ */
+#define RANGE_WAIT_MS 800
+/*
+ * A longer gap between two answers of the store counts as silence. In normal
+ * operation the next answer comes sooner.
+ */
+#define STORE_SILENCE_US (1500 * USEC_PER_MSEC)
+/*
+ * A cursor has the random epoch of this process in the upper bits and the
+ * number of changes in the lower ones.
+ */
 #define EPOCH_SHIFT 32
 #define COUNT_MASK ((UINT64_C(1) << EPOCH_SHIFT) - 1)
 
 struct entry {
 	uint64_t revision;
 	GBytes *value;
-	GBytes *packed; /* NULL: it is sent as it is */
-	bool asked; /* for the first time; it was packed then, if it can be */
+	GBytes *packed; /* compressed; NULL: the value is sent uncompressed */
+	/* set at the first request; `packed` is final then */
+	bool compression_tried;
 };
 
 struct change {
@@ -48,9 +61,13 @@
 struct waiter {
 	struct kv_feed *feed;
 	struct ready_wait *wait;
-	bool reads_all; /* came before all was read here */
-	uint64_t after; /* this cursor; reads_all: this revision */
-	uint64_t asked_us; /* of the boot clock */
+	bool reads_all; /* requested before this proxy had read everything */
+	/*
+	 * The cursor from which changes are requested; with reads_all: the
+	 * revision up to which the follower knows the store.
+	 */
+	uint64_t after;
+	uint64_t received_at_us; /* when the request came, by the boot clock */
 	uv_timer_t timer;
 	GList link;
 };
@@ -60,18 +77,23 @@
 	const struct kv_codec *codec;
 	GHashTable *entries; /* key -> struct entry */
 	GPtrArray *changes; /* struct change, oldest first */
-	uint64_t first; /* number of the oldest change */
+	uint64_t oldest_change; /* number of the oldest change that is kept */
 	uint64_t epoch;
-	uint64_t at;
-	uint64_t heard_us; /* uv_now() in microseconds */
-	uint64_t known_us; /* all that the store had then is; 0: not said */
-	bool settled; /* everything was read once */
-	size_t value_max; /* larger ones are only named */
-	uint64_t log_at; /* all changes after this revision are kept */
+	uint64_t store_revision; /* of the store, at the last kv_feed_settled()
+				  */
+	uint64_t heard_at_us; /* when the store last answered, by uv_now() */
+	/*
+	 * Everything that the store had at this time of the boot clock is known
+	 * here; 0: unknown.
+	 */
+	uint64_t known_at_us;
+	bool has_everything; /* everything has been read once */
+	size_t value_max; /* larger values are named without their data */
+	uint64_t log_start; /* every change after this revision is kept */
 	GQueue waiters;
 };
 
-static void entry_free(gpointer data)
+static void free_entry(gpointer data)
 {
 	struct entry *e = data;
 
@@ -80,7 +102,7 @@
 	g_free(e);
 }
 
-static void change_free(gpointer data)
+static void free_change(gpointer data)
 {
 	struct change *c = data;
 
@@ -93,25 +115,25 @@
 	return uv_now(f->loop) * USEC_PER_MSEC;
 }
 
-/* Refuses until everything was read once. */
+/* Requests are refused until everything has been read once. */
 struct kv_feed *kv_feed_create(uv_loop_t *loop, const struct kv_codec *codec)
 {
 	struct kv_feed *f = g_new0(struct kv_feed, 1);
 
 	f->loop = loop;
 	f->codec = codec;
-	f->value_max = VALUE_LEAST_BYTES;
+	f->value_max = VALUE_LIMIT_MIN_BYTES;
 	f->entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					   entry_free);
-	f->changes = g_ptr_array_new_with_free_func(change_free);
-	/* 0 would look like "nothing yet". */
+					   free_entry);
+	f->changes = g_ptr_array_new_with_free_func(free_change);
+	/* A cursor of 0 would mean "none yet". */
 	f->epoch = (uint64_t)(g_random_int() | 1) << EPOCH_SHIFT;
 	return f;
 }
 
 static uint64_t cursor(const struct kv_feed *f)
 {
-	return f->epoch | ((f->first + f->changes->len) & COUNT_MASK);
+	return f->epoch | ((f->oldest_change + f->changes->len) & COUNT_MASK);
 }
 
 static void add_change(struct kv_feed *f, const char *key, uint64_t revision,
@@ -128,19 +150,22 @@
 		return;
 	for (i = 0; i < CHANGES_MAX / 2; i++) {
 		c = g_ptr_array_index(f->changes, i);
-		f->log_at = MAX(f->log_at, c->revision);
+		f->log_start = MAX(f->log_start, c->revision);
 	}
 	g_ptr_array_remove_range(f->changes, 0, CHANGES_MAX / 2);
-	f->first += CHANGES_MAX / 2;
+	f->oldest_change += CHANGES_MAX / 2;
 }
 
-/* How large a value its link carries to all that follow it, in bytes. */
+/*
+ * value_max: the largest value that this proxy's link can carry to all of its
+ * followers, in bytes.
+ */
 void kv_feed_limit(struct kv_feed *f, size_t value_max)
 {
-	f->value_max = MAX(value_max, VALUE_LEAST_BYTES);
+	f->value_max = MAX(value_max, VALUE_LIMIT_MIN_BYTES);
 }
 
-/* A key has a new value. */
+/* Records the new value of a key. */
 void kv_feed_set(struct kv_feed *f, const char *key, uint64_t revision,
 		 struct str value)
 {
@@ -152,28 +177,29 @@
 	add_change(f, key, revision, false);
 }
 
-/* A key went. */
+/* Records that a key was deleted. */
 void kv_feed_gone(struct kv_feed *f, const char *key, uint64_t revision)
 {
 	if (g_hash_table_remove(f->entries, key))
 		add_change(f, key, revision, true);
 }
 
-/* Packs it when it is first asked for, once for all who ask. */
-static void prepare(const struct kv_feed *f, struct entry *e)
+/* Compresses the value when it is first requested, once for all followers. */
+static void compress_once(const struct kv_feed *f, struct entry *e)
 {
-	if (!e->asked && f->codec->pack)
+	if (!e->compression_tried && f->codec->pack)
 		e->packed = f->codec->pack(str_from_bytes(e->value));
-	e->asked = true;
+	e->compression_tried = true;
 }
 
-static size_t size_on_the_wire(const struct entry *e)
+static size_t wire_size(const struct entry *e)
 {
 	return g_bytes_get_size(e->packed ? e->packed : e->value);
 }
 
-static struct kv_item item_of(const struct kv_feed *f, const char *key,
-			      uint64_t revision, bool deleted, bool with_value)
+static struct kv_item make_item(const struct kv_feed *f, const char *key,
+				uint64_t revision, bool deleted,
+				bool with_value)
 {
 	struct kv_item item = { .key = key,
 				.revision = revision,
@@ -182,8 +208,8 @@
 
 	if (!with_value || deleted || !e)
 		return item;
-	prepare(f, e);
-	if (size_on_the_wire(e) > f->value_max)
+	compress_once(f, e);
+	if (wire_size(e) > f->value_max)
 		return item;
 	item.value = str_from_bytes(e->value);
 	if (e->packed)
@@ -191,8 +217,8 @@
 	return item;
 }
 
-/* All of it; what is not newer than `since` is named alone. */
-static void put_all(const struct kv_feed *f, GArray *items, uint64_t since)
+/* Appends every key; values that are not newer than `since` are left out. */
+static void append_all(const struct kv_feed *f, GArray *items, uint64_t since)
 {
 	GHashTableIter iter;
 	gpointer key, value;
@@ -200,19 +226,21 @@
 	g_hash_table_iter_init(&iter, f->entries);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		const struct entry *e = value;
-		struct kv_item item = item_of(f, key, e->revision, false,
-					      e->revision > since);
+		struct kv_item item = make_item(f, key, e->revision, false,
+						e->revision > since);
 
 		g_array_append_val(items, item);
 	}
 }
 
 /*
- * A key that changed twice comes twice with its last value; the second is no
- * news to who reads it. One that went and is back comes in that order.
+ * Appends the kept changes from this index on, if they are newer than `since`.
+ * Only the latest value of a key is sent: a change to which a newer one follows
+ * is skipped. A key that was deleted and written again is sent as both, in that
+ * order.
  */
-static void put_changes(const struct kv_feed *f, GArray *items, uint64_t from,
-			uint64_t since)
+static void append_changes(const struct kv_feed *f, GArray *items,
+			   uint64_t from, uint64_t since)
 {
 	uint64_t i;
 
@@ -222,31 +250,35 @@
 		struct kv_item item;
 
 		if (c->revision <= since)
-			continue; /* it is known */
+			continue; /* known to the follower */
 		if (!c->deleted && (!e || e->revision != c->revision))
-			continue; /* a later change of it follows */
-		item = item_of(f, c->key, c->revision, c->deleted, true);
+			continue; /* a later change of this key follows */
+		item = make_item(f, c->key, c->revision, c->deleted, true);
 		g_array_append_val(items, item);
 	}
 }
 
-/* How long after the question all was known, less than 0: before it. */
-static int64_t known_after_us(const struct kv_feed *f, uint64_t asked_us)
+/*
+ * The time up to which everything is known here, relative to the request's
+ * arrival (negative: before it); INT64_MIN: unknown.
+ */
+static int64_t known_offset_us(const struct kv_feed *f, uint64_t received_at_us)
 {
-	return f->known_us ? (int64_t)f->known_us - (int64_t)asked_us :
-			     INT64_MIN;
+	return f->known_at_us ?
+		       (int64_t)f->known_at_us - (int64_t)received_at_us :
+		       INT64_MIN;
 }
 
 static void answer(const struct kv_feed *f, struct ready_wait *wait,
-		   uint64_t asked_us, GArray *items, bool partial)
+		   uint64_t received_at_us, GArray *items, bool partial)
 {
 	GString *body = g_string_new(NULL);
 	uint64_t now = now_us(f);
 	struct kv_answer head = {
-		.at = f->at,
+		.at = f->store_revision,
 		.cursor = cursor(f),
-		.age_us = now - MIN(f->heard_us, now),
-		.known_us = known_after_us(f, asked_us),
+		.age_us = now - MIN(f->heard_at_us, now),
+		.known_us = known_offset_us(f, received_at_us),
 		.partial = partial,
 	};
 
@@ -255,28 +287,31 @@
 	g_string_free(body, TRUE);
 }
 
-/* All, or what is newer than `since` where every change since is kept. */
+/*
+ * Sends the changes newer than `since` if all of them are kept, otherwise every
+ * key.
+ */
 static void answer_since(const struct kv_feed *f, struct ready_wait *wait,
 			 uint64_t since)
 {
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct kv_item));
-	bool partial = since >= f->log_at && since <= f->at;
+	bool partial = since >= f->log_start && since <= f->store_revision;
 
 	if (partial)
-		put_changes(f, items, 0, since);
+		append_changes(f, items, 0, since);
 	else
-		put_all(f, items, since);
+		append_all(f, items, since);
 	answer(f, wait, clock_boot_us(), items, partial);
 	g_array_free(items, TRUE);
 }
 
 static void answer_changes(const struct kv_feed *f, struct ready_wait *wait,
-			   uint64_t asked_us, uint64_t after)
+			   uint64_t received_at_us, uint64_t after)
 {
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct kv_item));
 
-	put_changes(f, items, (after & COUNT_MASK) - f->first, 0);
-	answer(f, wait, asked_us, items, true);
+	append_changes(f, items, (after & COUNT_MASK) - f->oldest_change, 0);
+	answer(f, wait, received_at_us, items, true);
 	g_array_free(items, TRUE);
 }
 
@@ -285,41 +320,41 @@
 	g_free(timer->data);
 }
 
-static void forget(struct waiter *w)
+static void remove_waiter(struct waiter *w)
 {
 	g_queue_unlink(&w->feed->waiters, &w->link);
 	uv_close((uv_handle_t *)&w->timer, on_closed);
 }
 
-static void serve(struct waiter *w)
+static void answer_waiter(struct waiter *w)
 {
 	struct ready_wait *wait = w->wait;
 	struct kv_feed *f = w->feed;
-	uint64_t after = w->after, asked_us = w->asked_us;
+	uint64_t after = w->after, received_at_us = w->received_at_us;
 	bool reads_all = w->reads_all;
 
 	ready_on_gone(wait, NULL, NULL);
-	forget(w);
-	if (!f->settled)
+	remove_waiter(w);
+	if (!f->has_everything)
 		ready_answer(wait, HTTP_UNAVAILABLE, STR(""));
 	else if (reads_all)
 		answer_since(f, wait, after);
 	else
-		answer_changes(f, wait, asked_us, after);
+		answer_changes(f, wait, received_at_us, after);
 }
 
 static void on_timer(uv_timer_t *timer)
 {
-	serve(timer->data);
+	answer_waiter(timer->data);
 }
 
-static void on_gone(void *ctx)
+static void on_disconnect(void *ctx)
 {
-	forget(ctx);
+	remove_waiter(ctx);
 }
 
-static void wait_for_news(struct kv_feed *f, struct ready_wait *wait,
-			  bool reads_all, uint64_t after, uint64_t wait_ms)
+static void add_waiter(struct kv_feed *f, struct ready_wait *wait,
+		       bool reads_all, uint64_t after, uint64_t wait_ms)
 {
 	struct waiter *w = g_new0(struct waiter, 1);
 
@@ -327,61 +362,64 @@
 	w->wait = wait;
 	w->reads_all = reads_all;
 	w->after = after;
-	w->asked_us = clock_boot_us();
+	w->received_at_us = clock_boot_us();
 	w->link.data = w;
 	uv_timer_init(f->loop, &w->timer);
 	w->timer.data = w;
 	uv_timer_start(&w->timer, on_timer, MIN(wait_ms, WAIT_MAX_MS), 0);
 	g_queue_push_tail_link(&f->waiters, &w->link);
-	ready_on_gone(wait, on_gone, w);
+	ready_on_gone(wait, on_disconnect, w);
 }
 
-/* Those that wait are answered now; all: also where there is no news. */
-static void serve_waiters(struct kv_feed *f, bool all)
+/* Answers the waiting requests that have changes to receive; all: every one. */
+static void answer_waiters(struct kv_feed *f, bool all)
 {
 	GList *l, *next;
 
-	if (!f->settled)
+	if (!f->has_everything)
 		return;
 	for (l = f->waiters.head; l; l = next) {
 		struct waiter *w = l->data;
 
 		next = l->next;
 		if (all || w->reads_all || w->after != cursor(f))
-			serve(w);
+			answer_waiter(w);
 	}
 }
 
 /*
- * The store was heard that long before. Where it had been silent, those that
- * wait learn at once that it is back.
+ * The store answered age_us ago. After a silence of the store every waiting
+ * follower is answered at once, so that it learns that the store is back.
  */
 void kv_feed_heard(struct kv_feed *f, uint64_t age_us)
 {
-	uint64_t now = now_us(f), before_us = f->heard_us;
+	uint64_t now = now_us(f), previous_at_us = f->heard_at_us;
 
-	f->heard_us = now > age_us ? now - age_us : 0;
-	if (f->heard_us > before_us + SILENCE_US)
-		serve_waiters(f, true);
+	f->heard_at_us = now > age_us ? now - age_us : 0;
+	if (f->heard_at_us > previous_at_us + STORE_SILENCE_US)
+		answer_waiters(f, true);
 }
 
-/* Told after all that was known by then. */
-void kv_feed_known(struct kv_feed *f, uint64_t known_us)
+/* Called after everything known by then has been reported here. */
+void kv_feed_known(struct kv_feed *f, uint64_t known_at_us)
 {
-	f->known_us = MAX(f->known_us, known_us);
+	f->known_at_us = MAX(f->known_at_us, known_at_us);
 }
 
-/* What was told so far belongs together: those that wait for news get it. */
+/*
+ * The changes reported so far form one consistent state at this revision of the
+ * store; waiting followers receive them.
+ */
 void kv_feed_settled(struct kv_feed *f, uint64_t at)
 {
-	if (!f->settled)
-		f->log_at = at;
-	f->settled = true;
-	f->at = MAX(f->at, at);
-	serve_waiters(f, false);
+	if (!f->has_everything)
+		f->log_start = at;
+	f->has_everything = true;
+	f->store_revision = MAX(f->store_revision, at);
+	answer_waiters(f, false);
 }
 
-/* The number behind "name=" in a query; false when it isn't there. */
+/* Parses the number after "name=" in a query; false if there is none. */
 static bool query_number(struct str query, const char *name, uint64_t *out)
 {
 	char *text = str_dup(query);
@@ -398,47 +436,51 @@
 	return found;
 }
 
-/* Whether the changes since the cursor are still known here. */
-static bool is_known(const struct kv_feed *f, uint64_t after)
+/* Whether the cursor is of this process and all changes after it are kept. */
+static bool has_changes_after(const struct kv_feed *f, uint64_t after)
 {
 	uint64_t n = after & COUNT_MASK;
 
-	return (after & ~COUNT_MASK) == f->epoch && n >= f->first &&
-	       n <= f->first + f->changes->len;
+	return (after & ~COUNT_MASK) == f->epoch && n >= f->oldest_change &&
+	       n <= f->oldest_change + f->changes->len;
 }
 
-/* Where both proxies have just started, it waits until all was read here. */
-static void ask_all(struct kv_feed *f, struct ready_wait *wait, uint64_t since)
+/*
+ * If this proxy has just started too, the request waits until everything has
+ * been read here.
+ */
+static void answer_range(struct kv_feed *f, struct ready_wait *wait,
+			 uint64_t since)
 {
-	if (f->settled)
+	if (f->has_everything)
 		answer_since(f, wait, since);
 	else
-		wait_for_news(f, wait, true, since, START_WAIT_MS);
+		add_waiter(f, wait, true, since, RANGE_WAIT_MS);
 }
 
-/* A call of another proxy. */
+/* Answers a request of another proxy, at once or when there are changes. */
 void kv_feed_ask(struct kv_feed *f, struct str query, struct ready_wait *wait)
 {
 	uint64_t after, since, wait_ms;
 
 	if (query_number(query, "since", &since))
-		ask_all(f, wait, since);
-	else if (!f->settled)
+		answer_range(f, wait, since);
+	else if (!f->has_everything)
 		ready_answer(wait, HTTP_UNAVAILABLE, STR(""));
 	else if (!query_number(query, "after", &after) ||
 		 !query_number(query, "waitMs", &wait_ms))
-		ready_answer(wait, HTTP_BAD, STR(""));
-	else if (!is_known(f, after))
+		ready_answer(wait, HTTP_BAD_REQUEST, STR(""));
+	else if (!has_changes_after(f, after))
 		ready_answer(wait, HTTP_GONE, STR(""));
 	else if (after != cursor(f))
 		answer_changes(f, wait, clock_boot_us(), after);
 	else
-		wait_for_news(f, wait, false, after, wait_ms);
+		add_waiter(f, wait, false, after, wait_ms);
 }
 
 /*
- * NULL is ignored. Before the port that it serves, which could not end while
- * calls are without an answer.
+ * NULL is ignored. Must precede the destruction of the HTTP port, which can't
+ * close while requests are unanswered.
  */
 void kv_feed_destroy(struct kv_feed *f)
 {
@@ -449,7 +491,7 @@
 		struct ready_wait *wait = w->wait;
 
 		ready_on_gone(wait, NULL, NULL);
-		forget(w);
+		remove_waiter(w);
 		ready_answer(wait, HTTP_UNAVAILABLE, STR(""));
 	}
 	g_ptr_array_unref(f->changes);
--- a/packages/transport/src/kv_follow.c
+++ b/packages/transport/src/kv_follow.c
@@ -8,24 +8,27 @@
 
 #define CONNECT_TIMEOUT_US (1000 * USEC_PER_MSEC)
 #define NSEC_PER_USEC 1000
-#define WATCH_LATE_US USEC_PER_SEC
-#define GATHER_MS 200
-#define RETRY_LEAST_MS 60
-#define RETRY_MOST_MS 300
-/* Entries that lapsed in an outage are back by then, if anybody lives. */
-#define HOLD_MS 2500
+#define WATCH_DELAY_MAX_US USEC_PER_SEC
+#define BATCH_DELAY_MS 200
+#define RETRY_MIN_MS 60
+#define RETRY_MAX_MS 300
+/*
+ * How long deletions are held back after an outage. By then a live server has
+ * written its expired entry again.
+ */
+#define DELETION_HOLD_MS 2500
 #define HTTP_OK 200
 
-/* A proxy's answers have been gathered already. */
-#define FEED_GATHER_MS 10
+/* A proxy's answers come batched already. */
+#define FEED_BATCH_DELAY_MS 10
 
-/* A call that has no answer yet. */
-struct asked {
+/* A call without an answer so far. */
+struct pending_call {
 	struct kv_follow *follow;
 	struct http_call *call;
-	uint64_t sent_ns;
-	uint64_t sent_us; /* of the boot clock */
-	GList link; /* in asked */
+	uint64_t sent_at_ns;
+	uint64_t sent_at_us; /* by the boot clock */
+	GList link; /* in kv_follow's pending_calls */
 };
 
 struct kv_follow {
@@ -38,38 +41,44 @@
 	uv_timer_t retry;
 	uv_timer_t repeat;
 	uv_timer_t release;
-	GQueue asked; /* the same call, sent more than once in a silence */
-	char *feed; /* the proxy that is asked; NULL: the store */
-	char *left_feed; /* the one before, to go on with */
-	uint64_t left_cursor;
+	/* Several if the store is silent and the same call was repeated. */
+	GQueue pending_calls;
+	char *feed; /* base URL of the proxy in use; NULL: the store */
+	/*
+	 * The proxy that was left to read a value from the store, and where its
+	 * watch continues.
+	 */
+	char *previous_feed;
+	uint64_t previous_cursor;
 	struct kv_source source;
-	uint64_t cursor; /* the watch goes on from here; 0: a range is due */
-	uint64_t known_at; /* all up to this revision of the store is known */
-	uint64_t range_at; /* the store's revision at the first page */
+	uint64_t cursor; /* where the next watch starts; 0: a range is due */
+	uint64_t known_revision; /* everything up to this revision is known */
+	uint64_t range_revision; /* revision of the store at the first page */
 	uint64_t range_cursor;
-	uint64_t range_us; /* the first page was asked for then */
-	uint64_t sent_us; /* the call that was answered last */
-	char *page; /* the key before the next page; NULL: the first one */
-	char *last; /* key of the answer's last item */
-	unsigned delay_ms; /* before the next try; 0: all is well */
-	bool incomplete; /* a value was left out that isn't known here */
-	bool owed; /* the store's answer that brings it has not come yet */
-	char *owed_key; /* it is this one; NULL: several */
-	bool reads_key; /* the call in flight asks for it */
-	bool partial; /* the range is no range: nothing is missing in it */
-	bool failing;
-	bool holding;
+	uint64_t range_sent_at_us; /* when the first page was requested */
+	uint64_t sent_at_us; /* when the last answered call was sent */
+	char *page; /* the next page starts after it; NULL: first page */
+	char *last_key; /* key of the last item of the answer */
+	unsigned retry_delay_ms; /* before the next retry; 0: no failure */
+	bool value_omitted; /* the answer lacks a value not known here */
+	bool value_missing; /* such a value has yet to come from the store */
+	char *missing_key; /* its key; NULL: several keys */
+	bool reads_key; /* the call in flight reads missing_key only */
+	/* The range holds changes only, so an absent key was not deleted. */
+	bool partial;
+	bool store_failing;
+	bool holds_deletions;
 };
 
 static void next_call(struct kv_follow *f);
 
-static void tell_gone(struct kv_follow *f, GPtrArray *gone)
+static void report_deleted(struct kv_follow *f, GPtrArray *gone)
 {
 	unsigned i;
 
 	for (i = 0; i < gone->len; i++)
 		f->events->gone(f->ctx, g_ptr_array_index(gone, i),
-				f->known_at);
+				f->known_revision);
 	g_ptr_array_unref(gone);
 }
 
@@ -78,28 +87,32 @@
 	struct kv_follow *f = timer->data;
 	GPtrArray *gone;
 
-	if (f->failing)
+	if (f->store_failing)
 		return;
-	f->holding = false;
+	f->holds_deletions = false;
 	gone = g_ptr_array_new_with_free_func(g_free);
 	kv_table_release(f->table, gone);
-	tell_gone(f, gone);
-	f->events->settled(f->ctx, f->known_at);
+	report_deleted(f, gone);
+	f->events->settled(f->ctx, f->known_revision);
 }
 
-/* What is missing in and right after an outage may only have lapsed. */
-static void note_store(struct kv_follow *f, bool works)
+/*
+ * Notes whether the store answers. Deletions seen during an outage and right
+ * after it are held back, since the keys may only have expired.
+ */
+static void set_store_state(struct kv_follow *f, bool works)
 {
-	if (works && f->failing)
-		uv_timer_start(&f->release, on_release, HOLD_MS, 0);
-	f->failing = !works;
+	if (works && f->store_failing)
+		uv_timer_start(&f->release, on_release, DELETION_HOLD_MS, 0);
+	f->store_failing = !works;
 	if (!works)
-		f->holding = true;
+		f->holds_deletions = true;
 }
 
-static void heard(struct kv_follow *f, bool works, uint64_t took_us)
+static void report_store_result(struct kv_follow *f, bool works,
+				uint64_t took_us)
 {
-	note_store(f, works);
+	set_store_state(f, works);
 	f->events->heard(f->ctx, works, f->cursor ? 0 : took_us);
 }
 
@@ -108,12 +121,12 @@
 	next_call(timer->data);
 }
 
-static bool is_answered(const struct kv_follow *f)
+static bool is_answer_arriving(const struct kv_follow *f)
 {
 	GList *l;
 
-	for (l = f->asked.head; l; l = l->next) {
-		const struct asked *a = l->data;
+	for (l = f->pending_calls.head; l; l = l->next) {
+		const struct pending_call *a = l->data;
 
 		if (http_has_begun(a->call))
 			return true;
@@ -121,12 +134,15 @@
 	return false;
 }
 
-/* An answer that goes on over a narrow link shares it with no second one. */
+/*
+ * A call is not repeated while its answer is arriving, since two answers would
+ * compete for a narrow link.
+ */
 static void on_repeat(uv_timer_t *timer)
 {
 	struct kv_follow *f = timer->data;
 
-	if (!is_answered(f))
+	if (!is_answer_arriving(f))
 		next_call(f);
 	else
 		uv_timer_start(timer, on_repeat, f->source.repeat_ms, 0);
@@ -134,94 +150,94 @@
 
 static void retry_later(struct kv_follow *f)
 {
-	unsigned delay = CLAMP(f->delay_ms, RETRY_LEAST_MS, RETRY_MOST_MS);
+	unsigned delay = CLAMP(f->retry_delay_ms, RETRY_MIN_MS, RETRY_MAX_MS);
 
-	f->delay_ms = delay * 2;
+	f->retry_delay_ms = delay * 2;
 	delay = delay / 2 + (unsigned)g_random_int_range(0, (gint32)delay);
 	uv_timer_start(&f->retry, on_retry, delay, 0);
 }
 
-static void forget(struct asked *a)
+static void remove_call(struct pending_call *a)
 {
-	g_queue_unlink(&a->follow->asked, &a->link);
+	g_queue_unlink(&a->follow->pending_calls, &a->link);
 	g_free(a);
 }
 
-/* Nothing that was asked before counts any more. */
-static void cancel_others(struct kv_follow *f)
+/* Cancels all calls in flight; their answers no longer count. */
+static void cancel_calls(struct kv_follow *f)
 {
-	struct asked *a;
+	struct pending_call *a;
 
 	uv_timer_stop(&f->repeat);
-	while ((a = g_queue_peek_head(&f->asked))) {
+	while ((a = g_queue_peek_head(&f->pending_calls))) {
 		http_cancel(a->call);
-		forget(a);
+		remove_call(a);
 	}
 }
 
-/* One key alone is read by itself; several are read with all others. */
-static void note_missing(struct kv_follow *f, const char *key)
+/* A single missing key is read on its own; for several, everything is read. */
+static void note_omitted(struct kv_follow *f, const char *key)
 {
-	bool is_first = !f->incomplete;
+	bool is_first = !f->value_omitted;
 
-	f->incomplete = true;
+	f->value_omitted = true;
 	if (is_first)
-		f->owed_key = g_strdup(key);
-	else if (g_strcmp0(f->owed_key, key))
-		g_clear_pointer(&f->owed_key, g_free);
+		f->missing_key = g_strdup(key);
+	else if (g_strcmp0(f->missing_key, key))
+		g_clear_pointer(&f->missing_key, g_free);
 }
 
 static void take_item(void *ctx, const struct kv_item *item)
 {
 	struct kv_follow *f = ctx;
-	bool hold = f->holding &&
+	bool hold = f->holds_deletions &&
 		    g_str_has_prefix(item->key, f->codec->held_prefix);
 
-	g_free(f->last);
-	f->last = g_strdup(item->key);
+	g_free(f->last_key);
+	f->last_key = g_strdup(item->key);
 	if (item->deleted) {
 		if (kv_table_delete(f->table, item->key, item->revision, hold))
 			f->events->gone(f->ctx, item->key, item->revision);
 	} else if (!item->value.data) {
 		if (!kv_table_confirm(f->table, item->key, item->revision))
-			note_missing(f, item->key);
+			note_omitted(f, item->key);
 	} else if (kv_table_put(f->table, item->key, item->revision)) {
 		f->events->set(f->ctx, item->key, item->revision, item->value);
 	}
 }
 
-/* The items are told as they are read. */
+/* Items are reported while the answer is parsed. */
 bool kv_follow_read(struct kv_follow *f, struct str body,
 		    struct kv_answer *answer)
 {
 	*answer = (struct kv_answer){ .known_us = INT64_MIN };
-	g_clear_pointer(&f->last, g_free);
-	if (!f->owed)
-		g_clear_pointer(&f->owed_key, g_free);
+	g_clear_pointer(&f->last_key, g_free);
+	if (!f->value_missing)
+		g_clear_pointer(&f->missing_key, g_free);
 	return f->codec->read(body, answer, take_item, f);
 }
 
 /*
- * Failure: an answer is long on its way, or the process stands still before it
- * reads it, and what it says counts as new. Guard: an answer is as old as its
- * question. Another proxy says what it knew when the question came, which is
- * not before it was sent.
+ * An answer may be delayed on the network or by a stall of this process, and
+ * its content must not count as recent. So it is dated by the time when the
+ * call was sent. Another proxy says what it knew relative to the arrival of the
+ * request, which is not before the request was sent.
  */
-static void tell_known(struct kv_follow *f, const struct kv_answer *answer,
-		       uint64_t asked_us)
+static void report_known(struct kv_follow *f, const struct kv_answer *answer,
+			 uint64_t call_sent_at_us)
 {
 	int64_t now_us = (int64_t)clock_boot_us();
-	int64_t known_us = (int64_t)asked_us;
+	int64_t known_at_us = (int64_t)call_sent_at_us;
 
 	if (f->feed && answer->known_us == INT64_MIN)
 		return;
-	/* Nobody knows more than that, whatever the other says. */
-	if (f->feed && answer->known_us >= now_us - known_us)
-		known_us = now_us;
+	/* Whatever the other proxy says, the time can't be in the future. */
+	if (f->feed && answer->known_us >= now_us - known_at_us)
+		known_at_us = now_us;
 	else if (f->feed)
-		known_us += answer->known_us;
-	if (known_us > 0)
-		f->events->known(f->ctx, (uint64_t)known_us);
+		known_at_us += answer->known_us;
+	if (known_at_us > 0)
+		f->events->known(f->ctx, (uint64_t)known_at_us);
 }
 
 static void end_range(struct kv_follow *f)
@@ -229,156 +245,169 @@
 	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
 
 	if (!f->partial)
-		kv_table_range_end(f->table, "", f->range_at,
-				   f->holding ? f->codec->held_prefix : NULL,
+		kv_table_range_end(f->table, "", f->range_revision,
+				   f->holds_deletions ? f->codec->held_prefix :
+							NULL,
 				   gone);
-	f->owed = f->owed && f->feed;
-	f->known_at = MAX(f->known_at, f->range_at);
-	tell_gone(f, gone);
+	f->value_missing = f->value_missing && f->feed;
+	f->known_revision = MAX(f->known_revision, f->range_revision);
+	report_deleted(f, gone);
 	f->cursor = f->range_cursor;
-	f->events->settled(f->ctx, f->known_at);
+	f->events->settled(f->ctx, f->known_revision);
 }
 
-/* Nothing was read to its end yet, and the store is asked. */
-static bool is_at_start(const struct kv_follow *f)
+/* No range has been completed yet, and the store is being read. */
+static bool is_initial_read(const struct kv_follow *f)
 {
-	return !f->known_at && !f->feed;
+	return !f->known_revision && !f->feed;
 }
 
 /*
- * Pages are no snapshot. The watch goes on from the first page's revision,
- * so what changed between the pages is told once more.
+ * The pages are no snapshot. The watch starts at the first page's revision, so
+ * changes made between the pages are reported again.
  */
 static void take_page(struct kv_follow *f, const struct kv_answer *answer)
 {
 	if (!f->page) {
-		f->range_us = f->sent_us;
-		f->range_at = answer->at;
+		f->range_sent_at_us = f->sent_at_us;
+		f->range_revision = answer->at;
 		f->range_cursor = answer->cursor ? answer->cursor : answer->at;
 		f->partial = answer->partial;
 	}
 	g_clear_pointer(&f->page, g_free);
 	if (answer->more)
-		f->page = g_steal_pointer(&f->last);
-	/* What is sent twice could not be told from the next page. */
+		f->page = g_steal_pointer(&f->last_key);
+	/*
+	 * No repeats from here on: the answer to a repeated call could not be
+	 * told from the one to the next page.
+	 */
 	f->source.repeat_ms = 0;
 	if (f->page) {
-		if (is_at_start(f))
+		if (is_initial_read(f))
 			f->events->first_page(f->ctx);
 		return;
 	}
 	end_range(f);
-	tell_known(f, answer, f->range_us);
+	report_known(f, answer, f->range_sent_at_us);
 }
 
-/* The next call reads a range. */
-static void read_again(struct kv_follow *f)
+/* Makes the next call read a range from its first page. */
+static void restart_range(struct kv_follow *f)
 {
 	f->cursor = 0;
 	g_clear_pointer(&f->page, g_free);
 }
 
-/* The history is gone. */
-static void start_over(struct kv_follow *f)
+/* The store no longer has the history after the cursor. */
+static void reset_watch(struct kv_follow *f)
 {
 	LOG_INFO("the watch from %" G_GUINT64_FORMAT " is too old", f->cursor);
 	if (!f->feed)
-		heard(f, true, 0);
-	f->delay_ms = 0;
-	read_again(f);
+		report_store_result(f, true, 0);
+	f->retry_delay_ms = 0;
+	restart_range(f);
 }
 
-/* Also another proxy's answer says that the store is back. */
-static void tell_works(struct kv_follow *f, const struct kv_answer *answer,
-		       uint64_t took_us)
+/*
+ * An answer of another proxy also shows that the store is back, if it is recent
+ * enough.
+ */
+static void report_answered(struct kv_follow *f, const struct kv_answer *answer,
+			    uint64_t took_us)
 {
 	if (!f->feed)
-		heard(f, true, took_us);
+		report_store_result(f, true, took_us);
 	else if (f->events->fed(f->ctx, true, answer->age_us))
-		note_store(f, true);
+		set_store_state(f, true);
 }
 
 /*
- * What a watch of the store doesn't tell is known less well: while a store
- * drops its history, it may hold changes back for a moment.
+ * That the store's watch reports no change is less reliable: while a store
+ * drops its history it may delay changes for a moment. Its answers count as
+ * older by that much.
  */
-static void tell_known_by_watch(struct kv_follow *f,
-				const struct kv_answer *answer)
+static void report_known_by_watch(struct kv_follow *f,
+				  const struct kv_answer *answer)
 {
-	uint64_t late_us = f->feed ? 0 : WATCH_LATE_US;
+	uint64_t delay_us = f->feed ? 0 : WATCH_DELAY_MAX_US;
 
-	if (f->sent_us > late_us)
-		tell_known(f, answer, f->sent_us - late_us);
+	if (f->sent_at_us > delay_us)
+		report_known(f, answer, f->sent_at_us - delay_us);
 }
 
-static void take_news(struct kv_follow *f, const struct kv_answer *answer)
+static void take_changes(struct kv_follow *f, const struct kv_answer *answer)
 {
 	uint64_t next = answer->cursor ? answer->cursor : answer->at;
-	bool is_news = next != f->cursor;
+	bool has_changes = next != f->cursor;
 
 	f->cursor = f->feed ? next : MAX(f->cursor, next);
-	f->known_at = MAX(f->known_at, answer->at);
-	f->events->settled(f->ctx, f->known_at);
-	tell_known_by_watch(f, answer);
-	/* Changes come in bursts; a call for each would be dear. */
+	f->known_revision = MAX(f->known_revision, answer->at);
+	f->events->settled(f->ctx, f->known_revision);
+	report_known_by_watch(f, answer);
+	/* Changes come in bursts; a call for each would be expensive. */
 	uv_timer_start(&f->retry, on_retry,
-		       f->feed ? FEED_GATHER_MS :
-		       is_news ? GATHER_MS :
-				 0,
+		       f->feed	   ? FEED_BATCH_DELAY_MS :
+		       has_changes ? BATCH_DELAY_MS :
+				     0,
 		       0);
 }
 
 /*
- * Another proxy left out a value, because it is large or because this one was
- * to know it. The store has it; the proxy's changes go on from here after it.
+ * Another proxy left out a value, because it is large or because it should be
+ * known here. The value is read from the store; afterwards the watch of that
+ * proxy continues from this answer.
  */
-static void ask_store_once(struct kv_follow *f, const struct kv_answer *answer)
+static void fetch_omitted_value(struct kv_follow *f,
+				const struct kv_answer *answer)
 {
-	f->incomplete = false;
-	f->owed = true;
-	g_free(f->left_feed);
-	f->left_feed = g_strdup(f->feed);
-	f->left_cursor = answer->cursor;
+	f->value_omitted = false;
+	f->value_missing = true;
+	g_free(f->previous_feed);
+	f->previous_feed = g_strdup(f->feed);
+	f->previous_cursor = answer->cursor;
 	next_call(f);
 }
 
-/* The watcher's changes go on after the value that it had left out. */
+/* The value has been read; the next call may return to the proxy's changes. */
 static void take_key(struct kv_follow *f)
 {
-	f->owed = false;
-	f->cursor = f->known_at;
-	f->events->settled(f->ctx, f->known_at);
+	f->value_missing = false;
+	f->cursor = f->known_revision;
+	f->events->settled(f->ctx, f->known_revision);
 	next_call(f);
 }
 
 static void take_answer(struct kv_follow *f, const struct kv_answer *answer,
 			uint64_t took_us)
 {
-	tell_works(f, answer, took_us);
-	f->delay_ms = 0;
+	report_answered(f, answer, took_us);
+	f->retry_delay_ms = 0;
 	if (f->reads_key) {
 		take_key(f);
-	} else if (f->incomplete) {
-		ask_store_once(f, answer);
+	} else if (f->value_omitted) {
+		fetch_omitted_value(f, answer);
 	} else if (f->cursor) {
-		take_news(f, answer);
+		take_changes(f, answer);
 	} else {
 		take_page(f, answer);
 		next_call(f);
 	}
 }
 
-/* Whoever is asked next; the store is asked at once after a proxy failed. */
+/*
+ * After a failed proxy the next source is tried at once, after a failure of the
+ * store with a back-off.
+ */
 static void on_failed(struct kv_follow *f)
 {
 	g_clear_pointer(&f->page, g_free);
 	if (!f->feed) {
-		heard(f, false, 0);
+		report_store_result(f, false, 0);
 		retry_later(f);
 		return;
 	}
 	f->events->fed(f->ctx, false, 0);
-	uv_timer_start(&f->retry, on_retry, FEED_GATHER_MS, 0);
+	uv_timer_start(&f->retry, on_retry, FEED_BATCH_DELAY_MS, 0);
 }
 
 static bool read_body(struct kv_follow *f, struct str body,
@@ -392,18 +421,18 @@
 static void on_done(void *ctx, const struct err *err, bool not_sent,
 		    long status, struct str body)
 {
-	struct asked *a = ctx;
+	struct pending_call *a = ctx;
 	struct kv_follow *f = a->follow;
-	uint64_t took_us = (uv_hrtime() - a->sent_ns) / NSEC_PER_USEC;
+	uint64_t took_us = (uv_hrtime() - a->sent_at_ns) / NSEC_PER_USEC;
 	struct kv_answer answer;
 
 	(void)not_sent;
-	f->sent_us = a->sent_us;
-	forget(a);
-	/* One that was sent after it may still be answered. */
-	if (err->code && f->asked.head)
+	f->sent_at_us = a->sent_at_us;
+	remove_call(a);
+	/* A repeat of the call may still be answered. */
+	if (err->code && f->pending_calls.head)
 		return;
-	cancel_others(f);
+	cancel_calls(f);
 	if (!err->code && status == HTTP_OK) {
 		if (read_body(f, body, &answer)) {
 			take_answer(f, &answer, took_us);
@@ -412,7 +441,7 @@
 		f->events->refused(f->ctx, status, body.len);
 	}
 	if (!err->code && status == f->codec->too_old && f->cursor) {
-		start_over(f);
+		reset_watch(f);
 		retry_later(f);
 		return;
 	}
@@ -426,39 +455,44 @@
 }
 
 /*
- * A cursor is of one source; another one is asked for all, unless it was left
- * a moment ago. The store goes on from what is known of it.
+ * A cursor is valid for one proxy. A new one is asked for everything, unless it
+ * was left just before to read a value. The store continues from the last known
+ * revision.
  */
 static void change_source(struct kv_follow *f, const char *base)
 {
 	if (!g_strcmp0(f->feed, base))
 		return;
-	cancel_others(f);
+	cancel_calls(f);
 	g_free(f->feed);
 	f->feed = g_strdup(base);
-	f->delay_ms = 0;
-	read_again(f);
-	if (base && !g_strcmp0(f->left_feed, base))
-		f->cursor = f->left_cursor;
-	if (!base && !f->owed)
-		f->cursor = f->known_at;
+	f->retry_delay_ms = 0;
+	restart_range(f);
+	if (base && !g_strcmp0(f->previous_feed, base))
+		f->cursor = f->previous_cursor;
+	if (!base && !f->value_missing)
+		f->cursor = f->known_revision;
 	if (base)
-		g_clear_pointer(&f->left_feed, g_free);
+		g_clear_pointer(&f->previous_feed, g_free);
 }
 
 /*
- * The pages of a range are all of one source, but for the first one: it may
- * have named another proxy that has all of it.
+ * All pages of a range come from one source, except that the first range of all
+ * may switch after its first page, which may have named a proxy that has
+ * everything.
  *
- * Failure: hundreds of proxies start at once and read everything from the
- * store. Its link is full for many seconds, in which none of them can serve.
+ * If hundreds of proxies start at once and all read everything from the store,
+ * its link is saturated for many seconds, in which none of them can serve.
  */
 static void choose_source(struct kv_follow *f)
 {
-	if (f->page && !is_at_start(f))
+	if (f->page && !is_initial_read(f))
 		return;
-	/* Until it has answered: the proxy won't tell of the value again. */
-	if (f->owed)
+	/*
+	 * Repeated until the store has answered, since the proxy won't name the
+	 * value again.
+	 */
+	if (f->value_missing)
 		f->events->missing(f->ctx);
 	f->events->source(f->ctx, !f->cursor, &f->source);
 	if (f->page)
@@ -472,23 +506,24 @@
 		return f->codec->feed_watch_url(f->feed, f->cursor,
 						source->wait_ms);
 	if (f->feed)
-		return f->codec->feed_range_url(f->feed, f->known_at);
+		return f->codec->feed_range_url(f->feed, f->known_revision);
 	if (f->reads_key)
-		return f->codec->key_url(f->base, f->owed_key);
+		return f->codec->key_url(f->base, f->missing_key);
 	if (f->cursor)
 		return f->codec->watch_url(f->base, f->cursor, source->wait_ms);
 	return f->codec->range_url(f->base, f->page);
 }
 
-/* Sends what is due to whom it is due. */
+/* Sends the next call to the chosen source. */
 static void send_call(struct kv_follow *f)
 {
 	static const struct http_events events = { .done = on_done };
 	struct http_request request = { .method = HTTP_GET };
-	struct asked *a = g_new0(struct asked, 1);
+	struct pending_call *a = g_new0(struct pending_call, 1);
 	char *url;
 
-	f->reads_key = f->owed && f->owed_key && !f->feed && !f->page;
+	f->reads_key = f->value_missing && f->missing_key && !f->feed &&
+		       !f->page;
 	url = next_url(f, &f->source);
 	request.url = url;
 	request.timeout_us = f->source.most_us;
@@ -496,10 +531,10 @@
 	request.connect_timeout_us =
 		MIN(f->source.timeout_us, CONNECT_TIMEOUT_US);
 	a->follow = f;
-	a->sent_ns = uv_hrtime();
-	a->sent_us = clock_boot_us();
+	a->sent_at_ns = uv_hrtime();
+	a->sent_at_us = clock_boot_us();
 	a->link.data = a;
-	g_queue_push_tail_link(&f->asked, &a->link);
+	g_queue_push_tail_link(&f->pending_calls, &a->link);
 	a->call = http_start(f->http, &request, &events, a);
 	if (f->source.repeat_ms)
 		uv_timer_start(&f->repeat, on_repeat, f->source.repeat_ms, 0);
@@ -512,7 +547,7 @@
 	send_call(f);
 }
 
-/* Starts to read with the loop's next turn. */
+/* The first call is sent in the loop's next iteration. */
 struct kv_follow *kv_follow_create(uv_loop_t *loop, struct http *http,
 				   const char *base,
 				   const struct kv_codec *codec,
@@ -534,7 +569,6 @@
 	return f;
 }
 
-/* What was taken last. */
 uint64_t kv_follow_revision(const struct kv_follow *f, const char *key)
 {
 	return kv_table_revision(f->table, key);
@@ -545,21 +579,21 @@
 	g_free(handle->data);
 }
 
-/* NULL is ignored. The loop must turn once more for the memory to go. */
+/* NULL is ignored. The memory is freed in the loop's next iteration. */
 void kv_follow_destroy(struct kv_follow *f)
 {
-	struct asked *a;
+	struct pending_call *a;
 
 	if (!f)
 		return;
-	while ((a = g_queue_peek_head(&f->asked)))
-		forget(a);
+	while ((a = g_queue_peek_head(&f->pending_calls)))
+		remove_call(a);
 	kv_table_destroy(f->table);
-	g_free(f->last);
-	g_free(f->owed_key);
+	g_free(f->last_key);
+	g_free(f->missing_key);
 	g_free(f->page);
 	g_free(f->feed);
-	g_free(f->left_feed);
+	g_free(f->previous_feed);
 	g_free(f->base);
 	uv_close((uv_handle_t *)&f->retry, NULL);
 	uv_close((uv_handle_t *)&f->repeat, NULL);
--- a/packages/transport/src/kv_pack.c
+++ b/packages/transport/src/kv_pack.c
@@ -2,18 +2,20 @@
 
 #include <zlib.h>
 
-/* Smaller ones fit a few packets as they are. */
-#define PACK_LEAST_BYTES 4096
-/* More than any store takes; what claims to be larger is no value. */
+/* Smaller values fit into a few packets uncompressed. */
+#define PACK_MIN_BYTES 4096
+/*
+ * More than any store accepts; a value that claims to be larger is malformed.
+ */
 #define UNPACKED_MAX_BYTES ((size_t)8 * 1024 * 1024)
 
-/* Only if it halves the value at least. */
+/* Returns NULL unless the compressed size is at most half. */
 GBytes *kv_pack(struct str value)
 {
 	uLongf len = value.len / 2;
 	guint8 *out;
 
-	if (value.len < PACK_LEAST_BYTES)
+	if (value.len < PACK_MIN_BYTES)
 		return NULL;
 	out = g_malloc(len);
 	if (compress2(out, &len, (const Bytef *)value.data, value.len,
@@ -24,7 +26,7 @@
 	return g_bytes_new_take(g_realloc(out, len), len);
 }
 
-/* Takes no more memory than the size says, whatever the bytes would yield. */
+/* Allocates no more than `size`, even if the data would decompress to more. */
 GBytes *kv_unpack(struct str packed, size_t size)
 {
 	uLongf len = size;
--- a/packages/transport/src/kv_table.c
+++ b/packages/transport/src/kv_table.c
@@ -2,15 +2,14 @@
 
 struct entry {
 	uint64_t revision;
-	bool held; /* it went, and nobody was told */
-	bool seen; /* in the range that is being read */
+	bool held; /* deleted, but not reported yet */
+	bool seen; /* occurred in the range being read */
 };
 
 struct kv_table {
 	GHashTable *entries;
 };
 
-/* An empty table. */
 struct kv_table *kv_table_create(void)
 {
 	struct kv_table *t = g_new0(struct kv_table, 1);
@@ -29,7 +28,7 @@
 	g_free(t);
 }
 
-/* A key that is back at the revision that was taken is no news. */
+/* A held deletion is cancelled; the revision that was taken isn't new. */
 bool kv_table_put(struct kv_table *t, const char *key, uint64_t revision)
 {
 	struct entry *e = g_hash_table_lookup(t->entries, key);
@@ -48,7 +47,7 @@
 	return true;
 }
 
-/* What is known newer than that counts, too. */
+/* A newer revision that was taken counts as well. */
 bool kv_table_confirm(struct kv_table *t, const char *key, uint64_t revision)
 {
 	struct entry *e = g_hash_table_lookup(t->entries, key);
@@ -59,7 +58,7 @@
 	return true;
 }
 
-/* An older event than what was taken is passed over. */
+/* An event not newer than the revision taken is ignored. */
 bool kv_table_delete(struct kv_table *t, const char *key, uint64_t revision,
 		     bool hold)
 {
@@ -76,7 +75,7 @@
 	return true;
 }
 
-/* Forgets what was seen in an earlier range. */
+/* Clears the marks of an earlier range. */
 void kv_table_range_begin(struct kv_table *t)
 {
 	GHashTableIter iter;
@@ -88,8 +87,9 @@
 }
 
 /*
- * What is under the prefix and was not seen went, unless it was written
- * after the range began. Those under held_prefix (NULL: none) are kept back.
+ * A key under the prefix that was not in the range was deleted, unless it was
+ * written after the range began. Deletions under held_prefix (NULL: none) are
+ * held back.
  */
 void kv_table_range_end(struct kv_table *t, const char *prefix, uint64_t at,
 			const char *held_prefix, GPtrArray *gone)
@@ -113,7 +113,7 @@
 	}
 }
 
-/* The array is to free its elements. */
+/* The array must own its elements. */
 void kv_table_release(struct kv_table *t, GPtrArray *gone)
 {
 	GHashTableIter iter;
@@ -128,7 +128,6 @@
 	}
 }
 
-/* What was taken last. */
 uint64_t kv_table_revision(const struct kv_table *t, const char *key)
 {
 	struct entry *e = g_hash_table_lookup(t->entries, key);
