--- a/packages/transport/include/celeryquay/transport/ready.h
+++ b/packages/transport/include/celeryquay/transport/ready.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TRANSPORT_READY_H
 
 /*
- * A port that a balancer asks over HTTP whether to send callers here, where
- * operators read pages such as metrics, and other proxies ask for what they
- * may have to wait for.
+ * An HTTP port for the readiness checks of a load balancer, for pages that
+ * operators read, such as metrics, and for other proxies' requests, whose
+ * answers may be deferred.
  */
 
 #include <celeryquay/base/err.h>
@@ -14,27 +14,34 @@
 
 struct ready;
 
-/* A call without an answer yet. */
+/* A request without an answer so far. */
 struct ready_wait;
 
 struct ready_page {
 	const char *path;
-	const char *type; /* of its content */
-	/* One of the two: a page, or a call that ready_answer() answers. */
+	const char *type; /* the Content-Type */
+	/*
+	 * One of the two: write() fills the page at once; ask() takes a request
+	 * that is answered with ready_answer(), at once or later.
+	 */
 	void (*write)(void *ctx, GString *out);
 	void (*ask)(void *ctx, struct str query, struct ready_wait *wait);
 };
 
-/* Once; the wait is gone after it. */
+/* Answers the request, once; the wait is invalid afterwards. */
 void ready_answer(struct ready_wait *w, int status, struct str body);
-/* Called when the asker leaves before its answer; NULL: nobody is. */
-void ready_on_gone(struct ready_wait *w, void (*gone)(void *ctx), void *ctx);
+/*
+ * Sets the callback for a client that disconnects before its answer; NULL:
+ * none.
+ */
+void ready_on_gone(struct ready_wait *w, void (*on_disconnect)(void *ctx),
+		   void *ctx);
 
 struct ready_settings {
 	const char *address; /* "IP:PORT" */
-	const char *path; /* GET is answered by 200 or 503 */
+	const char *path; /* path of the readiness check; answers 200 or 503 */
 	bool (*is_ready)(void *ctx);
-	const struct ready_page *pages; /* must outlive it */
+	const struct ready_page *pages; /* not copied */
 	unsigned n_pages;
 	void *ctx;
 };
@@ -43,7 +50,7 @@
 			   const struct ready_settings *settings,
 			   struct err *err);
 void ready_destroy(struct ready *r);
-/* The one that the kernel picked, if it was to; 0: none. */
+/* The port that is bound; 0: none. */
 uint16_t ready_port(const struct ready *r);
 
 #endif
--- a/packages/transport/include/celeryquay/transport/session.h
+++ b/packages/transport/include/celeryquay/transport/session.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TRANSPORT_SESSION_H
 
 /*
- * The connections of sessions, between a relay and the wire: the front has
- * those of callers, each of which is one session, the upstream those to
- * servers.
+ * The connections of client sessions, between a relay and the network: the
+ * front has those of callers, each of which is one session; the upstream has
+ * those to servers.
  */
 
 #include <celeryquay/base/err.h>
@@ -15,13 +15,15 @@
 struct relay_node;
 
 /*
- * Who has the relay, and its functions that connections call, as relay.h
- * declares them. They are called from the loop, never from within an op.
+ * Access to the relay, and its functions that connections call, as relay.h
+ * declares them. They are called from the loop, never from within one of the
+ * relay's ops.
  */
 struct session_host {
 	struct relay *(*relay)(struct relay_node *node);
 	uint64_t (*now_us)(void);
-	void (*wake)(struct relay_node *node); /* after each of the others */
+	/* to be called after each call of the functions below */
+	void (*wake)(struct relay_node *node);
 	bool (*session_open)(struct relay *r, uint64_t session,
 			     const char *database, const char *key,
 			     struct relay_answer *answer, uint64_t now_us);
@@ -38,7 +40,7 @@
 			  uint64_t now_us);
 };
 
-/* What the ctx of the relay's ops begins with. */
+/* The start of the struct that the ctx of the relay's ops points to. */
 struct session_ends {
 	struct session_front *front;
 	struct session_upstream *upstream;
@@ -49,24 +51,28 @@
 	struct relay_node *node;
 	uv_loop_t *loop;
 	const struct session_codec *codec;
-	uint64_t first_number; /* a front's sessions count from it */
+	/* The sessions of a front are numbered from first_number + 1. */
+	uint64_t first_number;
 };
 
 /* Listens on "IP:PORT". */
 struct session_front *session_front_create(const struct session_setup *setup,
 					   const char *address,
 					   struct err *err);
-/* name: what servers are told where a connection is of no account. */
+/*
+ * name: sent to servers as the client's name on a connection that belongs to no
+ * account.
+ */
 struct session_upstream *session_upstream_create(
 	const struct session_setup *setup, const char *name);
-/* They close every connection without a word to the relay. */
+/* Both close every connection without an event to the relay. */
 void session_front_destroy(struct session_front *f);
 void session_upstream_destroy(struct session_upstream *u);
 
 void session_front_stop_accepting(struct session_front *f);
 uint16_t session_front_port(const struct session_front *f);
 
-/* The relay's ops. */
+/* The relay's ops; see relay.h. */
 void session_front_answer(void *ctx, uint64_t session,
 			  const struct relay_answer *answer);
 void session_front_hang_up(void *ctx, uint64_t session);
--- a/packages/transport/src/listen.c
+++ b/packages/transport/src/listen.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Splits at the last colon, before which there must be something. */
+/* Splits at the last colon; the part before it must not be empty. */
 bool listen_split(const char *address, char **host, uint16_t *port)
 {
 	const char *colon = strrchr(address, ':');
@@ -18,7 +18,10 @@
 	return true;
 }
 
-/* The handle is initialized and stays the caller's, also when it fails. */
+/*
+ * The handle must be initialized; the calling code closes it, also after a
+ * failure.
+ */
 bool listen_start(uv_tcp_t *listener, const char *address, int backlog,
 		  uv_connection_cb on_connection, struct err *err)
 {
--- a/packages/transport/src/ready.c
+++ b/packages/transport/src/ready.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define BACKLOG 64
+#define LISTEN_BACKLOG 64
 #define IDLE_TIMEOUT_MS 60000
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
@@ -16,7 +16,7 @@
 struct ready {
 	uv_loop_t *loop;
 	uv_tcp_t listener;
-	uv_idle_t keeper; /* closed last */
+	uv_idle_t last_handle; /* closed last; its callback frees the struct */
 	h2o_globalconf_t config;
 	h2o_context_t context;
 	h2o_accept_ctx_t accept;
@@ -27,7 +27,7 @@
 };
 
 struct connection {
-	uv_tcp_t tcp; /* first: h2o knows the connection by this handle */
+	uv_tcp_t tcp; /* first member: h2o passes this handle back */
 	struct ready *ready;
 	GList link;
 };
@@ -37,33 +37,36 @@
 	struct ready *ready;
 };
 
-/* Lives as long as its request. */
+/* Allocated from its request's pool and freed with it. */
 struct ready_wait {
 	h2o_req_t *req;
-	void (*gone)(void *ctx);
+	void (*on_disconnect)(void *ctx);
 	void *ctx;
 	bool answered;
 };
 
-static void free_ready(uv_handle_t *keeper)
+static void free_ready(uv_handle_t *last_handle)
 {
-	struct ready *r = keeper->data;
+	struct ready *r = last_handle->data;
 
 	g_free(r->path);
 	g_free(r);
 }
 
-/* What h2o closed with its context lies in this memory, so it goes later. */
+/*
+ * The handles that h2o closed with its context lie in this memory, so it must
+ * be freed after their close callbacks.
+ */
 static void on_listener_closed(uv_handle_t *listener)
 {
 	struct ready *r = listener->data;
 
-	uv_idle_init(r->loop, &r->keeper);
-	r->keeper.data = r;
-	uv_close((uv_handle_t *)&r->keeper, free_ready);
+	uv_idle_init(r->loop, &r->last_handle);
+	r->last_handle.data = r;
+	uv_close((uv_handle_t *)&r->last_handle, free_ready);
 }
 
-static void finish_if_over(struct ready *r)
+static void close_if_unused(struct ready *r)
 {
 	if (!r->destroyed || r->connections.length)
 		return;
@@ -79,7 +82,7 @@
 
 	g_queue_unlink(&r->connections, &c->link);
 	g_free(c);
-	finish_if_over(r);
+	close_if_unused(r);
 }
 
 static void on_connection(uv_stream_t *listener, int status)
@@ -138,16 +141,15 @@
 	g_string_free(body, TRUE);
 }
 
-/* The request ends, answered or not. */
-static void on_wait_end(void *data)
+/* Called when the request ends, answered or not. */
+static void on_request_end(void *data)
 {
 	struct ready_wait *w = data;
 
-	if (!w->answered && w->gone)
-		w->gone(w->ctx);
+	if (!w->answered && w->on_disconnect)
+		w->on_disconnect(w->ctx);
 }
 
-/* Sends the answer. */
 void ready_answer(struct ready_wait *w, int status, struct str body)
 {
 	h2o_req_t *req = w->req;
@@ -158,18 +160,19 @@
 	h2o_send_inline(req, body.data ? body.data : "", body.len);
 }
 
-/* Whom to tell when the asker leaves. */
-void ready_on_gone(struct ready_wait *w, void (*gone)(void *ctx), void *ctx)
+/* Sets the callback for a client that disconnects before its answer. */
+void ready_on_gone(struct ready_wait *w, void (*on_disconnect)(void *ctx),
+		   void *ctx)
 {
-	w->gone = gone;
+	w->on_disconnect = on_disconnect;
 	w->ctx = ctx;
 }
 
-static void ask_page(h2o_req_t *req, const struct ready *r,
-		     const struct ready_page *page)
+static void handle_page(h2o_req_t *req, const struct ready *r,
+			const struct ready_page *page)
 {
 	struct ready_wait *w =
-		h2o_mem_alloc_shared(&req->pool, sizeof(*w), on_wait_end);
+		h2o_mem_alloc_shared(&req->pool, sizeof(*w), on_request_end);
 	struct str query = STR("");
 
 	*w = (struct ready_wait){ .req = req };
@@ -192,7 +195,7 @@
 
 	if (is_get && page) {
 		if (page->ask)
-			ask_page(req, r, page);
+			handle_page(req, r, page);
 		else
 			send_page(req, r, page);
 		return 0;
@@ -223,7 +226,7 @@
 	r->accept.hosts = r->config.hosts;
 }
 
-/* NULL and SYSTEM when it can't listen. */
+/* NULL and SYSTEM if listening fails. */
 struct ready *ready_create(uv_loop_t *loop,
 			   const struct ready_settings *settings,
 			   struct err *err)
@@ -236,14 +239,14 @@
 	http_init(r);
 	uv_tcp_init(loop, &r->listener);
 	r->listener.data = r;
-	if (listen_start(&r->listener, settings->address, BACKLOG,
+	if (listen_start(&r->listener, settings->address, LISTEN_BACKLOG,
 			 on_connection, err))
 		return r;
 	ready_destroy(r);
 	return NULL;
 }
 
-/* As it is bound. */
+/* The bound port. */
 uint16_t ready_port(const struct ready *r)
 {
 	struct sockaddr_in in = { 0 };
@@ -253,7 +256,10 @@
 	return ntohs(in.sin_port);
 }
 
-/* NULL is ignored. The memory goes when the loop has run the closings. */
+/*
+ * NULL is ignored. The memory is freed once the loop has run the close
+ * callbacks.
+ */
 void ready_destroy(struct ready *r)
 {
 	GList *l;
@@ -265,9 +271,9 @@
 	for (l = r->connections.head; l; l = l->next) {
 		struct connection *c = l->data;
 
-		/* h2o owns the handle; it closes it on the end of data. */
+		/* h2o owns the handle and closes it at end of stream. */
 		if (!uv_fileno((uv_handle_t *)&c->tcp, &fd))
 			shutdown(fd, SHUT_RDWR);
 	}
-	finish_if_over(r);
+	close_if_unused(r);
 }
--- a/packages/transport/src/session_front.c
+++ b/packages/transport/src/session_front.c
@@ -7,21 +7,21 @@
 #include <poll.h>
 
 #define LISTEN_BACKLOG 1024
-#define PENDING_MAX_BYTES ((size_t)64 * 1024)
+#define PAUSE_READ_BYTES ((size_t)64 * 1024)
 #define QUEUED_MAX_BYTES ((size_t)4 * 1024 * 1024)
 #define KEEPALIVE_S 10
-/* How long a connection that was hung up may take to end. */
+/* How long the caller may take to close a connection that was hung up. */
 #define LINGER_MS 2000
 /*
- * Turns of the loop before a session at rest is hung up: in the first the
- * sockets are read, and the second comes after that.
+ * Loop iterations before an idle session is hung up: the sockets are read in
+ * the first, and the second comes after that.
  */
-#define HANG_UP_TURNS 2
+#define HANG_UP_ITERATIONS 2
 
 struct session_front {
 	struct session_group group;
 	uv_tcp_t listener;
-	uv_check_t last_look; /* after the sockets, before the listener ends */
+	uv_check_t accept_check; /* after polling, before the listener closes */
 	bool stopping;
 	bool stopped;
 	uint64_t last_number;
@@ -30,16 +30,16 @@
 struct caller {
 	struct session_link link;
 	uv_shutdown_t shutdown;
-	GString *pending; /* unparsed; NULL until there is some */
+	GString *pending; /* received, not parsed yet; NULL: none so far */
 	size_t searched;
-	bool open; /* it was told, and its end was not */
+	bool open; /* reported to the relay as open, not as closed */
 	bool in_flight;
 	bool processing;
 	bool stopped_reading;
-	bool failed; /* to be dropped outside of any call */
+	bool failed; /* to be dropped in a deferred call */
 	bool hung_up;
-	unsigned
-		hang_up_in; /* turns, unless a statement comes; 0: not at all */
+	/* until the hang-up, unless a statement arrives; 0: none is due */
+	unsigned hang_up_iterations;
 	char state;
 };
 
@@ -63,8 +63,8 @@
 		g_string_free(caller->pending, TRUE);
 }
 
-/* Tells the session's end, once. */
-static void end_session(struct caller *caller)
+/* Reports the session's end, once. */
+static void report_closed(struct caller *caller)
 {
 	struct session_group *g = caller->link.group;
 
@@ -77,40 +77,46 @@
 	session_group_wake(g);
 }
 
-/* Ends the connection; never called from within a call. */
+/*
+ * Closes the connection and reports it. Must not be called from one of the
+ * relay's ops.
+ */
 static void drop(struct session_link *link)
 {
 	if (session_link_is_closing(link))
 		return;
 	session_link_remove(link);
-	end_session((struct caller *)link);
+	report_closed((struct caller *)link);
 }
 
-static void fail(struct caller *caller)
+static void drop_deferred(struct caller *caller)
 {
 	if (caller->failed)
 		return;
 	caller->failed = true;
-	session_link_go_on_later(&caller->link);
+	session_link_defer(&caller->link);
 }
 
-/* Sends what the group's `out` holds. */
+/* Sends the contents of the group's `out`. */
 static void send_out(struct caller *caller)
 {
 	if (session_link_send(&caller->link) ||
 	    uv_stream_get_write_queue_size((uv_stream_t *)&caller->link.tcp) >
 		    QUEUED_MAX_BYTES)
-		fail(caller);
+		drop_deferred(caller);
 }
 
-/* Everything is out: the session is over; the caller's end is awaited. */
+/*
+ * Everything has been sent: the session is over. The connection stays until the
+ * caller closes it.
+ */
 static void on_shut_down(uv_shutdown_t *req, int status)
 {
 	struct caller *caller = req->data;
 
 	if (status == UV_ECANCELED)
 		return;
-	end_session(caller);
+	report_closed(caller);
 	if (status)
 		drop(&caller->link);
 }
@@ -119,28 +125,29 @@
 {
 	caller->stopped_reading = false;
 	if (session_link_read(&caller->link))
-		fail(caller);
+		drop_deferred(caller);
 }
 
 /*
- * A close with unread bytes would reset the connection and could cut the last
- * answer off, so reading goes on until the caller closes or the time is up.
+ * Closing a socket with unread bytes would reset the connection and could cut
+ * off the last answer. So reading continues until the caller closes the
+ * connection or LINGER_MS has passed.
  */
 static void hang_up(struct caller *caller)
 {
 	if (caller->hung_up)
 		return;
 	caller->hung_up = true;
-	session_link_limit(&caller->link);
+	session_link_start_deadline(&caller->link);
 	if (caller->stopped_reading)
 		start_reading(caller);
 	caller->shutdown.data = caller;
 	if (uv_shutdown(&caller->shutdown, (uv_stream_t *)&caller->link.tcp,
 			on_shut_down))
-		fail(caller);
+		drop_deferred(caller);
 }
 
-/* The session begins, or the caller is told why not. */
+/* Opens the session or tells the caller why not. */
 static void take_startup(struct caller *caller, struct str message)
 {
 	struct session_group *g = caller->link.group;
@@ -178,7 +185,7 @@
 		take_startup(caller, message);
 	} else if (codec_of(caller)->parse_statement(message, &statement)) {
 		caller->in_flight = true;
-		caller->hang_up_in = 0;
+		caller->hang_up_iterations = 0;
 		g->setup.host->session_statement(session_group_relay(g),
 						 caller->link.number,
 						 &statement,
@@ -192,20 +199,23 @@
 	}
 }
 
-/* Whether the next message may be looked at now. */
-static bool may_go_on(const struct caller *caller)
+/* Whether the next message may be parsed now. */
+static bool may_process(const struct caller *caller)
 {
 	return !caller->in_flight && !caller->hung_up && !caller->failed &&
 	       !session_link_is_closing(&caller->link);
 }
 
-/* Takes messages off the front of *in until one has to be waited for. */
+/*
+ * Handles messages from the front of *in until one is incomplete or has to
+ * wait.
+ */
 static void process(struct caller *caller, struct str *in)
 {
 	const struct session_codec *codec = codec_of(caller);
 
 	caller->processing = true;
-	while (may_go_on(caller)) {
+	while (may_process(caller)) {
 		size_t len = codec->length(*in, caller->searched);
 
 		caller->searched = len ? 0 : in->len;
@@ -224,7 +234,7 @@
 	caller->processing = false;
 }
 
-/* Goes on with what has been kept. */
+/* Handles the bytes that were kept. */
 static void process_pending(struct caller *caller)
 {
 	GString *pending = caller->pending;
@@ -239,8 +249,8 @@
 	return caller->pending && caller->pending->len;
 }
 
-/* Keeps what could not be looked at yet. */
-static void keep(struct caller *caller, struct str in)
+/* Keeps bytes that can't be parsed yet. */
+static void append_pending(struct caller *caller, struct str in)
 {
 	if (!in.len)
 		return;
@@ -249,11 +259,14 @@
 	g_string_append_len(caller->pending, in.data, (gssize)in.len);
 }
 
-/* Memory is scarce: a caller that sends ahead is not read for a while. */
-static void pace(struct caller *caller)
+/*
+ * Bounds the memory for a caller that sends ahead: reading pauses while too
+ * much is pending.
+ */
+static void throttle(struct caller *caller)
 {
 	bool full = caller->in_flight && caller->pending &&
-		    caller->pending->len > PENDING_MAX_BYTES;
+		    caller->pending->len > PAUSE_READ_BYTES;
 
 	if (session_link_is_closing(&caller->link) || caller->hung_up)
 		return;
@@ -265,7 +278,10 @@
 	}
 }
 
-/* Whether the caller ends the session here, also while a statement runs. */
+/*
+ * Whether the bytes are the message that ends the session, which may also come
+ * while a statement runs.
+ */
 static bool ends_session(const struct caller *caller, struct str in)
 {
 	const struct session_codec *codec = codec_of(caller);
@@ -286,17 +302,17 @@
 	if (!in.len || ends_session(caller, in)) {
 		drop(link);
 	} else if (has_pending(caller)) {
-		keep(caller, in);
+		append_pending(caller, in);
 		process_pending(caller);
 	} else {
 		process(caller, &in);
 		if (!caller->hung_up)
-			keep(caller, in);
+			append_pending(caller, in);
 	}
-	pace(caller);
+	throttle(caller);
 }
 
-/* Whether something is there to be read or accepted. */
+/* Whether there is something to read or to accept. */
 static bool is_readable(const uv_tcp_t *tcp)
 {
 	struct pollfd p = { .events = POLLIN };
@@ -307,31 +323,32 @@
 }
 
 /*
- * One turn less until the session is hung up. A turn may be long: what came
- * since the sockets were read is read first.
+ * Counts one iteration down to the hang-up. An iteration may take long, so
+ * bytes that came since the sockets were polled are read first.
  */
-static void hang_up_soon(struct caller *caller)
+static void count_down_hang_up(struct caller *caller)
 {
-	if (caller->hang_up_in == 1 && !is_readable(&caller->link.tcp)) {
-		caller->hang_up_in = 0;
+	if (caller->hang_up_iterations == 1 &&
+	    !is_readable(&caller->link.tcp)) {
+		caller->hang_up_iterations = 0;
 		hang_up(caller);
 		return;
 	}
-	caller->hang_up_in = MAX(caller->hang_up_in - 1, 1);
-	session_link_go_on_later(&caller->link);
+	caller->hang_up_iterations = MAX(caller->hang_up_iterations - 1, 1);
+	session_link_defer(&caller->link);
 }
 
-static void go_on(struct session_link *link)
+static void on_deferred(struct session_link *link)
 {
 	struct caller *caller = (struct caller *)link;
 
 	if (caller->failed)
 		drop(link);
-	else if (caller->hang_up_in)
-		hang_up_soon(caller);
+	else if (caller->hang_up_iterations)
+		count_down_hang_up(caller);
 	else if (caller->pending && !caller->hung_up)
 		process_pending(caller);
-	pace(caller);
+	throttle(caller);
 }
 
 static void on_connection(uv_stream_t *listener, int status)
@@ -359,13 +376,13 @@
 
 static const struct session_group_ops group_ops = {
 	.read = take_bytes,
-	.go_on = go_on,
-	.late = drop,
+	.on_deferred = on_deferred,
+	.on_deadline = drop,
 	.write_failed = drop,
 	.clear = clear,
 };
 
-/* Listens for callers at once; they are served as the loop runs. */
+/* Listens at once; callers are served while the loop runs. */
 struct session_front *session_front_create(const struct session_setup *setup,
 					   const char *address, struct err *err)
 {
@@ -374,9 +391,9 @@
 	session_group_init(&f->group, setup, &group_ops, LINGER_MS);
 	uv_tcp_init(setup->loop, &f->listener);
 	f->listener.data = f;
-	uv_check_init(setup->loop, &f->last_look);
-	f->last_look.data = f;
-	f->group.handles += 2;
+	uv_check_init(setup->loop, &f->accept_check);
+	f->accept_check.data = f;
+	f->group.open_handles += 2;
 	if (listen_start(&f->listener, address, LISTEN_BACKLOG, on_connection,
 			 err))
 		return f;
@@ -390,19 +407,19 @@
 		return;
 	f->stopped = true;
 	uv_close((uv_handle_t *)&f->listener, session_group_on_closed);
-	uv_close((uv_handle_t *)&f->last_look, session_group_on_closed);
+	uv_close((uv_handle_t *)&f->accept_check, session_group_on_closed);
 }
 
-/* NULL is ignored. The loop has to run on until the handles are closed. */
+/* NULL is ignored. The loop has to run until the handles are closed. */
 void session_front_destroy(struct session_front *f)
 {
 	if (!f)
 		return;
 	close_listener(f);
-	session_group_end(&f->group);
+	session_group_close(&f->group);
 }
 
-/* Answers the statement that the session has in flight. */
+/* Answers the session's statement in flight. */
 void session_front_answer(void *ctx, uint64_t session,
 			  const struct relay_answer *answer)
 {
@@ -415,33 +432,36 @@
 	codec_of(caller)->put_answer(caller->link.group->out, answer);
 	send_out(caller);
 	if (!caller->processing && has_pending(caller))
-		session_link_go_on_later(&caller->link);
+		session_link_defer(&caller->link);
 }
 
 /*
- * Closes the session's connection once what was answered is out.
+ * Closes the session's connection after the pending answers have been sent.
  *
- * Failure: a proxy is slow, and a caller's next statement lies unread in the
- * socket for as long. It is read after the hang-up and thrown away: a request
- * that ends without an answer. Guard: the sockets are read once more first,
- * and a statement that is there is answered; the relay then decides anew.
+ * If the proxy is slow, a caller's next statement may lie unread in the socket
+ * meanwhile. Read after the hang-up it would be discarded: a request without an
+ * answer. So the sockets are read once more first, and a statement found there
+ * is answered; the relay then decides again.
  */
 void session_front_hang_up(void *ctx, uint64_t session)
 {
 	struct caller *caller = find(ctx, session);
 
-	if (!caller || caller->in_flight || caller->hang_up_in)
+	if (!caller || caller->in_flight || caller->hang_up_iterations)
 		return;
 	if (has_pending(caller)) {
 		hang_up(caller);
 		return;
 	}
-	caller->hang_up_in = HANG_UP_TURNS;
-	session_link_go_on_later(&caller->link);
+	caller->hang_up_iterations = HANG_UP_ITERATIONS;
+	session_link_defer(&caller->link);
 }
 
-/* The sockets were looked at; what is there now is accepted next. */
-static void on_last_look(uv_check_t *check)
+/*
+ * The sockets have been polled. While connections are waiting they are accepted
+ * in the next iteration.
+ */
+static void on_accept_check(uv_check_t *check)
 {
 	struct session_front *f = check->data;
 
@@ -450,11 +470,11 @@
 }
 
 /*
- * New connections are refused, but for those that stand already.
+ * Refuses new connections, except those that the kernel has already completed.
  *
- * Failure: a proxy that stops is slow, and a caller's connection waits to be
- * accepted, with a statement on it. The end of the listener resets it: a
- * request that ends without an answer. Guard: what waits is accepted first.
+ * If a stopping proxy is slow, a caller's connection may still wait to be
+ * accepted, with a statement already sent. Closing the listener would reset it:
+ * a request without an answer. So waiting connections are accepted first.
  */
 void session_front_stop_accepting(struct session_front *f)
 {
@@ -462,12 +482,12 @@
 		return;
 	f->stopping = true;
 	if (is_readable(&f->listener))
-		uv_check_start(&f->last_look, on_last_look);
+		uv_check_start(&f->accept_check, on_accept_check);
 	else
 		close_listener(f);
 }
 
-/* The one that the kernel picked, if it was to; 0: none. */
+/* The port that is bound; 0: none. */
 uint16_t session_front_port(const struct session_front *f)
 {
 	struct sockaddr_in in = { 0 };
--- a/packages/transport/src/session_gather.c
+++ b/packages/transport/src/session_gather.c
@@ -1,18 +1,17 @@
 #include <celeryquay/transport/session_gather.h>
 
-/* Nothing is kept yet. */
 void session_gather_init(struct session_gather *g)
 {
 	*g = (struct session_gather){ .pending = g_string_new(NULL) };
 }
 
-/* The struct itself stays its owner's. */
+/* Doesn't free the struct itself. */
 void session_gather_clear(struct session_gather *g)
 {
 	g_string_free(g->pending, TRUE);
 }
 
-/* Goes on reading the answer that begins the bytes. */
+/* Continues to parse the answer at the start of the bytes. */
 static enum session_feed scan(struct session_gather *g,
 			      const struct session_codec *codec,
 			      session_message_fn take, void *ctx,
@@ -38,7 +37,7 @@
 	return result;
 }
 
-/* All of the input is used up unless an answer ends within it. */
+/* Consumes all of the input unless an answer ends within it. */
 enum session_feed session_gather_feed(struct session_gather *g,
 				      const struct session_codec *codec,
 				      session_message_fn take, void *ctx,
@@ -47,24 +46,24 @@
 {
 	struct str bytes = *input;
 	enum session_feed result;
-	size_t left = 0;
+	size_t n_left = 0;
 
-	if (g->taken)
+	if (g->returned)
 		g_string_truncate(g->pending, 0);
-	g->taken = false;
+	g->returned = false;
 	if (g->pending->len) {
 		g_string_append_len(g->pending, bytes.data, (gssize)bytes.len);
 		bytes = str_from_gstring(g->pending);
 	}
 	result = scan(g, codec, take, ctx, bytes, answer);
 	if (result == SESSION_ANSWER) {
-		g->taken = g->pending->len > 0;
-		left = bytes.len - g->message_at;
+		g->returned = g->pending->len > 0;
+		n_left = bytes.len - g->message_at;
 		g->message_at = 0;
 	} else if (result == SESSION_MORE && !g->pending->len) {
 		g_string_append_len(g->pending, bytes.data, (gssize)bytes.len);
 	}
-	input->data += input->len - left;
-	input->len = left;
+	input->data += input->len - n_left;
+	input->len = n_left;
 	return result;
 }
--- a/packages/transport/src/session_upstream.c
+++ b/packages/transport/src/session_upstream.c
@@ -6,7 +6,7 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-#define OPEN_MAX_MS 1000
+#define OPEN_TIMEOUT_MS 1000
 #define USER_TIMEOUT_MS 3000
 
 struct session_upstream {
@@ -17,10 +17,10 @@
 struct server_conn {
 	struct session_link link;
 	uv_connect_t connect;
-	GString *greeting; /* until it is sent */
+	GString *startup; /* the startup message, sent once connected */
 	void *reader;
 	bool opened;
-	unsigned outstanding; /* statements without an answer */
+	unsigned outstanding; /* statements sent and not answered yet */
 };
 
 static struct session_link *find(void *ctx, uint64_t number)
@@ -34,12 +34,15 @@
 {
 	struct server_conn *conn = (struct server_conn *)link;
 
-	g_string_free(conn->greeting, TRUE);
+	g_string_free(conn->startup, TRUE);
 	link->group->setup.codec->reader_destroy(conn->reader);
 }
 
-/* Ends the connection and tells it; never called from within a call. */
-static void lose_as(struct server_conn *conn, bool refused)
+/*
+ * Closes the connection and reports its loss. Must not be called from one of
+ * the relay's ops.
+ */
+static void drop_conn(struct server_conn *conn, bool refused)
 {
 	struct session_group *g = conn->link.group;
 
@@ -51,12 +54,12 @@
 	session_group_wake(g);
 }
 
-static void lose(struct session_link *link)
+static void drop(struct session_link *link)
 {
-	lose_as((struct server_conn *)link, false);
+	drop_conn((struct server_conn *)link, false);
 }
 
-/* Passes one answer on. */
+/* Passes an answer to the relay. */
 static void take_answer(struct server_conn *conn,
 			const struct relay_answer *answer)
 {
@@ -64,15 +67,15 @@
 	const struct session_host *host = g->setup.host;
 
 	if (conn->opened && !conn->outstanding) {
-		LOG_WARN("a server answered what nobody had asked");
-		lose(&conn->link);
+		LOG_WARN("a server sent an answer with no statement in flight");
+		drop(&conn->link);
 	} else if (conn->opened) {
 		conn->outstanding--;
 		host->conn_answer(session_group_relay(g), conn->link.number,
 				  answer, host->now_us());
 		session_group_wake(g);
 	} else {
-		conn->link.waits = false;
+		conn->link.has_deadline = false;
 		conn->opened = answer->code == RELAY_OK;
 		if (!conn->opened)
 			session_link_remove(&conn->link);
@@ -90,7 +93,7 @@
 	struct relay_answer answer;
 
 	if (!in.len)
-		lose(link);
+		drop(link);
 	while (in.len && !session_link_is_closing(link)) {
 		result = codec->reader_feed(conn->reader, &in, &answer);
 		if (result != SESSION_ANSWER)
@@ -99,7 +102,7 @@
 	}
 	if (result == SESSION_BAD) {
 		LOG_WARN("a server's answer is malformed");
-		lose(link);
+		drop(link);
 	}
 }
 
@@ -111,15 +114,15 @@
 	if (session_link_is_closing(&conn->link))
 		return;
 	if (!status) {
-		g_string_append_len(out, conn->greeting->str,
-				    (gssize)conn->greeting->len);
+		g_string_append_len(out, conn->startup->str,
+				    (gssize)conn->startup->len);
 		status = session_link_send(&conn->link);
 	}
 	if (!status)
 		status = session_link_read(&conn->link);
 	if (status)
-		lose_as(conn,
-			status == UV_ECONNREFUSED || status == UV_ECONNRESET);
+		drop_conn(conn,
+			  status == UV_ECONNREFUSED || status == UV_ECONNRESET);
 }
 
 static void set_option(int fd, int level, int option, int value)
@@ -128,7 +131,10 @@
 		LOG_WARN("socket option %d could not be set", option);
 }
 
-/* A host that vanished is noticed within three seconds, sending or not. */
+/*
+ * With these a host that vanished is noticed within three seconds, whether or
+ * not data is being sent.
+ */
 static void set_options(struct server_conn *conn)
 {
 	uv_os_fd_t fd;
@@ -145,32 +151,35 @@
 
 static const struct session_group_ops group_ops = {
 	.read = take_bytes,
-	.go_on = lose,
-	.late = lose,
-	.write_failed = lose,
+	.on_deferred = drop,
+	.on_deadline = drop,
+	.write_failed = drop,
 	.clear = clear,
 };
 
-/* Nothing is connected yet; the name has to last as long. */
+/* Connects to nothing yet. The name is not copied. */
 struct session_upstream *session_upstream_create(
 	const struct session_setup *setup, const char *name)
 {
 	struct session_upstream *u = g_new0(struct session_upstream, 1);
 
-	session_group_init(&u->group, setup, &group_ops, OPEN_MAX_MS);
+	session_group_init(&u->group, setup, &group_ops, OPEN_TIMEOUT_MS);
 	u->name = name;
 
 	return u;
 }
 
-/* NULL is ignored. The loop has to run on until the handles are closed. */
+/* NULL is ignored. The loop has to run until the handles are closed. */
 void session_upstream_destroy(struct session_upstream *u)
 {
 	if (u)
-		session_group_end(&u->group);
+		session_group_close(&u->group);
 }
 
-/* A connection that has its socket, or a handle that can only be closed. */
+/*
+ * Creates the connection's socket. On failure the handle is initialized without
+ * one, so that it can be closed.
+ */
 static int init_conn(struct session_upstream *u, struct server_conn *conn)
 {
 	int status =
@@ -183,7 +192,10 @@
 	return status;
 }
 
-/* Connects and greets; what comes of it is told in a later turn. */
+/*
+ * Connects and sends the startup message; the outcome is reported in a later
+ * loop iteration.
+ */
 void session_upstream_open(void *ctx, uint64_t number,
 			   const struct relay_server_info *server,
 			   const char *account)
@@ -196,8 +208,8 @@
 
 	session_link_add(&conn->link, &u->group, number);
 	conn->reader = codec->reader_create();
-	conn->greeting = g_string_new(NULL);
-	codec->put_startup(conn->greeting, str_from_c(server->service),
+	conn->startup = g_string_new(NULL);
+	codec->put_startup(conn->startup, str_from_c(server->service),
 			   str_from_c(*account ? account : u->name),
 			   str_from_c(server->id));
 	conn->connect.data = conn;
@@ -207,12 +219,12 @@
 		status = uv_tcp_connect(&conn->connect, &conn->link.tcp,
 					(struct sockaddr *)&in, on_connected);
 	if (status)
-		session_link_go_on_later(&conn->link);
+		session_link_defer(&conn->link);
 	else
-		session_link_limit(&conn->link);
+		session_link_start_deadline(&conn->link);
 }
 
-/* Sends a statement; its answer comes in a later turn. */
+/* Sends a statement; its answer comes in a later loop iteration. */
 void session_upstream_send(void *ctx, uint64_t number,
 			   const struct relay_statement *statement)
 {
@@ -223,10 +235,10 @@
 	((struct server_conn *)link)->outstanding++;
 	link->group->setup.codec->put_statement(link->group->out, statement);
 	if (session_link_send(link))
-		session_link_go_on_later(link);
+		session_link_defer(link);
 }
 
-/* Closes at once; no event for it follows. */
+/* Closes the connection at once; no event follows. */
 void session_upstream_close(void *ctx, uint64_t number)
 {
 	struct session_link *link = find(ctx, number);
