--- a/packages/transport/tests/support_kv.c
+++ b/packages/transport/tests/support_kv.c
@@ -28,7 +28,10 @@
 	g_hash_table_replace(rig.rows, g_strdup(key), r);
 }
 
-/* The codec of the test: "at cursor age" and "key revision [value]" lines. */
+/*
+ * The test's codec: a line "at cursor age partial [known [more]]", then lines
+ * "key revision [value]", where the value "-" marks a deletion.
+ */
 
 static char *range_url(const char *base, const char *page)
 {
@@ -96,13 +99,12 @@
 {
 	unsigned i;
 
-	g_string_append_printf(out,
-			       "%" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT
-			       " %" G_GUINT64_FORMAT " %d %" G_GINT64_FORMAT
-			       "\n",
-			       answer->at, answer->cursor, answer->age_us,
-			       answer->partial,
-			       rig.boasts ? INT64_MAX : answer->known_us);
+	g_string_append_printf(
+		out,
+		"%" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT
+		" %d %" G_GINT64_FORMAT "\n",
+		answer->at, answer->cursor, answer->age_us, answer->partial,
+		rig.claims_future ? INT64_MAX : answer->known_us);
 	for (i = 0; i < n; i++) {
 		g_string_append_printf(out, "%s %" G_GUINT64_FORMAT,
 				       items[i].key, items[i].revision);
@@ -152,7 +154,7 @@
 	uv_close((uv_handle_t *)timer, on_late_closed);
 }
 
-static void on_late_gone(void *ctx)
+static void on_late_disconnect(void *ctx)
 {
 	struct late *l = ctx;
 
@@ -168,10 +170,13 @@
 	uv_timer_init(&rig.loop, &l->timer);
 	l->timer.data = l;
 	uv_timer_start(&l->timer, on_late, KV_RIG_LATE_MS, 0);
-	ready_on_gone(wait, on_late_gone, l);
+	ready_on_gone(wait, on_late_disconnect, l);
 }
 
-/* What changed after a revision; all for 0; of one key alone if it is given. */
+/*
+ * The rows that changed after a revision, without deleted ones for 0; `only`:
+ * restricts them to one key unless NULL.
+ */
 static GString *rows_after(uint64_t after, const char *only, bool more)
 {
 	GString *out = g_string_new(NULL);
@@ -197,24 +202,24 @@
 	return out;
 }
 
-static void on_held_gone(void *wait)
+static void on_ignored_disconnect(void *wait)
 {
-	g_queue_remove(&rig.held, wait);
+	g_queue_remove(&rig.ignored_calls, wait);
 }
 
-static void hold(struct ready_wait *wait)
+static void ignore_call(struct ready_wait *wait)
 {
-	g_queue_push_tail(&rig.held, wait);
-	ready_on_gone(wait, on_held_gone, wait);
+	g_queue_push_tail(&rig.ignored_calls, wait);
+	ready_on_gone(wait, on_ignored_disconnect, wait);
 }
 
-static bool is_held(const struct proxy *p)
+static bool is_ignored(const struct proxy *p)
 {
 	return p->store == KV_RIG_SILENT ||
-	       (p->store == KV_RIG_SOME && p->store_calls % 3);
+	       (p->store == KV_RIG_EVERY_THIRD && p->store_calls % 3);
 }
 
-/* A watch without news gets an empty answer at once. */
+/* A watch is answered at once, also if nothing has changed. */
 static void ask_store(struct proxy *p, struct str query,
 		      struct ready_wait *wait)
 {
@@ -229,14 +234,14 @@
 	p->store_calls++;
 	p->key_calls += key != NULL;
 	sscanf(text, "after=%" G_GUINT64_FORMAT, &after);
-	if (is_held(p)) {
-		hold(wait);
+	if (is_ignored(p)) {
+		ignore_call(wait);
 		g_free(text);
 		return;
 	}
-	if (rig.down || p->store == KV_RIG_REFUSES ||
+	if (rig.store_down || p->store == KV_RIG_REFUSES ||
 	    (!after && rig.fail_ranges)) {
-		rig.fail_ranges -= !rig.down && rig.fail_ranges;
+		rig.fail_ranges -= !rig.store_down && rig.fail_ranges;
 		ready_answer(wait, 503, STR(""));
 		g_free(text);
 		return;
@@ -244,7 +249,7 @@
 	is_first = is_first && !after;
 	out = rows_after(after, is_first ? "op/config" : key, is_first);
 	g_free(text);
-	if (p->store == KV_RIG_CUT)
+	if (p->store == KV_RIG_TRUNCATED)
 		g_string_truncate(out, 1);
 	if (p->store == KV_RIG_LATE)
 		answer_late(wait, out->str);
@@ -271,8 +276,8 @@
 {
 	struct proxy *p = ctx;
 
-	if (p->mute)
-		g_queue_push_tail(&p->muted, wait);
+	if (p->ignores_requests)
+		g_queue_push_tail(&p->ignored_requests, wait);
 	else
 		kv_feed_ask(p->feed, query, wait);
 }
@@ -288,8 +293,8 @@
 {
 	struct proxy *p = ctx;
 
-	g_hash_table_replace(p->has, g_strdup(key), str_dup(value));
-	if (p->feed != rig.behind)
+	g_hash_table_replace(p->values, g_strdup(key), str_dup(value));
+	if (p->feed != rig.stale_feed)
 		kv_feed_set(p->feed, key, revision, value);
 }
 
@@ -297,8 +302,8 @@
 {
 	struct proxy *p = ctx;
 
-	g_hash_table_remove(p->has, key);
-	if (p->feed != rig.behind)
+	g_hash_table_remove(p->values, key);
+	if (p->feed != rig.stale_feed)
 		kv_feed_gone(p->feed, key, revision);
 }
 
@@ -307,7 +312,7 @@
 	struct proxy *p = ctx;
 
 	p->n_settled++;
-	if (p->feed != rig.behind)
+	if (p->feed != rig.stale_feed)
 		kv_feed_settled(p->feed, at);
 }
 
@@ -321,16 +326,16 @@
 	struct proxy *p = ctx;
 	struct feed_plan plan;
 
-	if (p->decides) {
-		plan = feed_source_plan(p->decides, reads_all, now_us());
+	if (p->source_choice) {
+		plan = feed_source_plan(p->source_choice, reads_all, now_us());
 		*out = (struct kv_source){ plan.proxy ? rig.watcher.url : NULL,
 					   plan.wait_ms, plan.repeat_ms,
 					   plan.timeout_us, plan.most_us };
 		return;
 	}
-	*out = (struct kv_source){ p->asks_once ? NULL : p->asks, WAIT_MS, 0,
-				   TIMEOUT_US, TIMEOUT_US };
-	p->asks_once = false;
+	*out = (struct kv_source){ p->ask_store_once ? NULL : p->source_url,
+				   WAIT_MS, 0, TIMEOUT_US, TIMEOUT_US };
+	p->ask_store_once = false;
 }
 
 static void on_heard(void *ctx, bool answers, uint64_t took_us)
@@ -338,11 +343,11 @@
 	struct proxy *p = ctx;
 
 	(void)took_us;
-	p->n_heard++;
-	p->n_lost += !answers;
-	if (p->decides)
-		feed_source_on_store(p->decides, answers, now_us());
-	if (p->feed != rig.behind && answers)
+	p->n_store_results++;
+	p->n_store_failed += !answers;
+	if (p->source_choice)
+		feed_source_on_store(p->source_choice, answers, now_us());
+	if (p->feed != rig.stale_feed && answers)
 		kv_feed_heard(p->feed, 0);
 }
 
@@ -350,14 +355,14 @@
 {
 	struct proxy *p = ctx;
 
-	p->n_fed += answered;
-	p->n_left += !answered;
+	p->n_feed_answered += answered;
+	p->n_feed_failed += !answered;
 	p->age_us = age_us;
-	if (p->decides)
-		return feed_source_on_answer(p->decides, "p0", answered, age_us,
-					     now_us());
+	if (p->source_choice)
+		return feed_source_on_answer(p->source_choice, "p0", answered,
+					     age_us, now_us());
 	if (!answered)
-		p->asks = NULL;
+		p->source_url = NULL;
 	return answered;
 }
 
@@ -367,35 +372,35 @@
 
 	(void)status;
 	(void)len;
-	p->n_refused++;
+	p->n_malformed++;
 }
 
-static void on_known(void *ctx, uint64_t known_us)
+static void on_known(void *ctx, uint64_t known_at_us)
 {
 	struct proxy *p = ctx;
 
-	ck_assert_uint_le(known_us, clock_boot_us());
-	p->known_us = MAX(p->known_us, known_us);
-	kv_feed_known(p->feed, known_us);
+	ck_assert_uint_le(known_at_us, clock_boot_us());
+	p->known_at_us = MAX(p->known_at_us, known_at_us);
+	kv_feed_known(p->feed, known_at_us);
 }
 
 static void on_missing(void *ctx)
 {
 	struct proxy *p = ctx;
 
-	p->asks_once = true;
+	p->ask_store_once = true;
 	p->n_missing++;
-	if (p->decides)
-		feed_source_on_value_missing(p->decides);
+	if (p->source_choice)
+		feed_source_on_value_missing(p->source_choice);
 }
 
 static void on_first_page(void *ctx)
 {
 	struct proxy *p = ctx;
 
-	if (p->learns)
-		p->asks = rig.watcher.url;
-	p->learns = false;
+	if (p->learns_watcher)
+		p->source_url = rig.watcher.url;
+	p->learns_watcher = false;
 }
 
 static const struct kv_events events = {
@@ -428,8 +433,8 @@
 	return r;
 }
 
-/* The first proxy is the watcher; the others of the list are not played. */
-static struct feed_source *decide(const char *name, unsigned n_proxies)
+/* Proxy p0 is the watcher; the other proxies of the list don't exist. */
+static struct feed_source *create_source(const char *name, unsigned n_proxies)
 {
 	struct relay_server_info *infos =
 		g_new0(struct relay_server_info, n_proxies);
@@ -450,15 +455,17 @@
 	return f;
 }
 
-static void start_proxy(struct proxy *p, const char *store, const char *asks)
+static void start_proxy(struct proxy *p, const char *store,
+			const char *source_url)
 {
 	static const struct ready_page page = { "/feed", "text/plain", NULL,
 						ask_feed };
 
-	p->has = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	p->values =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	p->feed = kv_feed_create(&rig.loop, &kv_rig_codec);
 	p->port = listen_on(p, &page, 1, &p->url);
-	p->asks = asks;
+	p->source_url = source_url;
 	p->store_url = g_strconcat(rig.url, store, NULL);
 	p->follow = kv_follow_create(&rig.loop, rig.http, p->store_url,
 				     &kv_rig_codec, &events, p);
@@ -506,7 +513,7 @@
 {
 	start_store();
 	rig.watcher.store = mode;
-	rig.follower.is_paged = rig.follower.learns = true;
+	rig.follower.is_paged = rig.follower.learns_watcher = true;
 	start_proxy(&rig.watcher, "/w", NULL);
 	start_proxy(&rig.follower, "/f", NULL);
 }
@@ -514,8 +521,8 @@
 void kv_rig_start_fleet(unsigned n_proxies)
 {
 	start_store();
-	rig.watcher.decides = decide("p0", n_proxies);
-	rig.follower.decides = decide("p1", n_proxies);
+	rig.watcher.source_choice = create_source("p0", n_proxies);
+	rig.follower.source_choice = create_source("p1", n_proxies);
 	start_proxies();
 }
 
@@ -537,10 +544,10 @@
 static void end_proxy(struct proxy *p)
 {
 	kv_feed_destroy(p->feed);
-	refuse_all(&p->muted);
+	refuse_all(&p->ignored_requests);
 	ready_destroy(p->port);
-	feed_source_destroy(p->decides);
-	g_hash_table_destroy(p->has);
+	feed_source_destroy(p->source_choice);
+	g_hash_table_destroy(p->values);
 	g_free(p->store_url);
 	g_free(p->url);
 }
@@ -548,10 +555,12 @@
 void kv_rig_end(void)
 {
 	http_destroy(rig.http);
-	/* A port that ends turns the loop: no follower may call by then. */
+	/*
+	 * Closing a port runs the loop, so no follower may send calls by then.
+	 */
 	kv_follow_destroy(rig.follower.follow);
 	kv_follow_destroy(rig.watcher.follow);
-	refuse_all(&rig.held);
+	refuse_all(&rig.ignored_calls);
 	end_proxy(&rig.follower);
 	end_proxy(&rig.watcher);
 	ready_destroy(rig.port);
@@ -562,14 +571,14 @@
 
 struct expected {
 	const char *key;
-	const char *value; /* NULL: it is gone */
+	const char *value; /* NULL: the key must be absent */
 };
 
 static bool follower_has(void *ctx)
 {
 	const struct expected *e = ctx;
 
-	return !g_strcmp0(g_hash_table_lookup(rig.follower.has, e->key),
+	return !g_strcmp0(g_hash_table_lookup(rig.follower.values, e->key),
 			  e->value);
 }
 
--- a/packages/transport/tests/support_kv.h
+++ b/packages/transport/tests/support_kv.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TESTS_SUPPORT_KV_H
 
 /*
- * A store, a proxy that watches it, and one that follows it through that
- * proxy, on one loop. The store of the test is a table whose calls are counted;
- * answers are lines of words.
+ * A store, a proxy that watches it (the watcher), and one that follows it
+ * through the watcher (the follower), all on one loop. The store is a table
+ * that counts the calls to it; answers are lines of words.
  */
 
 #include "support_loop.h"
@@ -14,43 +14,46 @@
 
 struct row {
 	uint64_t revision;
-	char *value; /* NULL: it was deleted */
+	char *value; /* NULL: deleted */
 };
 
-/* What the store does with a proxy's calls. */
+/* How the store treats a proxy's calls. */
 enum kv_rig_mode {
 	KV_RIG_ANSWERS,
-	KV_RIG_SILENT, /* it takes the call and never answers */
+	KV_RIG_SILENT, /* accepts calls and never answers */
 	KV_RIG_REFUSES,
-	KV_RIG_LATE, /* after KV_RIG_LATE_MS */
-	KV_RIG_SOME, /* it answers the third call of three */
-	KV_RIG_CUT /* its answers end in their first line */
+	KV_RIG_LATE, /* answers after KV_RIG_LATE_MS */
+	KV_RIG_EVERY_THIRD, /* answers every third call */
+	KV_RIG_TRUNCATED /* truncates its answers in their first line */
 };
 
 #define KV_RIG_LATE_MS 350
 
-/* A proxy: what it follows, and what it serves. */
+/* A proxy with its follower and its feed. */
 struct proxy {
 	struct kv_follow *follow;
 	struct kv_feed *feed;
 	struct ready *port;
 	char *url;
-	GHashTable *has; /* key -> value */
+	GHashTable *values; /* key -> value */
 	char *store_url;
 	enum kv_rig_mode store;
 	unsigned store_calls;
-	unsigned key_calls; /* of these, for one key */
-	struct feed_source *decides; /* whom it asks; NULL: `asks` */
-	const char *asks; /* the other's URL; NULL: the store */
-	bool asks_once; /* the store */
+	unsigned key_calls; /* of store_calls: reads of one key */
+	/* chooses where it reads from; NULL: source_url */
+	struct feed_source *source_choice;
+	const char *source_url; /* URL of the other proxy; NULL: the store */
+	bool ask_store_once; /* the next call goes to the store */
 	bool is_paged; /* the store's range has a second page */
-	bool learns; /* of the watcher from the first page */
-	bool mute; /* it answers nobody */
-	GQueue muted; /* struct ready_wait */
-	unsigned n_settled, n_heard, n_lost, n_fed, n_left, n_missing;
-	unsigned n_refused;
+	/* switches to the watcher after the first page of its range */
+	bool learns_watcher;
+	bool ignores_requests; /* of other proxies */
+	GQueue ignored_requests; /* struct ready_wait */
+	unsigned n_settled, n_store_results, n_store_failed, n_feed_answered,
+		n_feed_failed, n_missing;
+	unsigned n_malformed;
 	uint64_t age_us;
-	uint64_t known_us;
+	uint64_t known_at_us;
 };
 
 struct kv_rig {
@@ -61,35 +64,46 @@
 	GHashTable *rows; /* key -> struct row */
 	uint64_t revision;
 	unsigned calls;
-	unsigned fail_ranges; /* the next ones are refused */
-	bool down;
-	bool boasts; /* the watcher says that it knows what is to come */
-	GQueue held; /* struct ready_wait: calls that get no answer */
+	/* number of ranges that are still to be refused */
+	unsigned fail_ranges;
+	bool store_down;
+	/*
+	 * Proxies claim to know the store's state up to a time in the far
+	 * future.
+	 */
+	bool claims_future;
+	GQueue ignored_calls; /* to the store; struct ready_wait */
 	struct proxy watcher, follower;
-	struct kv_feed *behind; /* nothing new is told to it; NULL: none is */
+	struct kv_feed *stale_feed; /* gets no updates; NULL: none */
 };
 
 extern struct kv_rig rig;
-/* "at cursor age partial" and "key revision [value]" lines. */
+/*
+ * Answers are a line "at cursor age partial [known [more]]" and lines "key
+ * revision [value]".
+ */
 extern const struct kv_codec kv_rig_codec;
 
 void kv_rig_start(void);
 /*
- * Both at once, while the store answers the watcher in this way. The follower
- * learns of the watcher from the first of two pages.
+ * Starts both proxies at once, with the store in this mode for the watcher. The
+ * follower learns of the watcher from the first of two pages.
  */
 void kv_rig_start_together(enum kv_rig_mode mode);
 /*
- * As kv_rig_start(), with the proxies' own decisions on whom to ask, as in a
- * fleet of so many.
+ * As kv_rig_start(), but the proxies choose their sources as in a fleet of
+ * n_proxies.
  */
 void kv_rig_start_fleet(unsigned n_proxies);
 void kv_rig_end(void);
-/* Writes a key of the store; NULL: it is deleted. */
+/* Writes a key of the store; value NULL: deletes it. */
 void kv_rig_put(const char *key, const char *value);
-/* Turns the loop until the follower has that; value NULL: it is gone. */
+/*
+ * Runs the loop until the follower has this value; NULL: until the key is
+ * absent.
+ */
 void kv_rig_expect(const char *key, const char *value);
-/* What the store does with both proxies' calls. */
+/* Sets how the store treats both proxies' calls. */
 void kv_rig_store(enum kv_rig_mode mode);
 
 #endif
--- a/packages/transport/tests/test_kv_feed.c
+++ b/packages/transport/tests/test_kv_feed.c
@@ -5,13 +5,13 @@
 
 #include <string.h>
 
-static bool follower_left(void *ctx)
+static bool follower_left_watcher(void *ctx)
 {
 	(void)ctx;
-	return rig.follower.n_left > 0;
+	return rig.follower.n_feed_failed > 0;
 }
 
-/* What one proxy hears from the store, the others hear from it. */
+/* Changes that one proxy reads from the store reach the others through it. */
 START_TEST(what_changes_comes_through_the_other)
 {
 	kv_rig_start();
@@ -23,13 +23,13 @@
 	kv_rig_expect("servers/b", NULL);
 	kv_rig_put("servers/b", "back");
 	kv_rig_expect("servers/b", "back");
-	ck_assert_uint_eq(rig.follower.n_left, 0);
-	ck_assert_uint_eq(rig.follower.n_lost, 0);
+	ck_assert_uint_eq(rig.follower.n_feed_failed, 0);
+	ck_assert_uint_eq(rig.follower.n_store_failed, 0);
 	kv_rig_end();
 }
 END_TEST
 
-/* Fails when each of many proxies that start reads all from the store. */
+/* Fails if each of many starting proxies reads everything from the store. */
 START_TEST(a_start_reads_one_page_of_the_store)
 {
 	kv_rig_start_together(_i ? KV_RIG_LATE : KV_RIG_ANSWERS);
@@ -37,60 +37,66 @@
 	kv_rig_expect("servers/b", "up");
 	kv_rig_expect("op/config", "one");
 	ck_assert_uint_eq(rig.follower.store_calls, 1);
-	ck_assert_uint_eq(rig.follower.n_left, 0);
+	ck_assert_uint_eq(rig.follower.n_feed_failed, 0);
 	kv_rig_put("servers/b", NULL);
 	kv_rig_expect("servers/b", NULL);
 	kv_rig_end();
 }
 END_TEST
 
-/* Fails when a proxy that starts waits for a watcher that has nothing. */
+/*
+ * Fails if a starting proxy keeps waiting for a watcher that has read nothing.
+ */
 START_TEST(a_start_goes_on_with_the_store_without_a_watcher)
 {
 	kv_rig_start_together(KV_RIG_SILENT);
 	kv_rig_expect("servers/a", "up");
 	kv_rig_expect("servers/b", "up");
-	ck_assert_uint_eq(rig.follower.n_left, 1);
+	ck_assert_uint_eq(rig.follower.n_feed_failed, 1);
 	kv_rig_end();
 }
 END_TEST
 
-static bool fed_often(void *ctx)
+static bool fed_20_times(void *ctx)
 {
 	(void)ctx;
-	return rig.follower.n_fed >= 20;
+	return rig.follower.n_feed_answered >= 20;
 }
 
 /*
- * The operators' configuration grew to 200 KB. Sent to all followers of one
- * watcher it filled its link for seconds; each is to get it from the store,
- * with one call, and go on with the watcher.
+ * A configuration of 200 KB that a watcher sends to all of its followers fills
+ * its link for seconds. Each follower has to get it from the store, with one
+ * call, and then continue with the watcher.
  */
 START_TEST(a_large_value_comes_from_the_store)
 {
 	char *large = g_strnfill(200000, 'x');
-	unsigned heard;
+	unsigned results;
 
 	kv_rig_start();
 	kv_rig_expect("op/config", "one");
-	heard = rig.follower.n_heard;
+	results = rig.follower.n_store_results;
 	kv_rig_put("op/config", large);
 	kv_rig_expect("op/config", large);
 	ck_assert_uint_eq(rig.follower.n_missing, 1);
-	/* A read of all would bring what is known, over a narrow link. */
+	/*
+	 * A read of everything would send known values again over a narrow
+	 * link.
+	 */
 	ck_assert_uint_eq(rig.follower.key_calls, 1);
 	kv_rig_put("servers/a", "draining");
 	kv_rig_expect("servers/a", "draining");
-	ck_assert_uint_eq(rig.follower.n_heard, heard + 1);
-	ck_assert_uint_eq(rig.follower.n_left, 0);
+	ck_assert_uint_eq(rig.follower.n_store_results, results + 1);
+	ck_assert_uint_eq(rig.follower.n_feed_failed, 0);
 	g_free(large);
 	kv_rig_end();
 }
 END_TEST
 
 /*
- * The watcher's link carries it to all that follow: nobody needs the store,
- * and who can't reach the store has the new configuration, too.
+ * If the watcher's link can carry the value to all followers, none of them
+ * needs the store, and one that can't reach the store gets the new
+ * configuration too.
  */
 START_TEST(a_value_that_the_link_carries_comes_from_the_watcher)
 {
@@ -110,8 +116,9 @@
 END_TEST
 
 /*
- * The one call for it fails. The watcher won't tell of it again, and a proxy
- * that went on with the watcher's changes stayed with the old configuration.
+ * If the call that reads a large value from the store fails, it must be
+ * repeated: the watcher doesn't name the value again, and a proxy that only
+ * follows the watcher's changes would keep the old configuration.
  */
 START_TEST(a_large_value_is_asked_for_until_it_comes)
 {
@@ -125,18 +132,18 @@
 	ck_assert_uint_eq(rig.fail_ranges, 0);
 	kv_rig_put("servers/a", "draining");
 	kv_rig_expect("servers/a", "draining");
-	ck_assert_uint_eq(rig.follower.n_left, 0);
+	ck_assert_uint_eq(rig.follower.n_feed_failed, 0);
 	g_free(large);
 	kv_rig_end();
 }
 END_TEST
 
-/* The store's calls have a price: through another there are none. */
+/* Calls to the store are expensive: a follower of another proxy makes none. */
 START_TEST(the_store_is_not_asked)
 {
 	kv_rig_start();
-	loop_until(&rig.loop, fed_often, NULL);
-	ck_assert_uint_eq(rig.follower.n_heard, 0);
+	loop_until(&rig.loop, fed_20_times, NULL);
+	ck_assert_uint_eq(rig.follower.n_store_results, 0);
 	kv_rig_put("servers/b", "last");
 	kv_rig_expect("servers/b", "last");
 	kv_rig_end();
@@ -144,27 +151,27 @@
 END_TEST
 
 /*
- * A proxy ends right after an empty answer, with its next call due. The call
- * was started while its client was being ended, and stayed behind.
+ * A proxy shuts down right after an empty answer, with its next call due. Fails
+ * if that call is started while the HTTP client is being destroyed, and leaks.
  */
-START_TEST(an_end_between_two_calls_leaves_none)
+START_TEST(a_shutdown_between_two_calls_leaks_no_call)
 {
 	kv_rig_start();
-	loop_until(&rig.loop, fed_often, NULL);
+	loop_until(&rig.loop, fed_20_times, NULL);
 	kv_rig_end();
 }
 END_TEST
 
 /*
- * The watcher stands still. Those that ask it must not go on by the old
- * configuration: they ask the store.
+ * If the watcher stalls, its followers must not stay with the old
+ * configuration: they switch to the store.
  */
 START_TEST(a_silent_watcher_is_left_for_the_store)
 {
 	kv_rig_start();
 	kv_rig_expect("op/config", "one");
-	rig.watcher.mute = true;
-	loop_until(&rig.loop, follower_left, NULL);
+	rig.watcher.ignores_requests = true;
+	loop_until(&rig.loop, follower_left_watcher, NULL);
 	kv_rig_put("op/config", "two");
 	kv_rig_expect("op/config", "two");
 	kv_rig_put("servers/a", NULL);
@@ -179,23 +186,23 @@
 	return rig.follower.age_us > 300000;
 }
 
-/* The watcher answers and hears nothing itself; its answers say so. */
+/* A watcher that gets no answers from the store says so in its own answers. */
 START_TEST(answers_say_how_old_they_are)
 {
 	kv_rig_start();
 	kv_rig_expect("op/config", "one");
-	rig.down = true;
+	rig.store_down = true;
 	loop_until(&rig.loop, is_old, NULL);
-	rig.down = false;
+	rig.store_down = false;
 	kv_rig_end();
 }
 END_TEST
 
 /*
- * The watcher's process is another than before. What it numbered then means
- * nothing now; all is read again and nothing is missed.
+ * The watcher has restarted, so cursors of its former process are invalid:
+ * everything is read again and no change is lost.
  */
-START_TEST(a_watcher_that_started_anew)
+START_TEST(a_restarted_watcher_is_read_again)
 {
 	struct kv_feed *before;
 
@@ -215,34 +222,35 @@
 END_TEST
 
 /*
- * A proxy that has heard the store itself comes to a watcher that trails. What
- * it knows must not go back, and what it knows alone must not vanish.
+ * A proxy that has read the store itself switches to a watcher that lags
+ * behind. Its newer values must not be reverted, and keys that only it knows
+ * must not vanish.
  */
-START_TEST(a_watcher_that_trails_takes_nothing_back)
+START_TEST(a_lagging_watcher_reverts_nothing)
 {
 	struct kv_feed *current;
 
 	kv_rig_start();
 	kv_rig_expect("op/config", "one");
-	rig.follower.asks = NULL;
+	rig.follower.source_url = NULL;
 	kv_rig_put("op/config", "two");
 	kv_rig_put("servers/c", "new");
 	kv_rig_expect("op/config", "two");
 	kv_rig_expect("servers/c", "new");
 	current = rig.watcher.feed;
-	rig.watcher.feed = rig.behind =
+	rig.watcher.feed = rig.stale_feed =
 		kv_feed_create(&rig.loop, &kv_rig_codec);
-	kv_feed_set(rig.behind, "op/config", 1, STR("one"));
-	kv_feed_set(rig.behind, "servers/a", 2, STR("up"));
-	kv_feed_settled(rig.behind, 3);
-	rig.follower.asks = rig.watcher.url;
-	loop_until(&rig.loop, fed_often, NULL);
+	kv_feed_set(rig.stale_feed, "op/config", 1, STR("one"));
+	kv_feed_set(rig.stale_feed, "servers/a", 2, STR("up"));
+	kv_feed_settled(rig.stale_feed, 3);
+	rig.follower.source_url = rig.watcher.url;
+	loop_until(&rig.loop, fed_20_times, NULL);
 	kv_feed_destroy(current);
-	ck_assert_str_eq(g_hash_table_lookup(rig.follower.has, "op/config"),
+	ck_assert_str_eq(g_hash_table_lookup(rig.follower.values, "op/config"),
 			 "two");
-	ck_assert_str_eq(g_hash_table_lookup(rig.follower.has, "servers/c"),
+	ck_assert_str_eq(g_hash_table_lookup(rig.follower.values, "servers/c"),
 			 "new");
-	rig.follower.asks = NULL;
+	rig.follower.source_url = NULL;
 	kv_rig_put("servers/b", "last");
 	kv_rig_expect("servers/b", "last");
 	kv_rig_end();
@@ -253,10 +261,10 @@
 {
 	const unsigned *n = ctx;
 
-	return rig.follower.n_fed >= *n;
+	return rig.follower.n_feed_answered >= *n;
 }
 
-/* Guards against a follower that takes a watcher's old knowledge for new. */
+/* Fails if a follower takes old data of its watcher for recent. */
 START_TEST(a_follower_knows_no_more_than_its_watcher)
 {
 	unsigned until;
@@ -264,25 +272,25 @@
 	kv_rig_start();
 	kv_rig_expect("op/config", "one");
 	rig.watcher.store = KV_RIG_SILENT;
-	until = rig.follower.n_fed + 10;
+	until = rig.follower.n_feed_answered + 10;
 	loop_until(&rig.loop, fed_again, &until);
-	ck_assert_uint_gt(rig.follower.known_us, 0);
-	ck_assert_uint_le(rig.follower.known_us, rig.watcher.known_us);
+	ck_assert_uint_gt(rig.follower.known_at_us, 0);
+	ck_assert_uint_le(rig.follower.known_at_us, rig.watcher.known_at_us);
 	kv_rig_end();
 }
 END_TEST
 
-/* Guards against a number that another proxy got wrong; see on_known(). */
-START_TEST(nobody_knows_what_is_to_come)
+/* Fails if a wrong time given by another proxy is trusted; see on_known(). */
+START_TEST(a_known_time_is_never_in_the_future)
 {
 	unsigned until;
 
 	kv_rig_start();
 	kv_rig_expect("op/config", "one");
-	rig.boasts = true;
-	until = rig.follower.n_fed + 3;
+	rig.claims_future = true;
+	until = rig.follower.n_feed_answered + 3;
 	loop_until(&rig.loop, fed_again, &until);
-	ck_assert_uint_le(rig.follower.known_us, clock_boot_us());
+	ck_assert_uint_le(rig.follower.known_at_us, clock_boot_us());
 	kv_rig_end();
 }
 END_TEST
@@ -299,12 +307,12 @@
 	tcase_add_loop_test(tc, a_start_reads_one_page_of_the_store, 0, 2);
 	tcase_add_test(tc, a_start_goes_on_with_the_store_without_a_watcher);
 	tcase_add_test(tc, the_store_is_not_asked);
-	tcase_add_test(tc, an_end_between_two_calls_leaves_none);
+	tcase_add_test(tc, a_shutdown_between_two_calls_leaks_no_call);
 	tcase_add_test(tc, a_silent_watcher_is_left_for_the_store);
 	tcase_add_test(tc, answers_say_how_old_they_are);
-	tcase_add_test(tc, a_watcher_that_started_anew);
-	tcase_add_test(tc, a_watcher_that_trails_takes_nothing_back);
+	tcase_add_test(tc, a_restarted_watcher_is_read_again);
+	tcase_add_test(tc, a_lagging_watcher_reverts_nothing);
 	tcase_add_test(tc, a_follower_knows_no_more_than_its_watcher);
-	tcase_add_test(tc, nobody_knows_what_is_to_come);
+	tcase_add_test(tc, a_known_time_is_never_in_the_future);
 	return suite_main("kv feed", tc);
 }
--- a/packages/transport/tests/test_session.c
+++ b/packages/transport/tests/test_session.c
@@ -6,16 +6,16 @@
 
 #include <string.h>
 
-/* Less than the front queues. */
+/* Less than the front's limit for unsent bytes. */
 #define LONG_BYTES ((size_t)3 << 20)
 #define SOCKET_BYTES 16384
 #define STATEMENT_BYTES 16000
 #define STATEMENTS_AHEAD 64
 #define CONN 7
 
-/* Both ends on one loop, and what their relay was told. */
+/* A front and an upstream on one loop, and the events that their relay got. */
 static struct {
-	struct session_ends ends; /* first: the ops' ctx */
+	struct session_ends ends; /* first member, since &rig is the ops' ctx */
 	uv_loop_t loop;
 	uint64_t session;
 	unsigned opened, statements, closed, lost;
@@ -50,7 +50,7 @@
 	return true;
 }
 
-/* The tests' answers are one message each. */
+/* Each answer in these tests is one message. */
 static void put_answer(GString *out, const struct relay_answer *answer)
 {
 	str_append(out, answer->rows);
@@ -295,7 +295,7 @@
 	loop_until(&rig.loop, is_open, NULL);
 }
 
-/* Sends statements, of which the front takes one before it is answered. */
+/* Sends statements; the front handles one until it is answered. */
 static void send_statements(unsigned n)
 {
 	char *text = g_strnfill(STATEMENT_BYTES, 's');
@@ -308,7 +308,10 @@
 	g_free(text);
 }
 
-/* Of letters, so that a missing or moved part is seen; the caller frees it. */
+/*
+ * Answers with a pattern of letters in which a missing or moved part is
+ * noticed. check_answer() frees it.
+ */
 static char *answer_long(void)
 {
 	char *rows = g_malloc(LONG_BYTES + 1);
@@ -352,9 +355,9 @@
 END_TEST
 
 /*
- * A caller has sent ahead as its session is hung up, and gets its last answer
- * in part: a close with unread bytes has the kernel reset the connection,
- * which throws away what the caller has not yet got.
+ * A caller has sent statements ahead when its session is hung up. Fails if its
+ * last answer is cut off: closing a socket with unread bytes makes the kernel
+ * reset the connection, which discards data not yet delivered to the caller.
  */
 START_TEST(test_a_hang_up_with_unread_bytes_cuts_no_answer)
 {
@@ -379,9 +382,9 @@
 }
 
 /*
- * A proxy that stops ends sessions at rest. It is slow, so that a member's
- * next trip lies unread in the socket when the session is hung up; the trip
- * was read and thrown away, and its connection ended without an answer.
+ * A stopping proxy hangs up idle sessions. If it is slow, a caller's next
+ * statement may lie unread in the socket then. Fails if that statement is read
+ * and discarded, so that the connection ends without an answer.
  */
 START_TEST(test_a_statement_that_is_there_is_answered_first)
 {
@@ -404,7 +407,7 @@
 }
 END_TEST
 
-/* Fails when a statement that comes just before a hang-up is thrown away. */
+/* Fails if a statement that arrives just before a hang-up is discarded. */
 START_TEST(a_statement_that_comes_before_a_hang_up_is_answered)
 {
 	char *text = g_strnfill(STATEMENT_BYTES, 's');
@@ -429,7 +432,7 @@
 	return rig.opened || rig.lost;
 }
 
-/* Fails when a proxy that stops resets a caller that it has not accepted. */
+/* Fails if a stopping proxy resets a connection not accepted yet. */
 START_TEST(a_caller_that_waits_is_accepted_before_the_end)
 {
 	uint16_t port = session_front_port(rig.ends.front);
