--- a/packages/transport/include/celeryquay/transport/front.h
+++ b/packages/transport/include/celeryquay/transport/front.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_TRANSPORT_FRONT_H
 
 /*
- * The HTTP side over h2o: callers' requests in, answers out, and the
- * operators' port. HTTP/1.1 and HTTP/2, TLS when a certificate is set.
+ * The HTTP server of the proxy, on top of h2o: the callers' port and the
+ * operators' port. HTTP/1.1 and HTTP/2, with TLS if a certificate is set. The
+ * owner of a front is the code that created it and receives its events.
  */
 
 #include <celeryquay/base/err.h>
@@ -12,37 +13,40 @@
 #include <uv.h>
 
 struct front;
-struct front_request; /* one exchange; valid until answered or gone */
+/* One HTTP request and its response; valid until it is answered or gone. */
+struct front_request;
 
 struct front_listener {
-	const char *host;
+	const char *host; /* IPv4 or IPv6 address */
 	uint16_t port; /* 0: the kernel picks one */
-	const char *tls_certificate; /* file, or NULL */
-	const char *tls_key;
+	const char *tls_certificate; /* path of a PEM file; NULL: no TLS */
+	const char *tls_key; /* path of a PEM file */
 };
 
 struct front_settings {
 	struct front_listener callers;
 	struct front_listener operators;
-	size_t max_body_bytes;
+	size_t max_body_bytes; /* of a request */
+	/* Base time for receiving a request; large ones get more. */
 	uint64_t header_timeout_us;
-	unsigned max_connections;
+	unsigned max_connections; /* on the callers' port */
 };
 
 struct front_events {
 	/*
-	 * A caller's request is parsed: bearer token, session text and
-	 * Idempotency-Key (empty when absent) are views that live as long as
-	 * the exchange. The request is handed over with one reference.
+	 * A caller's request has been parsed. The bearer token and the
+	 * session text are empty when absent, and are views that live as long
+	 * as the exchange. The owner gets one reference to the request; the
+	 * request's key is the Idempotency-Key, empty when absent.
 	 */
 	void (*request)(void *ctx, struct front_request *fr,
 			struct request *request, struct str token,
 			struct str session);
-	/* The caller hung up before the answer; fr is void after this. */
+	/* The caller hung up before the answer; fr is invalid after this. */
 	void (*gone)(void *ctx, struct front_request *fr);
 	/*
-	 * A request on the operators' port: method and path, token, body.
-	 * Answered by front_reply(), now or later.
+	 * A request on the operators' port, to be answered with
+	 * front_reply(), during this call or later.
 	 */
 	void (*admin)(void *ctx, struct front_request *fr, struct str method,
 		      struct str path, struct str token, struct str body);
@@ -55,20 +59,20 @@
 void front_destroy(struct front *f);
 uint16_t front_caller_port(const struct front *f);
 uint16_t front_admin_port(const struct front *f);
-/* The caller's answer; session_text is the new token, empty for none. */
+/* Sends the answer; session_text is the new session token, empty for none. */
 void front_answer(struct front_request *fr, const struct request *request,
 		  const struct answer *answer, struct str session_text);
-/* A plain reply, for the operators' port. Copies the body. */
+/* Sends a response on the operators' port. Copies the body. */
 void front_reply(struct front_request *fr, int status, const char *type,
 		 struct str body);
 void *front_user(const struct front_request *fr);
 void front_set_user(struct front_request *fr, void *user);
-/* Stop: accept nothing new; idle connections are closed gracefully. */
+/* Stops accepting on the callers' port, closes idle connections gracefully. */
 void front_stop_accepting(struct front *f);
 unsigned front_connections(const struct front *f);
 unsigned front_exchanges(const struct front *f);
 
-/* The parser alone, for tests and fuzzing. */
+/* Parses a request body alone, for tests and fuzzing. */
 struct request *front_parse_body(struct str body, struct err *err);
 
 #endif
--- a/packages/transport/src/front.c
+++ b/packages/transport/src/front.c
@@ -7,35 +7,43 @@
 #include <celeryquay/base/log.h>
 
 #define LISTEN_BACKLOG 4096
+/* Idle time before the first TCP keepalive probe. */
 #define KEEPALIVE_S 60
 /*
- * How long a caller's connection may rest between requests. Callers pool their
- * connections, and a fleet with millions of them must not reconnect each time
- * that a pool is quiet.
+ * Longest time that a caller's connection may be idle between requests.
+ * Callers pool their connections, and a fleet with millions of them must not
+ * reconnect whenever a pool is unused for a while.
  */
 #define IDLE_TIMEOUT_MS (300 * 1000ULL)
-/* Connections above the limit that are told so before they are closed. */
+/*
+ * Connections above a port's limit that get OVERLOADED as a response. Any
+ * further ones are closed at once.
+ */
 #define REFUSED_MAX 64
-/* So that callers who use up their limit don't shut the operators out. */
+/*
+ * Connections on the operators' port. They have a limit of their own, so that
+ * callers who use up theirs don't lock the operators out.
+ */
 #define OPERATORS_MAX 256
 
-static void free_front(uv_handle_t *keeper)
+static void free_front(uv_handle_t *last_handle)
 {
-	g_free(keeper->data);
+	g_free(last_handle->data);
 }
 
 /*
- * h2o closes its timers and its queue when its context goes, and their memory
- * is the front's. The keeper is closed after them, in a loop turn of its own,
- * so nothing is left to the loop when the front is freed.
+ * h2o closes its timers and its queue when its context is disposed of, but
+ * their memory is part of the front. So last_handle is closed once more in a
+ * later loop iteration, after them, and the loop no longer refers to the front
+ * when it is freed.
  */
 static void on_handles_closed(uv_handle_t *handle)
 {
 	struct front *f = handle->data;
 
-	uv_idle_init(f->loop, &f->keeper);
-	f->keeper.data = f;
-	uv_close((uv_handle_t *)&f->keeper, free_front);
+	uv_idle_init(f->loop, &f->last_handle);
+	f->last_handle.data = f;
+	uv_close((uv_handle_t *)&f->last_handle, free_front);
 }
 
 static void free_port(struct front_port *port)
@@ -45,21 +53,24 @@
 }
 
 /* Frees the front once it is destroyed and its last connection has closed. */
-void front_finish_if_over(struct front *f)
+void front_free_if_closed(struct front *f)
 {
 	h2o_timeout_entry_t *goaway =
 		&f->context.http2._graceful_shutdown_timeout;
 
 	if (!f->destroyed || f->connections.length || f->lingers.length)
 		return;
-	/* The second GOAWAY, a second after the first; h2o leaves it linked. */
+	/*
+	 * Timer of the second GOAWAY, a second after the first. h2o leaves it
+	 * linked.
+	 */
 	if (h2o_timeout_is_linked(goaway))
 		h2o_timeout_unlink(goaway);
 	h2o_context_dispose(&f->context);
 	h2o_config_dispose(&f->config);
 	free_port(&f->callers);
 	free_port(&f->operators);
-	uv_close((uv_handle_t *)&f->keeper, on_handles_closed);
+	uv_close((uv_handle_t *)&f->last_handle, on_handles_closed);
 }
 
 static void on_connection_freed(uv_handle_t *handle)
@@ -70,7 +81,7 @@
 	g_queue_unlink(&f->connections, &c->link);
 	c->port->connections--;
 	g_free(c);
-	front_finish_if_over(f);
+	front_free_if_closed(f);
 }
 
 static void on_socket_closed(void *data)
@@ -99,11 +110,12 @@
 	g_queue_push_tail_link(&f->connections, &c->link);
 	port->connections++;
 	status = uv_accept(listener, (uv_stream_t *)&c->tcp);
-	if (status < 0 || port->connections > port->most + REFUSED_MAX) {
+	if (status < 0 ||
+	    port->connections > port->connection_limit + REFUSED_MAX) {
 		uv_close((uv_handle_t *)&c->tcp, on_connection_freed);
 		return;
 	}
-	c->refused = port->connections > port->most;
+	c->refused = port->connections > port->connection_limit;
 	uv_tcp_nodelay(&c->tcp, 1);
 	uv_tcp_keepalive(&c->tcp, 1, KEEPALIVE_S);
 	c->sock = h2o_uv_socket_create((uv_stream_t *)&c->tcp,
@@ -170,7 +182,7 @@
 	port->listener.data = port;
 }
 
-/* Sets up h2o with one handler for every path of every host. */
+/* Sets up h2o with a single handler for all hosts and paths. */
 static void http_init(struct front *f)
 {
 	struct front_handler *handler;
@@ -193,9 +205,9 @@
 }
 
 /*
- * Listens on both ports and serves on the loop from then on. NULL and
+ * Listens on both ports and serves them on the loop. Returns NULL with
  * BAD_SETTINGS or SYSTEM when a certificate or an address can't be used; what
- * was opened by then is closed in the loop's next turns.
+ * was opened by then is closed in the next iterations of the loop.
  */
 struct front *front_create(uv_loop_t *loop,
 			   const struct front_settings *settings,
@@ -210,14 +222,14 @@
 	f->max_body_bytes = settings->max_body_bytes;
 	f->header_timeout_us = settings->header_timeout_us;
 	http_init(f);
-	uv_idle_init(loop, &f->keeper);
-	f->keeper.data = f;
+	uv_idle_init(loop, &f->last_handle);
+	f->last_handle.data = f;
 	front_tick_start(f);
 	port_init(f, &f->callers);
 	port_init(f, &f->operators);
-	f->callers.most = settings->max_connections;
+	f->callers.connection_limit = settings->max_connections;
 	f->operators.operators = true;
-	f->operators.most = OPERATORS_MAX;
+	f->operators.connection_limit = OPERATORS_MAX;
 	if (!port_open(f, &f->callers, &settings->callers, err) ||
 	    !port_open(f, &f->operators, &settings->operators, err)) {
 		front_destroy(f);
@@ -234,8 +246,8 @@
 
 /*
  * Stops accepting, ends every exchange without an answer and closes every
- * connection. No event is called any more. The memory goes when the loop has
- * run the closings.
+ * connection. No event is called any more. The memory is freed after the loop
+ * has run the close callbacks.
  */
 void front_destroy(struct front *f)
 {
@@ -249,19 +261,19 @@
 	uv_close((uv_handle_t *)&f->tick, NULL);
 	front_linger_sweep(f, true);
 	for (l = f->connections.head; l; l = l->next)
-		front_cut(l->data, SHUT_RDWR);
+		front_shutdown_socket(l->data, SHUT_RDWR);
 	while (f->exchanges.head)
 		front_abandon(f->exchanges.head->data);
-	front_finish_if_over(f);
+	front_free_if_closed(f);
 }
 
-/* The callers' port, as the kernel gave it. */
+/* The TCP port on which callers are served. */
 uint16_t front_caller_port(const struct front *f)
 {
 	return f->callers.number;
 }
 
-/* The operators' port, as the kernel gave it. */
+/* The TCP port on which operators are served. */
 uint16_t front_admin_port(const struct front *f)
 {
 	return f->operators.number;
@@ -269,10 +281,10 @@
 
 /*
  * Closes the callers' listener and asks every connection to end: HTTP/2 by
- * GOAWAY, HTTP/1 by "Connection: close" on the next answer. A quiet HTTP/1
- * connection is closed for reading: a request that has arrived by then is
- * still read and served, one that comes later was never accepted. The
- * operators' port stays open, for it tells the balancer of the stop.
+ * GOAWAY, HTTP/1 by "Connection: close" in the next response. An idle HTTP/1
+ * connection is shut down for reading: a request that has arrived by then is
+ * still read and served, a later one is never accepted. The operators' port
+ * stays open, because the load balancer learns of the stop from it.
  */
 void front_stop_accepting(struct front *f)
 {
@@ -287,7 +299,7 @@
 		struct front_connection *c = l->data;
 
 		if (!c->exchanges && !c->http2 && !c->port->operators)
-			front_cut(c, SHUT_RD);
+			front_shutdown_socket(c, SHUT_RD);
 	}
 }
 
@@ -297,7 +309,7 @@
 	return f->connections.length;
 }
 
-/* Exchanges that wait for an answer, or whose answer is being sent. */
+/* Exchanges that wait for an answer or whose response is being sent. */
 unsigned front_exchanges(const struct front *f)
 {
 	return f->exchanges.length;
--- a/packages/transport/src/front_answer.c
+++ b/packages/transport/src/front_answer.c
@@ -46,10 +46,10 @@
 }
 
 /*
- * Appends a JSON string, with what JSON can't hold as it is escaped; runs that
- * need no escape go in one piece.
+ * Appends a JSON string, in which quotes, backslashes and control characters
+ * are escaped. Runs of other bytes are copied in one piece.
  */
-static void append_json(GString *out, struct str s)
+static void append_json_string(GString *out, struct str s)
 {
 	size_t i = 0;
 
@@ -72,13 +72,13 @@
 	g_string_append_c(out, '"');
 }
 
-/* Appends "name": with a comma before, and a string. */
+/* Appends a comma, the member's name and a string as its value. */
 static void append_field(GString *out, const char *name, struct str value)
 {
 	g_string_append(out, ",\"");
 	g_string_append(out, name);
 	g_string_append(out, "\":");
-	append_json(out, value);
+	append_json_string(out, value);
 }
 
 static void add_header(h2o_req_t *req, const h2o_token_t *token,
@@ -96,16 +96,16 @@
 	add_header(req, token, str_from_c(value));
 }
 
-/* Gives h2o the next bytes of the body, at most one slice. */
+/* Passes the next bytes of the body to h2o, at most FRONT_SLICE_MAX_BYTES. */
 static void send_slice(h2o_generator_t *generator, h2o_req_t *req)
 {
 	struct front_request *fr = (struct front_request *)generator;
-	h2o_iovec_t bufs[FRONT_PARTS];
-	size_t room = FRONT_SLICE_BYTES;
+	h2o_iovec_t bufs[FRONT_BODY_PARTS];
+	size_t room = FRONT_SLICE_MAX_BYTES;
 	size_t n = 0;
 
-	fr->slice_ms = uv_now(fr->front->loop);
-	while (fr->part < FRONT_PARTS && room) {
+	fr->slice_at_ms = uv_now(fr->front->loop);
+	while (fr->part < FRONT_BODY_PARTS && room) {
 		struct str part = fr->parts[fr->part];
 		size_t len = MIN(part.len - fr->offset, room);
 
@@ -119,19 +119,19 @@
 		}
 	}
 	h2o_send(req, bufs, n,
-		 fr->part < FRONT_PARTS ? H2O_SEND_STATE_IN_PROGRESS :
-					  H2O_SEND_STATE_FINAL);
+		 fr->part < FRONT_BODY_PARTS ? H2O_SEND_STATE_IN_PROGRESS :
+					       H2O_SEND_STATE_FINAL);
 }
 
-/* Whether this is the generator of an answer that the front has made. */
-bool front_is_own(const h2o_generator_t *generator)
+/* Whether this generator is the front's, not one of h2o's own responses. */
+bool front_made_response(const h2o_generator_t *generator)
 {
 	return generator && generator->proceed == send_slice;
 }
 
 /*
- * Sends text[0..head), results, text[head..]. The exchange may be gone when
- * this returns.
+ * Sends the first `head` bytes of the text, the results, then the rest of the
+ * text. The exchange may have been freed when this returns.
  */
 static void send_body(struct front_request *fr, int status, const char *type,
 		      size_t head)
@@ -156,31 +156,34 @@
 	send_slice(&fr->generator, req);
 }
 
-/* Whether the proxy has given up on the request, so that it may come again. */
-static bool is_given_up(int status)
+/* Whether the status means that the proxy has given up on the request. */
+static bool needs_retry_after(int status)
 {
 	return status == 429 || status == 503 || status == 504;
 }
 
-/* Retry-After counts whole seconds: rounded up, at least one. */
+/*
+ * Retry-After is in whole seconds: rounded up, and at least one for a request
+ * that the proxy has given up on.
+ */
 static void add_retry_after(h2o_req_t *req, int status, uint64_t after_us)
 {
 	uint64_t seconds = (after_us + USEC_PER_SEC - 1) / USEC_PER_SEC;
 	char text[24];
 
-	if (!after_us && !is_given_up(status))
+	if (!after_us && !needs_retry_after(status))
 		return;
 	g_snprintf(text, sizeof(text), "%" G_GUINT64_FORMAT, MAX(seconds, 1));
 	add_header_text(req, H2O_TOKEN_RETRY_AFTER, text);
 }
 
-/* Whole milliseconds, rounded up. */
+/* Rounds up to whole milliseconds. */
 static unsigned long to_ms(uint64_t us)
 {
 	return (us + USEC_PER_MSEC - 1) / USEC_PER_MSEC;
 }
 
-/* An error as the callers' JSON; the caller owns it. */
+/* The JSON body of an error response; the calling code owns it. */
 GString *front_error_text(const char *outcome, const struct err *err,
 			  uint64_t retry_after_us, const char *sqlstate)
 {
@@ -214,7 +217,7 @@
 	send_body(fr, info->http_status, JSON_TYPE, fr->text->len);
 }
 
-/* Answers an exchange that the owner has not seen. */
+/* Sends an error on an exchange that was not passed to the owner. */
 void front_fail(struct front_request *fr, const struct err *err)
 {
 	send_error(fr, err_outcome_name(err_info(err->code)->outcome), err, 0,
@@ -260,7 +263,7 @@
 
 	str_put_u64(age_ms, to_ms(a->age_us));
 	g_string_append(out, ",\"served_by\":{\"server\":");
-	append_json(out, str_from_c(a->server));
+	append_json_string(out, str_from_c(a->server));
 	g_string_append(out, a->by_primary ? ",\"role\":\"primary\"" :
 					     ",\"role\":\"replica\"");
 	g_string_append(out, ",\"age_ms\":");
@@ -297,8 +300,9 @@
 }
 
 /*
- * Sends the caller's answer, once; the exchange is the front's alone from then
- * on. The results are sent from the answer's own bytes.
+ * Sends the answer. The owner must not use the exchange after this; further
+ * calls are ignored. The results are sent without a copy, from a reference to
+ * the answer's bytes.
  */
 void front_answer(struct front_request *fr, const struct request *request,
 		  const struct answer *answer, struct str session_text)
@@ -314,7 +318,10 @@
 			   answer->retry_after_us, answer->sqlstate);
 }
 
-/* Sends a reply of any type on the operators' port, once. */
+/*
+ * Sends a response with this status, content type and body on the operators'
+ * port. Ignored if the exchange has been answered.
+ */
 void front_reply(struct front_request *fr, int status, const char *type,
 		 struct str body)
 {
@@ -325,8 +332,8 @@
 }
 
 /*
- * Ends an exchange without a word to its owner: the connection is closed under
- * an empty answer.
+ * Ends an exchange without telling its owner: sends an empty response with
+ * status 503, after which h2o closes an HTTP/1 connection.
  */
 void front_abandon(struct front_request *fr)
 {
--- a/packages/transport/src/front_body.c
+++ b/packages/transport/src/front_body.c
@@ -4,22 +4,23 @@
 #include <math.h>
 #include <string.h>
 
+/* Limits of one request body. */
 #define STATEMENTS_MAX 1000
 #define PARAMETERS_MAX 10000
 
-/* What is counted over the whole body. */
+/* Counts over the whole body. */
 struct totals {
 	unsigned params;
-	unsigned members; /* of all objects that were read */
+	unsigned members; /* members of all objects that were read */
 };
 
-static bool wrong(struct err *err, const char *path, const char *reason)
+static bool bad_field(struct err *err, const char *path, const char *reason)
 {
 	err_set(err, ERR_BAD_FIELD, "%s: %s", path, reason);
 	return false;
 }
 
-/* A view of a JSON string, which lives as long as its node. */
+/* A view of the node's string, valid as long as the node. */
 static struct str text_of(JsonNode *node)
 {
 	return str_from_c(json_node_get_string(node));
@@ -40,7 +41,7 @@
 	return len % 4 == 0 && len - n <= 2 && strspn(text + n, "=") == len - n;
 }
 
-/* {"bytes": "<base64>"} */
+/* Reads a parameter of the form {"bytes": "<base64>"}. */
 static bool read_bytes(struct request *r, JsonObject *object,
 		       struct value *value, const char *path, struct err *err)
 {
@@ -50,10 +51,12 @@
 	gsize len;
 
 	if (!node || !is_text(node) || json_object_get_size(object) != 1)
-		return wrong(err, path, "an object is {\"bytes\": base64}");
+		return bad_field(
+			err, path,
+			"an object is allowed only as {\"bytes\": base64}");
 	text = json_node_get_string(node);
 	if (!is_base64(text))
-		return wrong(err, path, "not base64");
+		return bad_field(err, path, "not base64");
 	data = g_base64_decode(text, &len);
 	value->type = VALUE_BYTES;
 	value->u.s = request_keep(r, (const char *)data, len);
@@ -77,13 +80,13 @@
 		value->type = VALUE_FLOAT;
 		value->u.f = json_node_get_double(node);
 		return isfinite(value->u.f) ||
-		       wrong(err, path, "the number is out of range");
+		       bad_field(err, path, "the number is out of range");
 	case G_TYPE_STRING:
 		value->type = VALUE_TEXT;
 		value->u.s = text_of(node);
 		return true;
 	default:
-		return wrong(err, path, "not a value");
+		return bad_field(err, path, "not a value");
 	}
 }
 
@@ -101,7 +104,7 @@
 		return read_bytes(r, json_node_get_object(node), value, path,
 				  err);
 	default:
-		return wrong(err, path, "a list is not a value");
+		return bad_field(err, path, "a list cannot be a parameter");
 	}
 }
 
@@ -115,12 +118,12 @@
 
 	g_snprintf(path, sizeof(path), "statements[%u].params", index);
 	if (!JSON_NODE_HOLDS_ARRAY(node))
-		return wrong(err, path, "a list is wanted");
+		return bad_field(err, path, "a list is expected");
 	list = json_node_get_array(node);
 	s->n_params = json_array_get_length(list);
 	totals->params += s->n_params;
 	if (totals->params > PARAMETERS_MAX)
-		return wrong(err, path, "more than 10000 parameters");
+		return bad_field(err, path, "more than 10000 parameters");
 	s->params = g_new0(struct value, s->n_params);
 	for (i = 0; i < s->n_params; i++) {
 		g_snprintf(path, sizeof(path), "statements[%u].params[%u]",
@@ -142,15 +145,16 @@
 
 	g_snprintf(path, sizeof(path), "statements[%u]", index);
 	if (!JSON_NODE_HOLDS_OBJECT(node))
-		return wrong(err, path, "an object is wanted");
+		return bad_field(err, path, "an object is expected");
 	object = json_node_get_object(node);
 	sql = json_object_get_member(object, "sql");
 	params = json_object_get_member(object, "params");
 	if (json_object_get_size(object) != 1U + (params != NULL) || !sql)
-		return wrong(err, path, "takes \"sql\" and \"params\" alone");
+		return bad_field(err, path,
+				 "takes \"sql\" and \"params\" only");
 	if (!is_text(sql) || !text_of(sql).len) {
 		g_snprintf(path, sizeof(path), "statements[%u].sql", index);
-		return wrong(err, path, "a string is wanted");
+		return bad_field(err, path, "a string is expected");
 	}
 	r->statements[index].sql = text_of(sql);
 	totals->members += json_object_get_size(object);
@@ -164,12 +168,13 @@
 	unsigned i;
 
 	if (!JSON_NODE_HOLDS_ARRAY(node))
-		return wrong(err, "statements", "a list is wanted");
+		return bad_field(err, "statements", "a list is expected");
 	list = json_node_get_array(node);
 	if (!json_array_get_length(list))
-		return wrong(err, "statements", "the list is empty");
+		return bad_field(err, "statements", "the list is empty");
 	if (json_array_get_length(list) > STATEMENTS_MAX)
-		return wrong(err, "statements", "more than 1000 statements");
+		return bad_field(err, "statements",
+				 "more than 1000 statements");
 	r->n_statements = json_array_get_length(list);
 	r->statements = g_new0(struct statement, r->n_statements);
 	for (i = 0; i < r->n_statements; i++) {
@@ -190,15 +195,18 @@
 	return kind == REQUEST_RUN || kind == REQUEST_IN_TRANSACTION;
 }
 
-/* Takes a field if the kind has it; a missing one is an error as well. */
-static bool check_field(JsonObject *object, const char *name, bool wanted,
+/*
+ * Fails if a field is missing which the kind of request needs, or present
+ * though the kind doesn't have it. Adds an expected field to *n.
+ */
+static bool check_field(JsonObject *object, const char *name, bool expected,
 			unsigned *n, struct err *err)
 {
-	if (json_object_has_member(object, name) != wanted)
-		return wrong(err, name,
-			     wanted ? "the field is missing" :
-				      "this call has no such field");
-	*n += wanted;
+	if (json_object_has_member(object, name) != expected)
+		return bad_field(err, name,
+				 expected ? "the field is missing" :
+					    "this call has no such field");
+	*n += expected;
 	return true;
 }
 
@@ -214,11 +222,12 @@
 	    !check_field(object, "statements", statements, n, err))
 		return false;
 	if (json_object_get_size(object) != *n)
-		return wrong(err, "body", "there is an unknown field");
+		return bad_field(err, "body", "there is an unknown field");
 	if (profile) {
 		node = json_object_get_member(object, "profile");
 		if (!is_text(node))
-			return wrong(err, "profile", "a string is wanted");
+			return bad_field(err, "profile",
+					 "a string is expected");
 		r->profile = text_of(node);
 	}
 	node = json_object_get_member(object, "statements");
@@ -250,9 +259,9 @@
 }
 
 /*
- * Reads the whole body. The parser keeps the last of two equal keys: which of
- * two amounts the caller meant is not ours to choose, so it is refused when
- * fewer members were read than the scan has counted.
+ * Reads the whole body. For duplicate keys the parser keeps only the last
+ * value, but the proxy can't know which of the two amounts the caller meant.
+ * So the body is refused if fewer members were read than front_scan() counted.
  */
 static bool read_body(struct request *r, JsonNode *root, unsigned members,
 		      struct err *err)
@@ -260,17 +269,17 @@
 	struct totals totals = { 0 };
 
 	if (!JSON_NODE_HOLDS_OBJECT(root))
-		return wrong(err, "body", "an object is wanted");
+		return bad_field(err, "body", "an object is expected");
 	if (!read_fields(r, json_node_get_object(root), &totals, err))
 		return false;
 	return totals.members == members ||
-	       wrong(err, "body", "a field stands twice");
+	       bad_field(err, "body", "a field occurs twice");
 }
 
 /*
- * Reads any body of a call of this kind, by the library. The request's views
- * point into the parsed JSON, which its `body` keeps. NULL and BAD_JSON,
- * TOO_DEEP or BAD_FIELD with the field's path.
+ * Parses the body of a request of this kind with JSON-GLib. The request's
+ * views point into the parsed JSON, which its `body` keeps alive. Returns NULL
+ * with BAD_JSON, TOO_DEEP or BAD_FIELD, and the field's path in the message.
  */
 struct request *front_parse_json(enum request_kind kind, struct str body,
 				 struct err *err)
@@ -293,8 +302,9 @@
 }
 
 /*
- * Reads the body of a call of this kind. Most are plain, and the library takes
- * six times as long for one. NULL and an error as from front_parse_json().
+ * Parses the body of a request of this kind. Most bodies are simple enough for
+ * front_parse_plain(); JSON-GLib takes six times as long for one. Returns NULL
+ * with an error as front_parse_json() does.
  */
 struct request *front_parse(enum request_kind kind, struct str body,
 			    struct err *err)
@@ -310,7 +320,7 @@
 	return r ? r : front_parse_json(kind, body, err);
 }
 
-/* Reads the body of a call to run statements. */
+/* Parses the body of a request to run statements. */
 struct request *front_parse_body(struct str body, struct err *err)
 {
 	return front_parse(REQUEST_RUN, body, err);
--- a/packages/transport/src/front_digest.c
+++ b/packages/transport/src/front_digest.c
@@ -59,11 +59,12 @@
 }
 
 /*
- * Sets the digest by which a repeat of an Idempotency-Key is told from its
- * use for something else: SHA-256 over what the request means. Blanks and the
- * order of fields don't count, since a client library may write them anew.
- * Every string has its length before it, so two requests can't run together
- * to the same bytes.
+ * Sets the request's digest, which tells whether an Idempotency-Key comes with
+ * the same request again or with a different one. It is the SHA-256 of the
+ * parsed request, so white space and the order of fields don't matter: a
+ * client library may change them when it sends the request again. Each string
+ * is preceded by its length, so that two different requests can't give the
+ * same bytes.
  */
 void front_digest(struct request *request)
 {
--- a/packages/transport/src/front_error.c
+++ b/packages/transport/src/front_error.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* Replaces the body of an error that h2o itself has found. */
+/* Output stream that replaces the body of an error response of h2o's own. */
 struct error_stream {
 	h2o_ostream_t super;
-	h2o_iovec_t body;
+	h2o_iovec_t body; /* empty after it has been sent */
 };
 
 static enum err_code code_of(int status)
@@ -39,9 +39,9 @@
 }
 
 /*
- * A request that is too large or isn't HTTP never reaches the handler: h2o
- * answers it in plain text. A caller reads JSON with a code from every answer,
- * so the text is replaced.
+ * A request that is too large or isn't valid HTTP never reaches the handler:
+ * h2o answers it in plain text. Callers expect JSON with an error code in every
+ * response, so the text is replaced.
  */
 static void on_setup(h2o_filter_t *self, h2o_req_t *req, h2o_ostream_t **slot)
 {
@@ -49,7 +49,7 @@
 	struct error_stream *s;
 
 	(void)self;
-	if (req->res.status >= 400 && !front_is_own(req->_generator)) {
+	if (req->res.status >= 400 && !front_made_response(req->_generator)) {
 		s = (struct error_stream *)h2o_add_ostream(req, sizeof(*s),
 							   slot);
 		slot = &s->super.next;
@@ -65,7 +65,7 @@
 	h2o_setup_next_ostream(req, slot);
 }
 
-/* Puts the filter on the path that serves everything. */
+/* Registers the filter on the path, which serves all requests. */
 void front_error_register(h2o_pathconf_t *path)
 {
 	h2o_filter_t *filter = h2o_create_filter(path, sizeof(*filter));
--- a/packages/transport/src/front_exchange.c
+++ b/packages/transport/src/front_exchange.c
@@ -4,12 +4,12 @@
 
 #define BEARER "Bearer "
 #define SESSION_COOKIE "celeryquay_session="
-#define KEY_MAX 128
-/* Of the path and all headers; the HTTP library itself takes 400 KiB. */
-#define HEADERS_MAX 16384
+#define IDEMPOTENCY_KEY_MAX 128 /* bytes of an Idempotency-Key */
+/* Bytes of the path and all headers. h2o itself would accept 400 KiB. */
+#define HEADERS_MAX_BYTES 16384
 
-/* A copy that lives as long as the exchange. */
-static struct str keep(h2o_req_t *req, struct str s)
+/* Makes a copy that lives as long as the exchange. */
+static struct str copy_to_pool(h2o_req_t *req, struct str s)
 {
 	return (struct str){
 		.data = h2o_strdup(&req->pool, s.data, s.len).base,
@@ -29,7 +29,7 @@
 	return i < 0 ? STR("") : to_str(req->headers.entries[i].value);
 }
 
-/* How often the header stands there; its first value. */
+/* Returns how often the header occurs; its first value goes to *out. */
 static unsigned header_by_name(h2o_req_t *req, struct str name, struct str *out)
 {
 	unsigned n = 0;
@@ -44,8 +44,8 @@
 	return n;
 }
 
-/* The token of "Authorization: Bearer", empty when there is none. */
-static struct str bearer(h2o_req_t *req)
+/* The token of an "Authorization: Bearer" header; empty if there is none. */
+static struct str bearer_token(h2o_req_t *req)
 {
 	struct str value = header(req, H2O_TOKEN_AUTHORIZATION);
 	size_t skip = sizeof(BEARER) - 1;
@@ -55,10 +55,10 @@
 		return STR("");
 	value.data += skip;
 	value.len -= skip;
-	return keep(req, value);
+	return copy_to_pool(req, value);
 }
 
-/* The value of the session's cookie in one Cookie header. */
+/* Finds the session cookie's value in one Cookie header. */
 static bool find_cookie(struct str cookies, struct str *out)
 {
 	const char *end = cookies.data + cookies.len;
@@ -83,22 +83,23 @@
 	return false;
 }
 
-/* The session's text: the header's, else the cookie's, else empty. */
+/* The session text from the header, else from the cookie, else empty. */
 static struct str session_text(h2o_req_t *req)
 {
 	struct str value;
 	ssize_t i = -1;
 
 	if (header_by_name(req, STR("celeryquay-session"), &value))
-		return keep(req, value);
+		return copy_to_pool(req, value);
 	while ((i = h2o_find_header(&req->headers, H2O_TOKEN_COOKIE, i)) >= 0) {
 		if (find_cookie(to_str(req->headers.entries[i].value), &value))
-			return keep(req, value);
+			return copy_to_pool(req, value);
 	}
 	return STR("");
 }
 
-static bool take_key(h2o_req_t *req, struct request *r, struct err *err)
+static bool read_idempotency_key(h2o_req_t *req, struct request *r,
+				 struct err *err)
 {
 	struct str key;
 	unsigned n = header_by_name(req, STR("idempotency-key"), &key);
@@ -106,7 +107,7 @@
 
 	if (!n)
 		return true;
-	if (n > 1 || !key.len || key.len > KEY_MAX)
+	if (n > 1 || !key.len || key.len > IDEMPOTENCY_KEY_MAX)
 		goto bad;
 	for (i = 0; i < key.len; i++) {
 		if (!g_ascii_isgraph(key.data[i]))
@@ -118,7 +119,7 @@
 bad:
 	err_set(err, ERR_BAD_KEY,
 		"Idempotency-Key: one header of 1 to %d visible ASCII bytes",
-		KEY_MAX);
+		IDEMPOTENCY_KEY_MAX);
 	return false;
 }
 
@@ -130,10 +131,10 @@
 	for (i = 0; i < req->headers.size; i++)
 		bytes += req->headers.entries[i].name->len +
 			 req->headers.entries[i].value.len;
-	if (bytes <= HEADERS_MAX)
+	if (bytes <= HEADERS_MAX_BYTES)
 		return true;
 	err_set(err, ERR_BAD_HEADER, "more than %d bytes of headers",
-		HEADERS_MAX);
+		HEADERS_MAX_BYTES);
 	return false;
 }
 
@@ -157,7 +158,7 @@
 	r->database = request_keep(r, path.database.data, path.database.len);
 	r->transaction =
 		request_keep(r, path.transaction.data, path.transaction.len);
-	if (!take_key(req, r, err)) {
+	if (!read_idempotency_key(req, r, err)) {
 		request_unref(r);
 		return NULL;
 	}
@@ -165,7 +166,7 @@
 	return r;
 }
 
-/* The connection is one above the limit. */
+/* Answers a request on a connection above the limit. */
 static void refuse(struct front_request *fr)
 {
 	struct err err = { 0 };
@@ -186,13 +187,13 @@
 	}
 	fr->handed_over = true;
 	front_watch_start(fr);
-	f->events.request(f->ctx, fr, r, bearer(fr->req),
+	f->events.request(f->ctx, fr, r, bearer_token(fr->req),
 			  session_text(fr->req));
 }
 
 /*
- * The operators' bodies are JSON too, and their reader calls itself for each
- * level of nesting as well.
+ * Bodies on the operators' port are JSON too, and their parser also recurses
+ * for each level of nesting, so the nesting is checked before.
  */
 static bool check_admin(struct front_request *fr, struct err *err)
 {
@@ -207,9 +208,9 @@
 {
 	struct front *f = fr->front;
 	h2o_req_t *req = fr->req;
-	struct str method = keep(req, to_str(req->input.method));
-	struct str path = keep(req, to_str(req->input.path));
-	struct str body = keep(req, to_str(req->entity));
+	struct str method = copy_to_pool(req, to_str(req->input.method));
+	struct str path = copy_to_pool(req, to_str(req->input.path));
+	struct str body = copy_to_pool(req, to_str(req->entity));
 	struct err err = { 0 };
 
 	if (!check_admin(fr, &err)) {
@@ -218,10 +219,10 @@
 	}
 	fr->handed_over = true;
 	front_watch_start(fr);
-	f->events.admin(f->ctx, fr, method, path, bearer(req), body);
+	f->events.admin(f->ctx, fr, method, path, bearer_token(req), body);
 }
 
-/* h2o is done with the request, after its answer or without one. */
+/* h2o frees the request, after its response was sent or without one. */
 static void on_dispose(void *memory)
 {
 	struct front_request *fr = memory;
@@ -241,10 +242,10 @@
 }
 
 /*
- * The caller of an HTTP/1 request has hung up: tells the owner, then has h2o
- * close the connection under an empty answer.
+ * The caller of an HTTP/1 request has hung up: tells the owner, then sends an
+ * empty response so that h2o closes the connection.
  */
-void front_gone(struct front_request *fr)
+void front_hang_up(struct front_request *fr)
 {
 	struct front *f = fr->front;
 
@@ -253,7 +254,7 @@
 	front_abandon(fr);
 }
 
-/* h2o's handler of all paths: takes every request. */
+/* h2o's handler for every request on every path. */
 int front_on_request(h2o_handler_t *handler, h2o_req_t *req)
 {
 	struct front *f = ((struct front_handler *)handler)->front;
@@ -278,13 +279,13 @@
 	return 0;
 }
 
-/* What the owner has attached to the exchange, NULL at first. */
+/* The pointer set with front_set_user(), NULL before. */
 void *front_user(const struct front_request *fr)
 {
 	return fr->user;
 }
 
-/* Attaches something of the owner's; the front never looks at it. */
+/* Attaches a pointer of the owner's, which the front doesn't use. */
 void front_set_user(struct front_request *fr, void *user)
 {
 	fr->user = user;
--- a/packages/transport/src/front_linger.c
+++ b/packages/transport/src/front_linger.c
@@ -3,16 +3,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* How long, and for how many bytes, an answered sender is listened to. */
-#define LINGER_MS 2000
-#define LINGER_BYTES ((size_t)64 * 1024 * 1024)
+/*
+ * Limits of a lingering close: for how long, and how many bytes, the front
+ * still reads and discards what an answered caller sends.
+ */
+#define LINGER_TIMEOUT_MS 2000
+#define LINGER_MAX_BYTES ((size_t)64 * 1024 * 1024)
 
+/* A connection that h2o has closed and that is read until its caller ends. */
 struct front_linger {
-	uv_tcp_t tcp; /* first: closing comes back with it */
+	uv_tcp_t tcp; /* first member: libuv passes it to callbacks */
 	struct front *front;
-	GList link;
-	uint64_t until_ms;
-	size_t bytes;
+	GList link; /* in front.lingers */
+	uint64_t deadline_ms; /* loop time */
+	size_t bytes; /* discarded so far */
 };
 
 static char discarded[64 * 1024];
@@ -24,10 +28,10 @@
 
 	g_queue_unlink(&f->lingers, &l->link);
 	g_free(l);
-	front_finish_if_over(f);
+	front_free_if_closed(f);
 }
 
-static void end(struct front_linger *l)
+static void close_linger(struct front_linger *l)
 {
 	if (!uv_is_closing((uv_handle_t *)&l->tcp))
 		uv_close((uv_handle_t *)&l->tcp, on_closed);
@@ -47,18 +51,18 @@
 	(void)buf;
 	if (n > 0)
 		l->bytes += (size_t)n;
-	if (n < 0 || l->bytes > LINGER_BYTES ||
-	    uv_now(stream->loop) > l->until_ms)
-		end(l);
+	if (n < 0 || l->bytes > LINGER_MAX_BYTES ||
+	    uv_now(stream->loop) > l->deadline_ms)
+		close_linger(l);
 }
 
 /*
- * A caller whose body is too large is answered while it still sends. The
- * kernel meets what comes after a close with a reset, and the reset destroys
- * the answer that the caller has not read yet: it sees a broken connection and
- * can't know that nothing ran. So a second descriptor keeps the connection
- * open; it is closed when the caller has read the answer and closes too, or
- * after a while.
+ * Prepares a lingering close. A caller whose body is too large is answered
+ * while it is still sending. If the socket were closed then, the kernel would
+ * answer the next data with a reset, which discards a response that the caller
+ * has not read yet: the caller would see a broken connection and couldn't know
+ * that nothing ran. So a duplicated descriptor keeps the connection open. It
+ * is closed when the caller has closed its side too, or at the limits above.
  */
 void front_linger_prepare(struct front_connection *c)
 {
@@ -69,7 +73,10 @@
 	c->linger_fd = dup(fd);
 }
 
-/* h2o has closed its descriptor: says so to the caller, and listens on. */
+/*
+ * h2o has closed its descriptor: shuts down the sending side, then reads and
+ * discards what the caller still sends.
+ */
 void front_linger_begin(struct front_connection *c)
 {
 	struct front *f = c->port->front;
@@ -81,20 +88,21 @@
 	l = g_new0(struct front_linger, 1);
 	l->front = f;
 	l->link.data = l;
-	l->until_ms = uv_now(f->loop) + LINGER_MS;
+	l->deadline_ms = uv_now(f->loop) + LINGER_TIMEOUT_MS;
 	uv_tcp_init(f->loop, &l->tcp);
 	g_queue_push_tail_link(&f->lingers, &l->link);
 	if (uv_tcp_open(&l->tcp, c->linger_fd)) {
 		close(c->linger_fd);
-		end(l);
+		close_linger(l);
 	} else if (f->destroyed ||
 		   uv_read_start((uv_stream_t *)&l->tcp, on_alloc, on_read)) {
-		end(l);
+		close_linger(l);
 	}
 	c->linger_fd = -1;
 }
 
-/* Ends those that have had their time, or all of them. */
+/* Closes the lingering connections that have reached LINGER_TIMEOUT_MS, or all.
+ */
 void front_linger_sweep(struct front *f, bool all)
 {
 	uint64_t now = uv_now(f->loop);
@@ -103,7 +111,7 @@
 	for (i = f->lingers.head; i; i = i->next) {
 		struct front_linger *l = i->data;
 
-		if (all || now > l->until_ms)
-			end(l);
+		if (all || now > l->deadline_ms)
+			close_linger(l);
 	}
 }
--- a/packages/transport/src/front_path.c
+++ b/packages/transport/src/front_path.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Longest name of a service, a database or a transaction in a path. */
+/* Bytes of the name of a service, a database or a transaction in a path. */
 #define SEGMENT_MAX 128
 #define SEGMENTS_MAX 6
 
@@ -23,7 +23,7 @@
 	return true;
 }
 
-/* Cuts the path at its slashes; 0 when a segment is malformed. */
+/* Splits the path at its slashes; returns 0 if a segment is malformed. */
 static unsigned split(struct str path, struct str *out)
 {
 	const char *end = path.data + path.len;
@@ -44,7 +44,10 @@
 	return p == end ? n : 0;
 }
 
-/* The kind of request by how many segments the path has and the method. */
+/*
+ * Sets the kind of request by the number of segments and the method. Returns
+ * false if the path doesn't have the method.
+ */
 static bool find_kind(struct str method, unsigned n, struct front_path *out)
 {
 	bool post = str_eq(method, STR("POST"));
@@ -68,8 +71,9 @@
 }
 
 /*
- * Reads the path of a caller's request. NO_SUCH_PATH or BAD_METHOD; names are
- * taken as they stand, so an escaped byte is not part of any name.
+ * Parses the path of a caller's request; fails with NO_SUCH_PATH or
+ * BAD_METHOD. Names are not percent-decoded, and none may contain an escaped
+ * byte.
  */
 bool front_path_parse(struct str method, struct str path,
 		      struct front_path *out, struct err *err)
@@ -85,7 +89,8 @@
 		return false;
 	}
 	if (!find_kind(method, n, out)) {
-		err_set(err, ERR_BAD_METHOD, "the path takes %s", out->allow);
+		err_set(err, ERR_BAD_METHOD, "the path allows only %s",
+			out->allow);
 		return false;
 	}
 	out->service = s[1];
--- a/packages/transport/src/front_plain.c
+++ b/packages/transport/src/front_plain.c
@@ -2,27 +2,30 @@
 
 #include <string.h>
 
-/* A body with more is left to the full reader, which has the limits. */
+/*
+ * Limits up to which this parser reads a body. One with more is left to
+ * front_parse_json(), which enforces the limits.
+ */
 #define STATEMENTS_MAX 1000
 #define PARAMETERS_MAX 10000
-/* Up to this, no integer can be too large for 64 bits. */
+/* Digits of an integer that is read here: any of 18 digits fits 64 bits. */
 #define DIGITS_MAX 18
 
-/* The body, which strings are unescaped in. */
-struct plain {
-	char *p; /* ends in NUL, which no token begins with */
+/* State of the parser; strings are unescaped within the body. */
+struct plain_parser {
+	char *p; /* next byte; the body ends in a NUL, which begins no token */
 	struct request *r;
-	unsigned params;
+	unsigned params; /* parameters read so far, of all statements */
 };
 
-static void skip_blanks(struct plain *b)
+static void skip_blanks(struct plain_parser *b)
 {
 	while (*b->p == ' ' || *b->p == '\n' || *b->p == '\r' || *b->p == '\t')
 		b->p++;
 }
 
-/* Takes the byte if it comes next, and the blanks around it. */
-static bool take(struct plain *b, char c)
+/* Skips the byte and the white space around it, if the byte comes next. */
+static bool take(struct plain_parser *b, char c)
 {
 	skip_blanks(b);
 	if (*b->p != c)
@@ -32,7 +35,7 @@
 	return true;
 }
 
-static bool take_word(struct plain *b, const char *word)
+static bool take_literal(struct plain_parser *b, const char *word)
 {
 	size_t len = strlen(word);
 
@@ -42,7 +45,7 @@
 	return true;
 }
 
-/* The byte of an escape of one letter; 0 for any other. */
+/* The byte that a one-letter escape stands for; 0 for any other escape. */
 static char unescape(char c)
 {
 	static const char letters[] = "\"\\/bfnrt";
@@ -52,8 +55,8 @@
 	return at ? bytes[at - letters] : '\0';
 }
 
-/* Unescapes a string in place, with a NUL behind it. */
-static bool take_text(struct plain *b, struct str *out)
+/* Reads a string, unescapes it in place and puts a NUL after it. */
+static bool take_text(struct plain_parser *b, struct str *out)
 {
 	char *to;
 
@@ -78,8 +81,11 @@
 	return true;
 }
 
-/* A whole number; one with a fraction or an exponent is left alone. */
-static bool take_int(struct plain *b, int64_t *out)
+/*
+ * Reads an integer. A fraction or an exponent is not consumed, so that the
+ * next token fails and the body is left to front_parse_json().
+ */
+static bool take_int(struct plain_parser *b, int64_t *out)
 {
 	bool negative = *b->p == '-';
 	const char *from = b->p += negative;
@@ -94,7 +100,7 @@
 	return b->p > from && (*from != '0' || b->p - from == 1);
 }
 
-static bool take_value(struct plain *b, struct value *v)
+static bool take_value(struct plain_parser *b, struct value *v)
 {
 	switch (*b->p) {
 	case '"':
@@ -102,22 +108,22 @@
 		return take_text(b, &v->u.s);
 	case 'n':
 		v->type = VALUE_NULL;
-		return take_word(b, "null");
+		return take_literal(b, "null");
 	case 't':
 		v->type = VALUE_BOOL;
 		v->u.b = true;
-		return take_word(b, "true");
+		return take_literal(b, "true");
 	case 'f':
 		v->type = VALUE_BOOL;
 		v->u.b = false;
-		return take_word(b, "false");
+		return take_literal(b, "false");
 	default:
 		v->type = VALUE_INT;
 		return take_int(b, &v->u.i);
 	}
 }
 
-/* Room for one more of n: doubles whenever n is a power of two. */
+/* Makes room for element n; the size doubles when n is a power of two. */
 static void *grow(void *list, unsigned n, size_t size)
 {
 	if (n & (n - 1))
@@ -125,7 +131,7 @@
 	return g_realloc_n(list, MAX(1, 2 * (size_t)n), size);
 }
 
-static bool take_params(struct plain *b, struct statement *s)
+static bool take_params(struct plain_parser *b, struct statement *s)
 {
 	if (!take(b, '['))
 		return false;
@@ -145,12 +151,12 @@
 	return take(b, ']');
 }
 
-static bool take_key(struct plain *b, struct str *out)
+static bool take_key(struct plain_parser *b, struct str *out)
 {
 	return take_text(b, out) && take(b, ':');
 }
 
-static bool take_statement(struct plain *b, struct statement *s)
+static bool take_statement(struct plain_parser *b, struct statement *s)
 {
 	bool params = false;
 	struct str key;
@@ -174,7 +180,7 @@
 	return take(b, '}') && s->sql.len;
 }
 
-static bool take_statements(struct plain *b)
+static bool take_statements(struct plain_parser *b)
 {
 	struct request *r = b->r;
 
@@ -195,8 +201,8 @@
 	return take(b, ']');
 }
 
-/* The members of the outermost object, each at most once. */
-static bool take_fields(struct plain *b, bool profile, bool statements)
+/* Reads the outermost object, which must have each expected member once. */
+static bool take_fields(struct plain_parser *b, bool profile, bool statements)
 {
 	struct str key;
 
@@ -221,23 +227,22 @@
 }
 
 /*
- * Reads the body of a call that has fields, if it is as plain as most are:
- * strings without \u, whole numbers, each field once and none that is unknown.
- * NULL for any other body, which may be a good one all the same: the full
- * reader has the last word, and the words for what is wrong. What is read here
- * is read to the same there.
+ * Fast parser for simple bodies, as most are: strings without \u, integers,
+ * each field once and no unknown field. Returns NULL for any other body, which
+ * may still be valid: front_parse_json() decides and reports what is wrong. For
+ * every body that this parser accepts, both must give the same request.
  */
 struct request *front_parse_plain(enum request_kind kind, bool profile,
 				  bool statements, struct str body)
 {
-	struct plain b;
+	struct plain_parser b;
 	char *copy;
 
-	/* Which no text with a NUL is. */
+	/* Also refuses a body with a NUL, which would end it early. */
 	if (!g_utf8_validate_len(body.data, body.len, NULL))
 		return NULL;
 	copy = g_strndup(body.data, body.len);
-	b = (struct plain){ .p = copy, .r = request_create(kind) };
+	b = (struct plain_parser){ .p = copy, .r = request_create(kind) };
 	b.r->body = g_bytes_new_take(copy, body.len);
 	if (take_fields(&b, profile, statements))
 		return b.r;
--- a/packages/transport/src/front_scan.c
+++ b/packages/transport/src/front_scan.c
@@ -2,17 +2,20 @@
 
 #include <string.h>
 
-/* A body needs 5 levels; a parameter that is an object the deepest. */
+/*
+ * Levels of nesting. A valid body has at most 5, the deepest being a parameter
+ * that is an object.
+ */
 #define DEPTH_MAX 16
-/* Bytes that may stand outside strings besides numbers and brackets. */
+/* Bytes allowed outside strings, besides numbers and brackets. */
 #define PUNCTUATION " \t\r\n,:truefalsn"
 
 struct scan {
-	const char *p;
+	const char *p; /* next byte */
 	const char *start;
 	const char *end;
-	unsigned depth;
-	unsigned members;
+	unsigned depth; /* of open objects and lists */
+	unsigned members; /* of all objects so far */
 	bool closed; /* the outermost value has ended */
 };
 
@@ -23,7 +26,7 @@
 	return false;
 }
 
-/* \uXXXX; zero has no place in a PostgreSQL text. */
+/* Reads the digits of \uXXXX. Refuses 0: PostgreSQL text can't hold a NUL. */
 static bool scan_unicode(struct scan *s, struct err *err)
 {
 	unsigned value = 0;
@@ -35,7 +38,7 @@
 				    "\\u takes four hexadecimal digits");
 		value = value << 4 | (unsigned)g_ascii_xdigit_value(*s->p++);
 	}
-	return value || fail(s, err, ERR_BAD_FIELD, "a string has a NUL");
+	return value || fail(s, err, ERR_BAD_FIELD, "a string contains a NUL");
 }
 
 static bool scan_escape(struct scan *s, struct err *err)
@@ -70,7 +73,7 @@
 	return (size_t)(s->p - from);
 }
 
-/* Reads the bytes if they come next. */
+/* Skips the next byte if it is one of these. */
 static bool skip_one_of(struct scan *s, const char *bytes)
 {
 	if (s->p == s->end || !*s->p || !strchr(bytes, *s->p))
@@ -79,8 +82,11 @@
 	return true;
 }
 
-/* At most 19 digits, so that 64 bits hold it without a sign. */
-static bool fits(const char *digits, size_t n, bool negative)
+/*
+ * Whether the number fits a signed integer of 64 bits. Up to 19 digits always
+ * fit an unsigned one, in which it is compared.
+ */
+static bool fits_int64(const char *digits, size_t n, bool negative)
 {
 	uint64_t limit = (uint64_t)INT64_MAX + negative;
 	uint64_t value;
@@ -91,9 +97,9 @@
 }
 
 /*
- * A number as JSON has it. The parser would read 012 as ten and wrap an
- * integer over 64 bits round to another one, so a mileage of another size than
- * the caller sent would be saved.
+ * Reads a number that is valid in JSON. The parser would read 012 as octal,
+ * which is 10, and wrap an integer of more than 64 bits, so that a different
+ * mileage than the one the caller sent would be saved.
  */
 static bool scan_number(struct scan *s, struct err *err)
 {
@@ -115,7 +121,7 @@
 		if (!skip_digits(s))
 			return fail(s, err, ERR_BAD_JSON, "not a number");
 	}
-	if (integer && !fits(digits, n, negative))
+	if (integer && !fits_int64(digits, n, negative))
 		return fail(s, err, ERR_BAD_FIELD,
 			    "an integer takes more than 64 bits");
 	return true;
@@ -126,11 +132,11 @@
 	if (c == '{' || c == '[') {
 		if (++s->depth > DEPTH_MAX)
 			return fail(s, err, ERR_TOO_DEEP,
-				    "more than 16 levels");
+				    "nested deeper than 16 levels");
 		return true;
 	}
 	if (!s->depth)
-		return fail(s, err, ERR_BAD_JSON, "nothing is open here");
+		return fail(s, err, ERR_BAD_JSON, "unmatched closing bracket");
 	s->closed = !--s->depth;
 	return true;
 }
@@ -164,13 +170,13 @@
 }
 
 /*
- * Looks over a body before it is parsed, for what the parser takes and a
- * caller must not send. The parser calls itself for each level, so a megabyte
- * of brackets would end the process; it takes comments, single quotes, octal
- * numbers, raw control characters and a second value, wraps integers round and
- * keeps the last of two equal keys. `members` counts the members of all
- * objects, by which the reader notices equal keys. BAD_JSON, BAD_FIELD or
- * TOO_DEEP.
+ * Checks a body before it is parsed, for what JSON-GLib accepts but a caller
+ * must not send. JSON-GLib recurses for each level of nesting, so a megabyte of
+ * brackets would crash the process. It accepts comments, single quotes, octal
+ * numbers, raw control characters and a second value, wraps large integers and
+ * keeps only the last of duplicate keys. *members is set to the number of
+ * members of all objects, by which read_body() notices duplicate keys. Fails
+ * with BAD_JSON, BAD_FIELD or TOO_DEEP.
  */
 bool front_scan(struct str body, unsigned *members, struct err *err)
 {
--- a/packages/transport/src/front_tls.c
+++ b/packages/transport/src/front_tls.c
@@ -11,8 +11,9 @@
 }
 
 /*
- * A context of TLS 1.2 and later that offers HTTP/2 and HTTP/1.1 by ALPN.
- * NULL and BAD_SETTINGS when a file can't be used.
+ * Creates a context for TLS 1.2 and later that offers HTTP/2 and HTTP/1.1 by
+ * ALPN. Returns NULL with BAD_SETTINGS when a file can't be used, or SYSTEM
+ * when OpenSSL can't create a context.
  */
 SSL_CTX *front_tls_create(const char *certificate, const char *key,
 			  struct err *err)
@@ -20,7 +21,7 @@
 	SSL_CTX *ctx = SSL_CTX_new(TLS_server_method());
 
 	if (!ctx) {
-		err_set(err, ERR_SYSTEM, "no TLS context");
+		err_set(err, ERR_SYSTEM, "cannot create a TLS context");
 		return NULL;
 	}
 	ERR_clear_error();
@@ -28,7 +29,7 @@
 	SSL_CTX_set_options(ctx, SSL_OP_NO_COMPRESSION |
 					 SSL_OP_NO_RENEGOTIATION |
 					 SSL_OP_CIPHER_SERVER_PREFERENCE);
-	/* An idle connection needs neither buffers nor a cached session. */
+	/* Saves memory: no buffers while idle, no cache of sessions. */
 	SSL_CTX_set_mode(ctx, SSL_MODE_RELEASE_BUFFERS);
 	SSL_CTX_set_session_cache_mode(ctx, SSL_SESS_CACHE_OFF);
 	if (SSL_CTX_use_certificate_chain_file(ctx, certificate) != 1) {
--- a/packages/transport/src/front_watch.c
+++ b/packages/transport/src/front_watch.c
@@ -5,12 +5,19 @@
 #define LOG_MODULE "front"
 #include <celeryquay/base/log.h>
 
-/* A request has to come in at this rate, besides the time that all have. */
-#define RATE_BYTES_PER_MS 32
+/*
+ * Least rate at which a request must be received and a response read, beyond
+ * the time that every request has.
+ */
+#define MIN_RATE_BYTES_PER_MS 32
+/* Longest interval between checks for slow callers. */
 #define TICK_MAX_MS 1000
 
-/* Ends one or both directions; h2o sees the end of the stream and closes. */
-void front_cut(struct front_connection *c, int how)
+/*
+ * Shuts down one or both directions of the socket; h2o then reads the end of
+ * the stream and closes the connection.
+ */
+void front_shutdown_socket(struct front_connection *c, int how)
 {
 	uv_os_fd_t fd;
 
@@ -19,9 +26,9 @@
 }
 
 /*
- * The caller has closed its side, or has sent more. More is the next request
- * already: it stays in the socket's buffer for h2o, and to watch further would
- * let the caller fill that buffer.
+ * The caller has closed its side or has sent more data. More data is the next
+ * request: it stays in the socket's buffer for h2o, and the watch ends, because
+ * reading on would let the caller fill that buffer.
  */
 static void on_read(h2o_socket_t *sock, const char *err)
 {
@@ -30,10 +37,10 @@
 
 	front_watch_stop(fr);
 	if (err)
-		front_gone(fr);
+		front_hang_up(fr);
 }
 
-static void on_waited_long(h2o_timeout_entry_t *entry)
+static void on_watch_due(h2o_timeout_entry_t *entry)
 {
 	struct front_request *fr =
 		H2O_STRUCT_FROM_MEMBER(struct front_request, watch, entry);
@@ -43,22 +50,23 @@
 }
 
 /*
- * h2o doesn't read from an HTTP/1 connection while its request is served, so a
- * caller that hangs up stays unseen and its statements keep their slot. A
- * request that has waited for a tenth of a second is watched by reading; the
- * quick ones cost nothing. On HTTP/2 h2o itself sees the stream's end.
+ * Watches for the caller hanging up before it is answered. h2o doesn't read
+ * from an HTTP/1 connection while its request is served, so a hang-up would go
+ * unnoticed and the caller's statements would keep their slot. After a request
+ * has waited for 100 ms, the front reads from its connection; shorter requests
+ * cost nothing. On HTTP/2, h2o itself notices the end of the stream.
  */
 void front_watch_start(struct front_request *fr)
 {
 	struct front *f = fr->front;
 
-	fr->watch.cb = on_waited_long;
+	fr->watch.cb = on_watch_due;
 	if (!fr->connection->http2 && !fr->answered)
 		h2o_timeout_link(f->loop, &f->context.hundred_ms_timeout,
 				 &fr->watch);
 }
 
-/* Leaves the socket to h2o again. */
+/* Ends the watch and leaves the socket to h2o. */
 void front_watch_stop(struct front_request *fr)
 {
 	if (h2o_timeout_is_linked(&fr->watch))
@@ -69,14 +77,19 @@
 	h2o_socket_read_stop(fr->connection->sock);
 }
 
-/* How long a request of this size may take to come in. */
+/* Milliseconds that a request of this size may take to be received. */
 static uint64_t time_allowed(const struct front *f, size_t bytes)
 {
-	return f->header_timeout_us / USEC_PER_MSEC + bytes / RATE_BYTES_PER_MS;
+	return f->header_timeout_us / USEC_PER_MSEC +
+	       bytes / MIN_RATE_BYTES_PER_MS;
 }
 
-/* Whether part of an HTTP/1 request has waited too long for the rest. */
-static bool is_slow(struct front *f, struct front_connection *c, uint64_t now)
+/*
+ * Whether a partial HTTP/1 request, or the first request of a refused
+ * connection, has taken too long.
+ */
+static bool is_request_overdue(struct front *f, struct front_connection *c,
+			       uint64_t now)
 {
 	size_t bytes = c->sock->input->size;
 
@@ -89,7 +102,10 @@
 	return now - c->partial_since_ms > time_allowed(f, bytes);
 }
 
-/* The same for a request on HTTP/2, where each has its own buffer. */
+/*
+ * Closes the connection of an HTTP/2 request that has taken too long to be
+ * received. On HTTP/2 each request has a buffer of its own.
+ */
 static int check_http2_request(h2o_req_t *req, void *data)
 {
 	struct front *f = data;
@@ -104,41 +120,42 @@
 	age /= (int64_t)USEC_PER_MSEC;
 	if (age <= (int64_t)time_allowed(f, req->entity.len))
 		return 0;
-	LOG_INFO("HTTP/2 connection closed, part of a request in %d ms",
+	LOG_INFO("HTTP/2 connection closed, request incomplete after %d ms",
 		 (int)age);
-	front_cut(sock->on_close.data, SHUT_RDWR);
+	front_shutdown_socket(sock->on_close.data, SHUT_RDWR);
 	return 0;
 }
 
 /*
- * A caller that doesn't read its answer holds the answer's memory, and a
- * planned stop would wait for it. A slice has to be read in the time that a
- * request of its size may take.
+ * Closes the connection of a caller that doesn't read its response, which
+ * would otherwise stay in memory and delay a planned stop. A slice must be read
+ * within the time that a request of its size may take.
  */
 static void check_answer(struct front_request *fr, uint64_t now)
 {
 	if (!fr->answered ||
-	    now - fr->slice_ms <= time_allowed(fr->front, FRONT_SLICE_BYTES))
+	    now - fr->slice_at_ms <=
+		    time_allowed(fr->front, FRONT_SLICE_MAX_BYTES))
 		return;
-	LOG_INFO("connection closed, an answer is not read");
-	front_cut(fr->connection, SHUT_RDWR);
+	LOG_INFO("connection closed, caller does not read the response");
+	front_shutdown_socket(fr->connection, SHUT_RDWR);
 }
 
 static void check_connection(struct front *f, struct front_connection *c,
 			     uint64_t now)
 {
-	if (!c->sock || !is_slow(f, c, now))
+	if (!c->sock || !is_request_overdue(f, c, now))
 		return;
-	LOG_INFO("connection closed, %zu bytes of a request in %u ms",
+	LOG_INFO("connection closed, only %zu bytes of a request in %u ms",
 		 c->sock->input->size, (unsigned)(now - c->partial_since_ms));
-	front_cut(c, SHUT_RDWR);
+	front_shutdown_socket(c, SHUT_RDWR);
 }
 
 /*
- * Callers' connections may rest for minutes between requests, but a request
- * that has begun has to come in whole soon. Otherwise a caller that sends a
- * byte now and then holds a connection and its buffer for ever, and a few
- * thousand of them use up the limit for everybody.
+ * Callers' connections may be idle for minutes between requests, but once a
+ * request has begun, all of it must be received soon. Otherwise a caller that
+ * sends a byte now and then could hold a connection and its buffer for ever,
+ * and a few thousand such callers would use up the limit on connections.
  */
 static void on_tick(uv_timer_t *timer)
 {
@@ -155,7 +172,7 @@
 						  check_http2_request, f);
 }
 
-/* Begins to look for slow callers. */
+/* Starts the periodic check for slow callers. */
 void front_tick_start(struct front *f)
 {
 	uint64_t ms = f->header_timeout_us / USEC_PER_MSEC / 4;
--- a/packages/transport/tests/test_front_body.c
+++ b/packages/transport/tests/test_front_body.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* Around one parameter. */
+/* A body with these parameters. */
 #define PARAM(text)                                              \
 	"{\"profile\":\"write\",\"statements\":[{\"sql\":\"x\"," \
 	"\"params\":[" text "]}]}"
@@ -49,11 +49,11 @@
 struct bad {
 	const char *body;
 	enum err_code code;
-	const char *message; /* part of it */
+	const char *message; /* part of the expected message */
 };
 
 static const struct bad bad_bodies[] = {
-	/* Not JSON, or JSON that only a lenient parser takes. */
+	/* Not JSON, or accepted only by a lenient parser. */
 	{ "", ERR_BAD_JSON, "empty" },
 	{ "  ", ERR_BAD_JSON, "empty" },
 	{ "{", ERR_BAD_JSON, "" },
@@ -61,7 +61,7 @@
 	{ "{\"profile\":\"a\",}", ERR_BAD_JSON, "" },
 	{ "{\"profile\" \"a\"}", ERR_BAD_JSON, "" },
 	{ "{profile:1}", ERR_BAD_JSON, "" },
-	{ "}", ERR_BAD_JSON, "nothing is open" },
+	{ "}", ERR_BAD_JSON, "unmatched closing bracket" },
 	{ "{]", ERR_BAD_JSON, "" },
 	{ "{}{}", ERR_BAD_JSON, "more than one" },
 	{ "{} x", ERR_BAD_JSON, "more than one" },
@@ -92,7 +92,7 @@
 	{ PARAM("9223372036854775808"), ERR_BAD_FIELD, "64 bits" },
 	{ PARAM("-9223372036854775809"), ERR_BAD_FIELD, "64 bits" },
 	{ PARAM("99999999999999999999"), ERR_BAD_FIELD, "64 bits" },
-	/* Not the fields of a request. */
+	/* JSON with other fields or types than a request has. */
 	{ "[]", ERR_BAD_FIELD, "body" },
 	{ "null", ERR_BAD_FIELD, "body" },
 	{ "{}", ERR_BAD_FIELD, "profile: the field is missing" },
@@ -125,7 +125,7 @@
 	{ PARAM("{\"bytes\":\"A===\"}"), ERR_BAD_FIELD, "not base64" },
 	{ PARAM("{\"bytes\":\"AA=A\"}"), ERR_BAD_FIELD, "not base64" },
 	{ PARAM("{\"bytes\":\"A A=\"}"), ERR_BAD_FIELD, "not base64" },
-	/* The parser would keep the last of them. */
+	/* Duplicate keys, of which the parser would keep the last. */
 	{ "{\"profile\":\"a\",\"profile\":\"b\","
 	  "\"statements\":[{\"sql\":\"x\"}]}",
 	  ERR_BAD_FIELD, "twice" },
@@ -152,9 +152,8 @@
 END_TEST
 
 /*
- * A caller sends a megabyte of opening brackets. The parser calls itself for
- * each of them, so the proxy would run out of stack and take every other
- * caller's requests with it.
+ * The JSON parser recurses for each opening bracket, so a body of a megabyte of
+ * them would overflow the proxy's stack and end every other caller's requests.
  */
 START_TEST(deep_nesting_is_refused)
 {
@@ -184,17 +183,17 @@
 static void assert_limit(const char *head, const char *part, unsigned limit,
 			 const char *tail)
 {
-	char *most = repeat(head, part, limit, tail);
-	char *more = repeat(head, part, limit + 1, tail);
+	char *at_limit = repeat(head, part, limit, tail);
+	char *above_limit = repeat(head, part, limit + 1, tail);
 	struct err err = { 0 };
-	struct request *r = parse(most, &err);
+	struct request *r = parse(at_limit, &err);
 
 	ck_assert_msg(r != NULL, "%s", err.message);
 	request_unref(r);
-	ck_assert_ptr_null(parse(more, &err));
+	ck_assert_ptr_null(parse(above_limit, &err));
 	ck_assert_int_eq(err.code, ERR_BAD_FIELD);
-	g_free(most);
-	g_free(more);
+	g_free(at_limit);
+	g_free(above_limit);
 }
 
 START_TEST(counts_are_bounded)
@@ -246,7 +245,7 @@
 	g_string_append(out, "] ,\"sql\":\"x\"}]}\n");
 }
 
-/* Removes or adds a byte at up to two places. */
+/* Removes, adds or replaces a byte at up to two places. */
 static void mutate(GRand *rng, GString *text)
 {
 	static const char bytes[] = "{}[],:\"\\ 0123456789-.entruls\n\303";
@@ -271,10 +270,10 @@
 }
 
 /*
- * Most bodies are read by a reader of our own, and the others by the JSON
- * library. If both read a body differently, a caller's mileage would be saved
- * as another number by one request than by the next. The digest is over all
- * that a request means.
+ * Most bodies are parsed by front_parse_plain(), the others with JSON-GLib. If
+ * both read a number differently, the same mileage would be saved as different
+ * values by two requests. The requests are compared by their digests, which
+ * cover all of their fields.
  */
 START_TEST(plain_reader_reads_like_the_library)
 {
