--- a/packages/transport/include/celeryquay/transport/http_json.h
+++ b/packages/transport/include/celeryquay/transport/http_json.h
@@ -1,18 +1,19 @@
 #ifndef CELERYQUAY_TRANSPORT_HTTP_JSON_H
 #define CELERYQUAY_TRANSPORT_HTTP_JSON_H
 
-/* JSON bodies of HTTP calls. */
+/* HTTP calls with JSON bodies. */
 
 #include <celeryquay/transport/http.h>
 #include <json-glib/json-glib.h>
 
-/* The object that the body is; NULL: it is none. */
+/* Parses a body; NULL if it is not a JSON object. */
 JsonNode *http_json_parse(struct str body);
-/* An object of strings: name, value and so on, ended by NULL. */
+/* Makes a JSON object from pairs of name and value, ended by NULL. */
 char *http_json_strings(const char *name, ...) G_GNUC_NULL_TERMINATED;
 /*
- * On a connection of its own: libcurl repeats a call when a kept one was just
- * closed, and the second would meet what the first has done.
+ * Sends a POST on a new connection. If the server has just closed a reused
+ * connection, libcurl sends the request again, and the second request would
+ * find the effects of the first.
  */
 void http_json_post_once(struct http *h, const char *url,
 			 const char *const *headers, const char *body,
--- a/packages/transport/src/http.c
+++ b/packages/transport/src/http.c
@@ -3,43 +3,54 @@
 #include <celeryquay/core/types.h>
 #include <curl/curl.h>
 
-/* A gathered body above this size is refused. */
-#define BODY_MAX ((size_t)64 * 1024 * 1024)
-/* Connections kept for the next calls. */
-#define KEPT_CONNECTIONS 4L
-/* A silent path shows within seconds, also while a watch waits. */
+/*
+ * Largest response body that is collected, or part of a streamed one that waits
+ * to be delivered. A call that gets more fails.
+ */
+#define BODY_MAX_BYTES ((size_t)64 * 1024 * 1024)
+/* Idle connections kept open for later calls. */
+#define IDLE_CONNECTIONS_MAX 4L
+/*
+ * TCP keepalive: a broken network path is noticed within seconds, also while a
+ * call waits long for data, as a watch does.
+ */
 #define KEEPALIVE_IDLE_S 1L
 #define KEEPALIVE_INTERVAL_S 1L
 #define NSEC_PER_USEC 1000
 
 struct http {
 	uv_loop_t *loop;
-	uv_timer_t timer; /* libcurl's */
-	uv_timer_t silence; /* until the first call may be silent */
+	uv_timer_t timer; /* the timeout that libcurl asks for */
+	/* Runs until the first call may reach its silence_us. */
+	uv_timer_t silence_timer;
 	CURLM *multi;
-	struct curl_slist *headers;
-	GQueue calls;
-	GQueue fed; /* streaming calls with data that is not passed on */
-	bool closing;
+	struct curl_slist *headers; /* of all calls */
+	GQueue calls; /* struct http_call */
+	/* Streaming calls with data that is not delivered yet. */
+	GQueue with_data;
+	bool closing; /* being destroyed: no more events */
 };
 
 struct http_call {
 	struct http *http;
 	CURL *easy;
-	struct curl_slist *headers; /* NULL: those of all calls */
+	struct curl_slist *headers; /* NULL: only those of all calls */
 	const struct http_events *events;
 	void *ctx;
-	GString *in;
-	bool too_large;
-	bool begun;
+	GString *received; /* body, or its part that is not delivered yet */
+	bool too_large; /* more than BODY_MAX_BYTES */
+	bool body_begun; /* some of the body has been received */
 	uint64_t silence_us; /* 0: no limit */
-	uint64_t heard_us; /* the last byte came, or it began */
-	char why[CURL_ERROR_SIZE];
+	/* Time of the last byte of the body, or of the start of the call. */
+	uint64_t last_byte_at_us;
+	/* Message from libcurl or for a stall; "" if there is none. */
+	char error_text[CURL_ERROR_SIZE];
 	GList link; /* in calls */
-	GList fed_link;
-	bool is_fed;
+	GList data_link; /* in with_data */
+	bool has_data; /* linked in with_data */
 };
 
+/* A socket of libcurl's, polled by the loop. */
 struct http_socket {
 	uv_poll_t poll;
 	struct http *http;
@@ -60,12 +71,12 @@
 {
 	struct http *h = call->http;
 
-	if (call->is_fed)
-		g_queue_unlink(&h->fed, &call->fed_link);
+	if (call->has_data)
+		g_queue_unlink(&h->with_data, &call->data_link);
 	curl_multi_remove_handle(h->multi, call->easy);
 	curl_easy_cleanup(call->easy);
 	curl_slist_free_all(call->headers);
-	g_string_free(call->in, TRUE);
+	g_string_free(call->received, TRUE);
 	g_free(call);
 }
 
@@ -75,21 +86,22 @@
 	call_dispose(call);
 }
 
-static void pass_on(struct http *h)
+/* Calls data() for the streaming calls that have received something. */
+static void deliver_data(struct http *h)
 {
-	while (!h->closing && h->fed.head) {
-		struct http_call *call = h->fed.head->data;
-		GString *part = call->in;
+	while (!h->closing && h->with_data.head) {
+		struct http_call *call = h->with_data.head->data;
+		GString *part = call->received;
 
-		g_queue_unlink(&h->fed, &call->fed_link);
-		call->is_fed = false;
-		call->in = g_string_new(NULL);
+		g_queue_unlink(&h->with_data, &call->data_link);
+		call->has_data = false;
+		call->received = g_string_new(NULL);
 		call->events->data(call->ctx, str_from_gstring(part));
 		g_string_free(part, TRUE);
 	}
 }
 
-/* Whether libcurl's result says that nothing has reached a server. */
+/* Whether the result means that the request has reached no server. */
 static bool is_not_sent(CURLcode code)
 {
 	return code == CURLE_COULDNT_CONNECT ||
@@ -108,22 +120,26 @@
 	curl_easy_getinfo(call->easy, CURLINFO_EFFECTIVE_URL, &url);
 	curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 	if (call->too_large)
-		err_set(&err, ERR_STORE_DOWN, "%s: the answer is too large",
+		err_set(&err, ERR_STORE_DOWN, "%s: the response is too large",
 			url);
 	else if (code)
 		err_set(&err, ERR_STORE_DOWN, "%s: %s", url,
-			*call->why ? call->why : curl_easy_strerror(code));
+			*call->error_text ? call->error_text :
+					    curl_easy_strerror(code));
 	call->events->done(call->ctx, &err, is_not_sent(code), status,
-			   str_from_gstring(call->in));
+			   str_from_gstring(call->received));
 }
 
-/* Tells what libcurl has done; outside of it, so that callbacks are free. */
+/*
+ * Calls the events for what libcurl has done. This runs outside of libcurl, so
+ * that events may start and cancel calls.
+ */
 static void deliver(struct http *h)
 {
 	CURLMsg *msg;
 	int left;
 
-	pass_on(h);
+	deliver_data(h);
 	while (!h->closing && (msg = curl_multi_info_read(h->multi, &left))) {
 		struct http_call *call = NULL;
 		CURLcode code = msg->data.result;
@@ -139,9 +155,10 @@
 	}
 }
 
+/* The time at which the call reaches its silence_us. */
 static uint64_t silent_at_us(const struct http_call *call)
 {
-	return call->heard_us + call->silence_us;
+	return call->last_byte_at_us + call->silence_us;
 }
 
 static struct http_call *find_silent(const struct http *h)
@@ -159,28 +176,30 @@
 
 static void on_silence(uv_timer_t *timer);
 
+/* Sets the timer to the first call that may reach its silence_us. */
 static void watch_silence(struct http *h)
 {
-	uint64_t first_us = UINT64_MAX, now = now_us();
+	uint64_t first_at_us = UINT64_MAX, now = now_us();
 	GList *l;
 
 	for (l = h->calls.head; l; l = l->next) {
 		const struct http_call *call = l->data;
 
 		if (call->silence_us)
-			first_us = MIN(first_us, silent_at_us(call));
+			first_at_us = MIN(first_at_us, silent_at_us(call));
 	}
-	if (first_us == UINT64_MAX)
-		uv_timer_stop(&h->silence);
+	if (first_at_us == UINT64_MAX)
+		uv_timer_stop(&h->silence_timer);
 	else
-		uv_timer_start(&h->silence, on_silence,
-			       (uint64_t)to_ms(first_us - MIN(first_us, now)),
-			       0);
+		uv_timer_start(
+			&h->silence_timer, on_silence,
+			(uint64_t)to_ms(first_at_us - MIN(first_at_us, now)),
+			0);
 }
 
 /*
- * Ends the calls whose answer has not gone on for too long. A long answer over
- * a narrow link takes its time, which a limit on the whole call would cut.
+ * Ends the calls that have received no byte of the body for too long. A limit
+ * on the whole call instead would cut off a large response over a slow link.
  */
 static void on_silence(uv_timer_t *timer)
 {
@@ -191,16 +210,20 @@
 		watch_silence(h);
 		return;
 	}
-	/* What it tells may end others: the next one is looked for anew. */
+	/*
+	 * The event may end other calls, so the next silent call is looked for
+	 * from the start.
+	 */
 	uv_timer_start(timer, on_silence, 0, 0);
-	g_strlcpy(call->why, "the answer does not go on", sizeof(call->why));
+	g_strlcpy(call->error_text, "the response has stalled",
+		  sizeof(call->error_text));
 	curl_multi_remove_handle(h->multi, call->easy);
 	finish(call, CURLE_OPERATION_TIMEDOUT);
 	if (!h->closing)
 		call_free(call);
 }
 
-static void act(struct http *h, curl_socket_t fd, int flags)
+static void run_socket_action(struct http *h, curl_socket_t fd, int flags)
 {
 	int running;
 
@@ -219,12 +242,12 @@
 		flags |= CURL_CSELECT_IN;
 	if (events & UV_WRITABLE)
 		flags |= CURL_CSELECT_OUT;
-	act(s->http, s->fd, flags);
+	run_socket_action(s->http, s->fd, flags);
 }
 
 static void on_timer(uv_timer_t *timer)
 {
-	act(timer->data, CURL_SOCKET_TIMEOUT, 0);
+	run_socket_action(timer->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static void free_socket(uv_handle_t *poll)
@@ -288,7 +311,7 @@
 	return 0;
 }
 
-/* A client on a loop; SYSTEM when libcurl can't start. */
+/* Creates a client on a loop; NULL with SYSTEM when libcurl can't start. */
 struct http *http_create(uv_loop_t *loop, struct err *err)
 {
 	struct http *h = g_new0(struct http, 1);
@@ -296,7 +319,7 @@
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	h->multi = curl_multi_init();
 	if (!h->multi) {
-		err_set(err, ERR_SYSTEM, "libcurl does not start");
+		err_set(err, ERR_SYSTEM, "cannot initialize libcurl");
 		curl_global_cleanup();
 		g_free(h);
 		return NULL;
@@ -304,8 +327,8 @@
 	h->loop = loop;
 	uv_timer_init(loop, &h->timer);
 	h->timer.data = h;
-	uv_timer_init(loop, &h->silence);
-	h->silence.data = h;
+	uv_timer_init(loop, &h->silence_timer);
+	h->silence_timer.data = h;
 	h->headers = curl_slist_append(NULL, "Content-Type: application/json");
 	/* libcurl would wait a second for "100 Continue" on large bodies. */
 	h->headers = curl_slist_append(h->headers, "Expect:");
@@ -313,7 +336,7 @@
 	curl_multi_setopt(h->multi, CURLMOPT_SOCKETDATA, h);
 	curl_multi_setopt(h->multi, CURLMOPT_TIMERFUNCTION, on_curl_timer);
 	curl_multi_setopt(h->multi, CURLMOPT_TIMERDATA, h);
-	curl_multi_setopt(h->multi, CURLMOPT_MAXCONNECTS, KEPT_CONNECTIONS);
+	curl_multi_setopt(h->multi, CURLMOPT_MAXCONNECTS, IDLE_CONNECTIONS_MAX);
 	return h;
 }
 
@@ -323,8 +346,8 @@
 }
 
 /*
- * Cancels all calls without events; may be called from one. The loop must
- * turn once more for the memory to be freed.
+ * Cancels all calls without events; may be called from an event. The memory is
+ * freed in the next iteration of the loop.
  */
 void http_destroy(struct http *h)
 {
@@ -338,7 +361,7 @@
 	curl_multi_cleanup(h->multi);
 	curl_slist_free_all(h->headers);
 	curl_global_cleanup();
-	uv_close((uv_handle_t *)&h->silence, NULL);
+	uv_close((uv_handle_t *)&h->silence_timer, NULL);
 	uv_close((uv_handle_t *)&h->timer, free_http);
 }
 
@@ -348,21 +371,21 @@
 	struct http *h = call->http;
 	size_t len = size * n;
 
-	if (call->in->len + len > BODY_MAX) {
+	if (call->received->len + len > BODY_MAX_BYTES) {
 		call->too_large = true;
 		return 0;
 	}
-	g_string_append_len(call->in, data, (gssize)len);
-	call->begun = true;
-	call->heard_us = now_us();
-	if (call->events->data && !call->is_fed) {
-		call->is_fed = true;
-		g_queue_push_tail_link(&h->fed, &call->fed_link);
+	g_string_append_len(call->received, data, (gssize)len);
+	call->body_begun = true;
+	call->last_byte_at_us = now_us();
+	if (call->events->data && !call->has_data) {
+		call->has_data = true;
+		g_queue_push_tail_link(&h->with_data, &call->data_link);
 	}
 	return len;
 }
 
-/* Those of all calls and the request's own. */
+/* Sets the headers that all calls have, and the request's additional ones. */
 static void set_headers(struct http_call *call,
 			const struct http_request *request)
 {
@@ -389,7 +412,7 @@
 		curl_easy_setopt(easy, CURLOPT_HTTPGET, 1L);
 		return;
 	}
-	/* Without data, COPYPOSTFIELDS would have libcurl ask for a file. */
+	/* If COPYPOSTFIELDS were NULL, libcurl would use its read callback. */
 	curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE,
 			 (curl_off_t)request->body.len);
 	curl_easy_setopt(easy, CURLOPT_COPYPOSTFIELDS,
@@ -408,7 +431,7 @@
 			 (long)CURL_HTTP_VERSION_1_1);
 	curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
-	curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, call->why);
+	curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, call->error_text);
 	set_method(easy, request);
 	set_headers(call, request);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
@@ -423,7 +446,7 @@
 			 (long)request->new_connection);
 }
 
-/* Starts a call. Nothing is told before the loop turns. */
+/* Starts a call. No event is called before the loop runs again. */
 struct http_call *http_start(struct http *h, const struct http_request *request,
 			     const struct http_events *events, void *ctx)
 {
@@ -432,27 +455,30 @@
 	call->http = h;
 	call->events = events;
 	call->ctx = ctx;
-	call->in = g_string_new(NULL);
+	call->received = g_string_new(NULL);
 	call->link.data = call;
-	call->fed_link.data = call;
+	call->data_link.data = call;
 	call->easy = curl_easy_init();
 	g_queue_push_tail_link(&h->calls, &call->link);
 	set_options(call, request);
 	curl_multi_add_handle(h->multi, call->easy);
 	call->silence_us = request->silence_us;
-	call->heard_us = now_us();
+	call->last_byte_at_us = now_us();
 	if (call->silence_us)
 		watch_silence(h);
 	return call;
 }
 
-/* Whether a part of the answer's body has come. */
+/* Whether any part of the response body has been received. */
 bool http_has_begun(const struct http_call *call)
 {
-	return call->begun;
+	return call->body_begun;
 }
 
-/* Ends a call without events; NULL is ignored. Not for use in its done(). */
+/*
+ * Cancels a call without events; NULL is ignored. Must not be called from the
+ * call's own done().
+ */
 void http_cancel(struct http_call *call)
 {
 	if (call)
--- a/packages/transport/src/http_json.c
+++ b/packages/transport/src/http_json.c
@@ -2,7 +2,7 @@
 
 #include <stdarg.h>
 
-/* The node is the caller's. */
+/* The calling code owns the node. */
 JsonNode *http_json_parse(struct str body)
 {
 	JsonParser *parser = json_parser_new();
@@ -17,7 +17,7 @@
 	return root;
 }
 
-/* The text is the caller's. */
+/* The calling code owns the text. */
 char *http_json_strings(const char *name, ...)
 {
 	JsonObject *object = json_object_new();
@@ -36,7 +36,7 @@
 	return text;
 }
 
-/* The answer comes from the loop, once, unless h is destroyed. */
+/* done() is called once, from the loop, unless h is destroyed before. */
 void http_json_post_once(struct http *h, const char *url,
 			 const char *const *headers, const char *body,
 			 uint64_t timeout_us, const struct http_events *events,
