--- a/packages/transport/tests/support_front.c
+++ b/packages/transport/tests/support_front.c
@@ -10,12 +10,12 @@
 
 static GBytes *make_big(void)
 {
-	char *data = g_malloc(BED_BIG_BYTES);
+	char *data = g_malloc(BIG_ANSWER_BYTES);
 	size_t i;
 
-	for (i = 0; i < BED_BIG_BYTES; i++)
+	for (i = 0; i < BIG_ANSWER_BYTES; i++)
 		data[i] = (char)('0' + i % 10);
-	return g_bytes_new_take(data, BED_BIG_BYTES);
+	return g_bytes_new_take(data, BIG_ANSWER_BYTES);
 }
 
 static struct answer *make_answer(const struct request *r)
@@ -28,7 +28,7 @@
 		return a;
 	}
 	if (str_eq(r->profile, STR(PROFILE_UNKNOWN)))
-		return answer_error(ERR_UNKNOWN_OUTCOME, "nobody told");
+		return answer_error(ERR_UNKNOWN_OUTCOME, "no server answered");
 	a = answer_create(OUTCOME_DONE);
 	g_strlcpy(a->server, "codes-1-a", sizeof(a->server));
 	a->age_us = 1500;
@@ -59,22 +59,22 @@
 static void on_request(void *ctx, struct front_request *fr, struct request *r,
 		       struct str token, struct str session)
 {
-	struct front_bed *bed = ctx;
-
-	bed->requests++;
-	bed->kind = r->kind;
-	bed->key_given = r->key_given;
-	keep(&bed->service, r->service);
-	keep(&bed->database, r->database);
-	keep(&bed->transaction, r->transaction);
-	keep(&bed->key, r->key);
-	keep(&bed->digest, r->digest);
-	keep(&bed->token, token);
-	keep(&bed->session, session);
+	struct front_fixture *fixture = ctx;
+
+	fixture->requests++;
+	fixture->kind = r->kind;
+	fixture->key_given = r->key_given;
+	keep(&fixture->service, r->service);
+	keep(&fixture->database, r->database);
+	keep(&fixture->transaction, r->transaction);
+	keep(&fixture->key, r->key);
+	keep(&fixture->digest, r->digest);
+	keep(&fixture->token, token);
+	keep(&fixture->session, session);
 	if (str_eq(r->profile, STR(PROFILE_HOLD))) {
-		front_set_user(fr, GUINT_TO_POINTER(bed->held->len + 1));
-		g_ptr_array_add(bed->held, fr);
-		g_ptr_array_add(bed->held_requests, r);
+		front_set_user(fr, GUINT_TO_POINTER(fixture->held->len + 1));
+		g_ptr_array_add(fixture->held, fr);
+		g_ptr_array_add(fixture->held_requests, r);
 		return;
 	}
 	answer(fr, r);
@@ -83,22 +83,22 @@
 
 static void on_gone(void *ctx, struct front_request *fr)
 {
-	struct front_bed *bed = ctx;
+	struct front_fixture *fixture = ctx;
 	unsigned i = GPOINTER_TO_UINT(front_user(fr));
 
-	bed->gone++;
+	fixture->gone++;
 	ck_assert_uint_gt(i, 0);
-	ck_assert_ptr_eq(bed->held->pdata[i - 1], fr);
-	bed->held->pdata[i - 1] = NULL;
+	ck_assert_ptr_eq(fixture->held->pdata[i - 1], fr);
+	fixture->held->pdata[i - 1] = NULL;
 }
 
 static void on_admin(void *ctx, struct front_request *fr, struct str method,
 		     struct str path, struct str token, struct str body)
 {
-	struct front_bed *bed = ctx;
+	struct front_fixture *fixture = ctx;
 	GString *text = g_string_new(NULL);
 
-	bed->admin++;
+	fixture->admin++;
 	g_string_append_len(text, method.data, (gssize)method.len);
 	g_string_append_c(text, ' ');
 	g_string_append_len(text, path.data, (gssize)path.len);
@@ -110,14 +110,14 @@
 	g_string_free(text, TRUE);
 }
 
-/* Settings that no test comes near, unless it sets others. */
-void front_bed_init(struct front_bed *bed)
+/* Default settings have limits that no test reaches. */
+void front_fixture_init(struct front_fixture *fixture)
 {
-	memset(bed, 0, sizeof(*bed));
-	uv_loop_init(&bed->loop);
-	bed->held = g_ptr_array_new();
-	bed->held_requests = g_ptr_array_new();
-	bed->settings = (struct front_settings){
+	memset(fixture, 0, sizeof(*fixture));
+	uv_loop_init(&fixture->loop);
+	fixture->held = g_ptr_array_new();
+	fixture->held_requests = g_ptr_array_new();
+	fixture->settings = (struct front_settings){
 		.callers = { .host = "127.0.0.1" },
 		.operators = { .host = "127.0.0.1" },
 		.max_body_bytes = 1 << 20,
@@ -126,8 +126,8 @@
 	};
 }
 
-/* Starts the front; the test fails if that does. */
-void front_bed_open(struct front_bed *bed)
+/* Starts the front; fails the test if the front can't start. */
+void front_fixture_open(struct front_fixture *fixture)
 {
 	static const struct front_events events = {
 		.request = on_request,
@@ -136,96 +136,98 @@
 	};
 	struct err err = { 0 };
 
-	bed->front =
-		front_create(&bed->loop, &bed->settings, &events, bed, &err);
-	ck_assert_msg(bed->front != NULL, "%s", err.message);
+	fixture->front = front_create(&fixture->loop, &fixture->settings,
+				      &events, fixture, &err);
+	ck_assert_msg(fixture->front != NULL, "%s", err.message);
 }
 
-/* Answers what was held, unless its caller has gone. */
-void front_bed_release(struct front_bed *bed)
+/* Answers the waiting requests whose callers have not gone. */
+void front_fixture_release(struct front_fixture *fixture)
 {
 	unsigned i;
 
-	for (i = 0; i < bed->held->len; i++) {
-		struct request *r = bed->held_requests->pdata[i];
+	for (i = 0; i < fixture->held->len; i++) {
+		struct request *r = fixture->held_requests->pdata[i];
 
-		if (bed->held->pdata[i])
-			answer(bed->held->pdata[i], r);
+		if (fixture->held->pdata[i])
+			answer(fixture->held->pdata[i], r);
 		request_unref(r);
 	}
-	g_ptr_array_set_size(bed->held, 0);
-	g_ptr_array_set_size(bed->held_requests, 0);
+	g_ptr_array_set_size(fixture->held, 0);
+	g_ptr_array_set_size(fixture->held_requests, 0);
 }
 
-/* Destroys the front; fails if anything of it is left on the loop. */
-void front_bed_close(struct front_bed *bed)
+/* Destroys the front; fails if a handle is left on the loop. */
+void front_fixture_close(struct front_fixture *fixture)
 {
 	unsigned i;
 
-	front_destroy(bed->front);
-	loop_end(&bed->loop);
-	for (i = 0; i < bed->held_requests->len; i++)
-		request_unref(bed->held_requests->pdata[i]);
-	g_ptr_array_unref(bed->held);
-	g_ptr_array_unref(bed->held_requests);
-	g_free(bed->service);
-	g_free(bed->database);
-	g_free(bed->transaction);
-	g_free(bed->key);
-	g_free(bed->digest);
-	g_free(bed->token);
-	g_free(bed->session);
+	front_destroy(fixture->front);
+	loop_end(&fixture->loop);
+	for (i = 0; i < fixture->held_requests->len; i++)
+		request_unref(fixture->held_requests->pdata[i]);
+	g_ptr_array_unref(fixture->held);
+	g_ptr_array_unref(fixture->held_requests);
+	g_free(fixture->service);
+	g_free(fixture->database);
+	g_free(fixture->transaction);
+	g_free(fixture->key);
+	g_free(fixture->digest);
+	g_free(fixture->token);
+	g_free(fixture->session);
 }
 
-struct counted {
+struct counter_target {
 	const unsigned *counter;
 	unsigned wanted;
 };
 
 static bool is_counted(void *ctx)
 {
-	struct counted *c = ctx;
+	struct counter_target *c = ctx;
 
 	return *c->counter >= c->wanted;
 }
 
-/* Runs the loop until an event has come this often. */
-void front_bed_until(struct front_bed *bed, const unsigned *counter,
-		     unsigned wanted)
+/* Runs the loop until the counter has reached this value. */
+void front_fixture_run_until(struct front_fixture *fixture,
+			     const unsigned *counter, unsigned wanted)
 {
-	struct counted c = { .counter = counter, .wanted = wanted };
+	struct counter_target c = { .counter = counter, .wanted = wanted };
 
-	loop_until(&bed->loop, is_counted, &c);
+	loop_until(&fixture->loop, is_counted, &c);
 	ck_assert_uint_eq(*counter, wanted);
 }
 
-struct connected {
+struct connections_target {
 	struct front *front;
 	unsigned wanted;
 };
 
 static bool is_connected(void *ctx)
 {
-	struct connected *c = ctx;
+	struct connections_target *c = ctx;
 
 	return front_connections(c->front) == c->wanted;
 }
 
-/* Runs the loop until the front has exactly so many connections. */
-void front_bed_until_connections(struct front_bed *bed, unsigned wanted)
+/* Runs the loop until the front has this number of connections. */
+void front_fixture_run_until_connections(struct front_fixture *fixture,
+					 unsigned wanted)
 {
-	struct connected c = { .front = bed->front, .wanted = wanted };
+	struct connections_target c = { .front = fixture->front,
+					.wanted = wanted };
 
-	loop_until(&bed->loop, is_connected, &c);
+	loop_until(&fixture->loop, is_connected, &c);
 }
 
-struct bare {
+struct raw_client {
 	int fd;
-	GString *text;
-	const char *data;
-	size_t len;
-	const char *until;
-	gint done;
+	GString *text; /* what was read */
+	const char *data; /* still to be sent */
+	size_t len; /* of data */
+	const char *until; /* text to read up to; NULL: the end of the stream */
+	gint done; /* the thread has finished; atomic */
 };
 
 static bool is_done(void *ctx)
@@ -233,7 +235,7 @@
 	return g_atomic_int_get((gint *)ctx);
 }
 
-int bare_try(uint16_t port)
+int raw_client_try(uint16_t port)
 {
 	struct sockaddr_in address;
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -246,10 +248,10 @@
 	return error;
 }
 
-/* Connects by the kernel alone: the front's loop needs no turn for it. */
-struct bare *bare_open(uint16_t port)
+/* Connects; the kernel does so without the front's loop running. */
+struct raw_client *raw_client_open(uint16_t port)
 {
-	struct bare *b = g_new0(struct bare, 1);
+	struct raw_client *b = g_new0(struct raw_client, 1);
 	struct sockaddr_in address;
 
 	uv_ip4_addr("127.0.0.1", port, &address);
@@ -261,19 +263,20 @@
 	return b;
 }
 
-static void run(struct front_bed *bed, struct bare *b, GThreadFunc function)
+static void run(struct front_fixture *fixture, struct raw_client *b,
+		GThreadFunc function)
 {
 	GThread *thread;
 
 	b->done = 0;
 	thread = g_thread_new("caller", function, b);
-	loop_until(&bed->loop, is_done, &b->done);
+	loop_until(&fixture->loop, is_done, &b->done);
 	g_thread_join(thread);
 }
 
 static gpointer send_all(gpointer data)
 {
-	struct bare *b = data;
+	struct raw_client *b = data;
 
 	while (b->len) {
 		ssize_t n = send(b->fd, b->data, b->len, MSG_NOSIGNAL);
@@ -287,33 +290,34 @@
 	return NULL;
 }
 
-void bare_send(struct front_bed *bed, struct bare *b, const char *data,
-	       size_t len)
+void raw_client_send(struct front_fixture *fixture, struct raw_client *b,
+		     const char *data, size_t len)
 {
 	b->data = data;
 	b->len = len;
-	run(bed, b, send_all);
+	run(fixture, b, send_all);
 }
 
-void bare_text(struct front_bed *bed, struct bare *b, const char *text)
+void raw_client_send_text(struct front_fixture *fixture, struct raw_client *b,
+			  const char *text)
 {
-	bare_send(bed, b, text, strlen(text));
+	raw_client_send(fixture, b, text, strlen(text));
 }
 
-void bare_send_now(struct bare *b, const char *text)
+void raw_client_send_now(struct raw_client *b, const char *text)
 {
 	ck_assert_int_eq(send(b->fd, text, strlen(text), MSG_NOSIGNAL),
 			 (ssize_t)strlen(text));
 }
 
-void bare_forget(struct bare *b)
+void raw_client_clear(struct raw_client *b)
 {
 	g_string_truncate(b->text, 0);
 }
 
 static gpointer read_some(gpointer data)
 {
-	struct bare *b = data;
+	struct raw_client *b = data;
 	char buf[65536];
 
 	while (!b->until || !strstr(b->text->str, b->until)) {
@@ -327,21 +331,22 @@
 	return NULL;
 }
 
-const char *bare_read(struct front_bed *bed, struct bare *b, const char *until)
+const char *raw_client_read(struct front_fixture *fixture, struct raw_client *b,
+			    const char *until)
 {
 	b->until = until;
-	run(bed, b, read_some);
+	run(fixture, b, read_some);
 	return b->text->str;
 }
 
-void bare_close(struct bare *b)
+void raw_client_close(struct raw_client *b)
 {
 	close(b->fd);
 	g_string_free(b->text, TRUE);
 	g_free(b);
 }
 
-struct fetching {
+struct fetch_job {
 	struct fetched *out;
 	const char *url;
 	const char *body;
@@ -357,7 +362,7 @@
 
 static gpointer perform(gpointer data)
 {
-	struct fetching *f = data;
+	struct fetch_job *f = data;
 	CURL *curl = curl_easy_init();
 
 	curl_easy_setopt(curl, CURLOPT_URL, f->url);
@@ -377,17 +382,17 @@
 	return NULL;
 }
 
-struct fetched *fetch(struct front_bed *bed, const char *url, long version,
-		      const char *body)
+struct fetched *fetch(struct front_fixture *fixture, const char *url,
+		      long version, const char *body)
 {
-	struct fetching f = { .url = url, .version = version, .body = body };
+	struct fetch_job f = { .url = url, .version = version, .body = body };
 	GThread *thread;
 
 	f.out = g_new0(struct fetched, 1);
 	f.out->headers = g_string_new(NULL);
 	f.out->body = g_string_new(NULL);
 	thread = g_thread_new("caller", perform, &f);
-	loop_until(&bed->loop, is_done, &f.done);
+	loop_until(&fixture->loop, is_done, &f.done);
 	g_thread_join(thread);
 	return f.out;
 }
--- a/packages/transport/tests/test_front.c
+++ b/packages/transport/tests/test_front.c
@@ -11,30 +11,31 @@
 	"0123456789012345678901234567890123456789012345678901234567890123" \
 	"0123456789012345678901234567890123456789012345678901234567890123"
 
-static struct front_bed bed;
+static struct front_fixture fixture;
 
 static void setup(void)
 {
-	front_bed_init(&bed);
-	front_bed_open(&bed);
+	front_fixture_init(&fixture);
+	front_fixture_open(&fixture);
 }
 
 static void teardown(void)
 {
-	front_bed_close(&bed);
+	front_fixture_close(&fixture);
 }
 
-/* One request on a connection of its own; the whole answer. */
-static struct bare *ask(uint16_t port, const char *method, const char *path,
-			const char *headers, const char *body)
+/* Sends one request on a connection of its own. */
+static struct raw_client *ask(uint16_t port, const char *method,
+			      const char *path, const char *headers,
+			      const char *body)
 {
-	struct bare *b = bare_open(port);
+	struct raw_client *b = raw_client_open(port);
 	char *text = g_strdup_printf(
 		"%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
 		"Content-Length: %zu\r\n%s\r\n%s",
 		method, path, strlen(body), headers, body);
 
-	bare_text(&bed, b, text);
+	raw_client_send_text(&fixture, b, text);
 	g_free(text);
 	return b;
 }
@@ -45,7 +46,7 @@
 	const char *headers;
 	const char *body;
 	unsigned status;
-	const char *wanted; /* part of the answer */
+	const char *wanted; /* part of the response */
 };
 
 static const struct row refused[] = {
@@ -69,31 +70,32 @@
 	{ "POST", RUN_PATH, "", "{", 400,
 	  "\"code\":1001,\"name\":\"BAD_JSON\"" },
 	{ "POST", RUN_PATH, "", "{}", 400, "profile: the field is missing" },
-	{ "POST", RUN_PATH "/transactions", "", BED_RUN("a"), 400,
+	{ "POST", RUN_PATH "/transactions", "", RUN_BODY("a"), 400,
 	  "statements: this call has no such field" },
-	{ "POST", TX_PATH, "", BED_RUN("a"), 400,
+	{ "POST", TX_PATH, "", RUN_BODY("a"), 400,
 	  "profile: this call has no such field" },
 	{ "POST", TX_PATH "/commit", "", STATEMENTS, 400, "BAD_FIELD" },
-	{ "POST", RUN_PATH, "Idempotency-Key: a b\r\n", BED_RUN("a"), 400,
+	{ "POST", RUN_PATH, "Idempotency-Key: a b\r\n", RUN_BODY("a"), 400,
 	  "BAD_KEY" },
-	{ "POST", RUN_PATH, "Idempotency-Key: \xc3\xa9\r\n", BED_RUN("a"), 400,
+	{ "POST", RUN_PATH, "Idempotency-Key: \xc3\xa9\r\n", RUN_BODY("a"), 400,
 	  "BAD_KEY" },
-	{ "POST", RUN_PATH, "Idempotency-Key: " KEY_128 "x\r\n", BED_RUN("a"),
+	{ "POST", RUN_PATH, "Idempotency-Key: " KEY_128 "x\r\n", RUN_BODY("a"),
 	  400, "BAD_KEY" },
 	{ "POST", RUN_PATH, "Idempotency-Key: a\r\nIdempotency-Key: b\r\n",
-	  BED_RUN("a"), 400, "BAD_KEY" },
-	{ "POST", RUN_PATH, "Idempotency-Key:\r\n", BED_RUN("a"), 400,
+	  RUN_BODY("a"), 400, "BAD_KEY" },
+	{ "POST", RUN_PATH, "Idempotency-Key:\r\n", RUN_BODY("a"), 400,
 	  "BAD_KEY" },
-	{ "POST", RUN_PATH, "Transfer-Encoding: odd\r\n", BED_RUN("a"), 400,
+	{ "POST", RUN_PATH, "Transfer-Encoding: odd\r\n", RUN_BODY("a"), 400,
 	  "BAD_HEADER" },
 };
 
 START_TEST(bad_request_is_refused)
 {
 	const struct row *row = &refused[_i];
-	struct bare *b = ask(front_caller_port(bed.front), row->method,
-			     row->path, row->headers, row->body);
-	const char *text = bare_read(&bed, b, NULL);
+	struct raw_client *b = ask(front_caller_port(fixture.front),
+				   row->method, row->path, row->headers,
+				   row->body);
+	const char *text = raw_client_read(&fixture, b, NULL);
 	char status[32];
 
 	g_snprintf(status, sizeof(status), "HTTP/1.1 %u ", row->status);
@@ -104,12 +106,12 @@
 	ck_assert_msg(strstr(text, "{\"outcome\":\"not_run\""), "%s", text);
 	ck_assert_msg(strstr(text, "content-type: application/json"), "%s",
 		      text);
-	ck_assert_uint_eq(bed.requests, 0);
-	bare_close(b);
+	ck_assert_uint_eq(fixture.requests, 0);
+	raw_client_close(b);
 }
 END_TEST
 
-/* What h2o can't read as HTTP it answers by itself, in plain text. */
+/* h2o answers by itself, in plain text, what it can't parse as HTTP. */
 START_TEST(not_http_is_refused)
 {
 	static const char *const texts[] = {
@@ -117,14 +119,15 @@
 		"\x16\x03\x01\x02",
 		"\r\n\r\n\r\n!",
 	};
-	struct bare *b = bare_open(front_caller_port(bed.front));
+	struct raw_client *b =
+		raw_client_open(front_caller_port(fixture.front));
 	const char *text;
 
-	bare_text(&bed, b, texts[_i]);
-	text = bare_read(&bed, b, NULL);
+	raw_client_send_text(&fixture, b, texts[_i]);
+	text = raw_client_read(&fixture, b, NULL);
 	ck_assert_msg(g_str_has_prefix(text, "HTTP/1.1 400 "), "%s", text);
-	ck_assert_uint_eq(bed.requests, 0);
-	bare_close(b);
+	ck_assert_uint_eq(fixture.requests, 0);
+	raw_client_close(b);
 }
 END_TEST
 
@@ -132,12 +135,13 @@
 {
 	char *value = g_strnfill(20000, 'a');
 	char *headers = g_strdup_printf("X-Long: %s\r\n", value);
-	struct bare *b = ask(front_caller_port(bed.front), "POST", RUN_PATH,
-			     headers, BED_RUN("a"));
+	struct raw_client *b = ask(front_caller_port(fixture.front), "POST",
+				   RUN_PATH, headers, RUN_BODY("a"));
 
-	ck_assert_ptr_nonnull(strstr(bare_read(&bed, b, NULL), "BAD_HEADER"));
-	ck_assert_uint_eq(bed.requests, 0);
-	bare_close(b);
+	ck_assert_ptr_nonnull(
+		strstr(raw_client_read(&fixture, b, NULL), "BAD_HEADER"));
+	ck_assert_uint_eq(fixture.requests, 0);
+	raw_client_close(b);
 	g_free(headers);
 	g_free(value);
 }
@@ -152,7 +156,7 @@
 };
 
 static const struct call calls[] = {
-	{ "POST", RUN_PATH, BED_RUN("a"), REQUEST_RUN, "" },
+	{ "POST", RUN_PATH, RUN_BODY("a"), REQUEST_RUN, "" },
 	{ "POST", RUN_PATH "/transactions", "{\"profile\":\"a\"}",
 	  REQUEST_BEGIN, "" },
 	{ "POST", TX_PATH, STATEMENTS, REQUEST_IN_TRANSACTION, "proxy-1~9" },
@@ -164,65 +168,66 @@
 START_TEST(call_is_handed_over)
 {
 	const struct call *call = &calls[_i];
-	struct bare *b = ask(front_caller_port(bed.front), call->method,
-			     call->path, "", call->body);
-	const char *text = bare_read(&bed, b, NULL);
+	struct raw_client *b = ask(front_caller_port(fixture.front),
+				   call->method, call->path, "", call->body);
+	const char *text = raw_client_read(&fixture, b, NULL);
 
 	ck_assert_msg(strstr(text, "\"outcome\":\"done\""), "%s", text);
-	ck_assert_int_eq(bed.kind, call->kind);
-	ck_assert_str_eq(bed.service, "ledger");
-	ck_assert_str_eq(bed.database, "miles-1");
-	ck_assert_str_eq(bed.transaction, call->transaction);
-	ck_assert_uint_eq(bed.requests, 1);
-	bare_close(b);
+	ck_assert_int_eq(fixture.kind, call->kind);
+	ck_assert_str_eq(fixture.service, "ledger");
+	ck_assert_str_eq(fixture.database, "miles-1");
+	ck_assert_str_eq(fixture.transaction, call->transaction);
+	ck_assert_uint_eq(fixture.requests, 1);
+	raw_client_close(b);
 }
 END_TEST
 
 START_TEST(headers_are_read)
 {
-	struct bare *b = ask(front_caller_port(bed.front), "POST", RUN_PATH,
-			     "Authorization: bearer abc\r\n"
-			     "Cookie: a=b; celeryquay_session=cookie\r\n"
-			     "Celeryquay-Session: header\r\n"
-			     "Idempotency-Key: " KEY_128 "\r\n",
-			     BED_RUN("a"));
-
-	bare_read(&bed, b, NULL);
-	bare_close(b);
-	ck_assert_str_eq(bed.token, "abc");
-	ck_assert_str_eq(bed.session, "header");
-	ck_assert_str_eq(bed.key, KEY_128);
-	ck_assert(bed.key_given);
-	b = ask(front_caller_port(bed.front), "POST", RUN_PATH,
+	struct raw_client *b = ask(front_caller_port(fixture.front), "POST",
+				   RUN_PATH,
+				   "Authorization: bearer abc\r\n"
+				   "Cookie: a=b; celeryquay_session=cookie\r\n"
+				   "Celeryquay-Session: header\r\n"
+				   "Idempotency-Key: " KEY_128 "\r\n",
+				   RUN_BODY("a"));
+
+	raw_client_read(&fixture, b, NULL);
+	raw_client_close(b);
+	ck_assert_str_eq(fixture.token, "abc");
+	ck_assert_str_eq(fixture.session, "header");
+	ck_assert_str_eq(fixture.key, KEY_128);
+	ck_assert(fixture.key_given);
+	b = ask(front_caller_port(fixture.front), "POST", RUN_PATH,
 		"Authorization: Basic abc\r\n"
 		"Cookie: xceleryquay_session=no; celeryquay_session=cookie\r\n",
-		BED_RUN("a"));
-	bare_read(&bed, b, NULL);
-	bare_close(b);
-	ck_assert_str_eq(bed.token, "");
-	ck_assert_str_eq(bed.session, "cookie");
-	ck_assert_str_eq(bed.key, "");
-	ck_assert(!bed.key_given);
+		RUN_BODY("a"));
+	raw_client_read(&fixture, b, NULL);
+	raw_client_close(b);
+	ck_assert_str_eq(fixture.token, "");
+	ck_assert_str_eq(fixture.session, "cookie");
+	ck_assert_str_eq(fixture.key, "");
+	ck_assert(!fixture.key_given);
 }
 END_TEST
 
 static char *digest_of(const char *path, const char *body)
 {
-	struct bare *b =
-		ask(front_caller_port(bed.front), "POST", path, "", body);
+	struct raw_client *b =
+		ask(front_caller_port(fixture.front), "POST", path, "", body);
 
-	bare_read(&bed, b, NULL);
-	bare_close(b);
-	return g_strdup(bed.digest);
+	raw_client_read(&fixture, b, NULL);
+	raw_client_close(b);
+	return g_strdup(fixture.digest);
 }
 
 /*
- * A van's phone saves a trip, loses the answer and sends it again with the
- * same key; its library writes the JSON's fields in another order. That is the
- * same request. Another amount under the same key is not, and neither is a
- * string where a number was.
+ * A client whose response was lost sends the request again with the same
+ * Idempotency-Key, but its JSON library may write the fields in another order:
+ * the digest must be the same. It must differ for another amount under the same
+ * key, for a string in place of a number, and for another database.
  */
-START_TEST(digest_tells_what_a_request_means)
+START_TEST(digest_depends_on_meaning_alone)
 {
 	char *one = digest_of(RUN_PATH, "{\"profile\":\"w\",\"statements\":"
 					"[{\"sql\":\"x\",\"params\":[1]}]}");
@@ -251,15 +256,15 @@
 }
 END_TEST
 
-struct told {
+struct expected_answer {
 	const char *path;
 	const char *body;
 	const char *wanted[6];
 };
 
-static const struct told answers[] = {
+static const struct expected_answer answers[] = {
 	{ RUN_PATH,
-	  BED_RUN("a"),
+	  RUN_BODY("a"),
 	  { "HTTP/1.1 200 OK\r\n",
 	    "{\"outcome\":\"done\",\"results\":[{\"rows\":[[1]]}],"
 	    "\"session\":\"new-session\",\"served_by\":{\"server\":"
@@ -268,7 +273,7 @@
 	    "\r\nset-cookie: celeryquay_session=new-session; Path=/; HttpOnly;"
 	    " SameSite=Strict\r\n" } },
 	{ RUN_PATH,
-	  BED_RUN(PROFILE_REPEATED),
+	  RUN_BODY(PROFILE_REPEATED),
 	  { "HTTP/1.1 200 OK\r\n", ",\"repeated\":true}" } },
 	{ RUN_PATH "/transactions",
 	  "{\"profile\":\"a\"}",
@@ -278,43 +283,44 @@
 	  "",
 	  { "HTTP/1.1 200 OK\r\n", "\"role\":\"primary\"" } },
 	{ RUN_PATH,
-	  BED_RUN(PROFILE_FULL),
+	  RUN_BODY(PROFILE_FULL),
 	  { "HTTP/1.1 503 Service Unavailable\r\n", "\r\nretry-after: 2\r\n",
 	    "\"retry_after_ms\":1500",
 	    "{\"outcome\":\"not_run\",\"code\":1201,\"name\":\"OVERLOADED\","
 	    "\"message\":\"the queue is full\"" } },
-	/* Given up on in time: the caller is told when to come back. */
+	/* Status 504 without retry_after_us still has a Retry-After. */
 	{ RUN_PATH,
-	  BED_RUN(PROFILE_UNKNOWN),
+	  RUN_BODY(PROFILE_UNKNOWN),
 	  { "HTTP/1.1 504 ", "\"outcome\":\"unknown\"",
 	    "\r\nretry-after: 1\r\n" } },
 };
 
-START_TEST(answer_is_told)
+START_TEST(answer_is_sent)
 {
-	const struct told *told = &answers[_i];
-	struct bare *b = ask(front_caller_port(bed.front), "POST", told->path,
-			     "", told->body);
-	const char *text = bare_read(&bed, b, NULL);
+	const struct expected_answer *expected_answer = &answers[_i];
+	struct raw_client *b = ask(front_caller_port(fixture.front), "POST",
+				   expected_answer->path, "",
+				   expected_answer->body);
+	const char *text = raw_client_read(&fixture, b, NULL);
 	unsigned i;
 
-	for (i = 0; told->wanted[i]; i++)
-		ck_assert_msg(strstr(text, told->wanted[i]), "%s: %s",
-			      told->wanted[i], text);
-	bare_close(b);
+	for (i = 0; expected_answer->wanted[i]; i++)
+		ck_assert_msg(strstr(text, expected_answer->wanted[i]),
+			      "%s: %s", expected_answer->wanted[i], text);
+	raw_client_close(b);
 }
 END_TEST
 
 static const long versions[] = { CURL_HTTP_VERSION_1_1, CURL_HTTP_VERSION_2_0,
 				 CURL_HTTP_VERSION_2_PRIOR_KNOWLEDGE };
 
-/* A year-end export of 16 MiB, over each version of HTTP. */
-START_TEST(big_answer_comes_whole)
+/* A response of 16 MiB is complete over each version of HTTP. */
+START_TEST(big_answer_is_complete)
 {
 	char *url = g_strdup_printf("http://127.0.0.1:%u" RUN_PATH,
-				    front_caller_port(bed.front));
+				    front_caller_port(fixture.front));
 	struct fetched *f =
-		fetch(&bed, url, versions[_i], BED_RUN(PROFILE_BIG));
+		fetch(&fixture, url, versions[_i], RUN_BODY(PROFILE_BIG));
 	const char *data;
 	size_t i;
 
@@ -324,11 +330,11 @@
 	data = strstr(f->body->str, "\"results\":");
 	ck_assert_ptr_nonnull(data);
 	data += strlen("\"results\":");
-	for (i = 0; i < BED_BIG_BYTES; i++)
+	for (i = 0; i < BIG_ANSWER_BYTES; i++)
 		if (data[i] != (char)('0' + i % 10))
 			ck_abort_msg("byte %zu differs", i);
-	ck_assert_ptr_eq(strstr(data + BED_BIG_BYTES, ",\"session\":"),
-			 data + BED_BIG_BYTES);
+	ck_assert_ptr_eq(strstr(data + BIG_ANSWER_BYTES, ",\"session\":"),
+			 data + BIG_ANSWER_BYTES);
 	fetched_free(f);
 	g_free(url);
 }
@@ -336,21 +342,22 @@
 
 START_TEST(operators_have_their_own_port)
 {
-	struct bare *b = ask(front_admin_port(bed.front), "PUT",
-			     "/items/profile/write?x=1",
-			     "Authorization: Bearer op\r\n", "{}");
+	struct raw_client *b = ask(front_admin_port(fixture.front), "PUT",
+				   "/items/profile/write?x=1",
+				   "Authorization: Bearer op\r\n", "{}");
 
-	ck_assert_ptr_nonnull(strstr(bare_read(&bed, b, NULL),
+	ck_assert_ptr_nonnull(strstr(raw_client_read(&fixture, b, NULL),
 				     "\r\n\r\nPUT /items/profile/write?x=1 op "
 				     "{}"));
-	ck_assert_uint_eq(bed.admin, 1);
-	ck_assert_uint_eq(bed.requests, 0);
-	bare_close(b);
-	b = ask(front_admin_port(bed.front), "PUT", "/items/profile/write", "",
-		"[[[[[[[[[[[[[[[[[");
-	ck_assert_ptr_nonnull(strstr(bare_read(&bed, b, NULL), "TOO_DEEP"));
-	ck_assert_uint_eq(bed.admin, 1);
-	bare_close(b);
+	ck_assert_uint_eq(fixture.admin, 1);
+	ck_assert_uint_eq(fixture.requests, 0);
+	raw_client_close(b);
+	b = ask(front_admin_port(fixture.front), "PUT", "/items/profile/write",
+		"", "[[[[[[[[[[[[[[[[[");
+	ck_assert_ptr_nonnull(
+		strstr(raw_client_read(&fixture, b, NULL), "TOO_DEEP"));
+	ck_assert_uint_eq(fixture.admin, 1);
+	raw_client_close(b);
 }
 END_TEST
 
@@ -365,9 +372,9 @@
 	tcase_add_test(tc, headers_are_bounded);
 	tcase_add_loop_test(tc, call_is_handed_over, 0, G_N_ELEMENTS(calls));
 	tcase_add_test(tc, headers_are_read);
-	tcase_add_test(tc, digest_tells_what_a_request_means);
-	tcase_add_loop_test(tc, answer_is_told, 0, G_N_ELEMENTS(answers));
-	tcase_add_loop_test(tc, big_answer_comes_whole, 0,
+	tcase_add_test(tc, digest_depends_on_meaning_alone);
+	tcase_add_loop_test(tc, answer_is_sent, 0, G_N_ELEMENTS(answers));
+	tcase_add_loop_test(tc, big_answer_is_complete, 0,
 			    G_N_ELEMENTS(versions));
 	tcase_add_test(tc, operators_have_their_own_port);
 	return tc;
--- a/packages/transport/tests/test_http.c
+++ b/packages/transport/tests/test_http.c
@@ -1,6 +1,6 @@
 /*
- * Calls whose answers come in parts, from a server that writes one part after
- * the other.
+ * Tests of the HTTP client's silence_us, with a server that sends its response
+ * in parts and may stop before the last.
  */
 #include "support_loop.h"
 
@@ -11,25 +11,26 @@
 #include <string.h>
 
 #define PARTS 12
-#define PART_MS 50
+#define PART_MS 50 /* interval between two parts */
 #define SILENCE_US (300 * USEC_PER_MSEC)
 #define PART "0123456789"
 
-struct answering {
+/* The server's end of the connection. */
+struct server_connection {
 	uv_tcp_t tcp;
 	uv_timer_t timer;
-	unsigned n_written;
+	unsigned n_written; /* parts */
 };
 
 static struct {
 	uv_loop_t loop;
 	uv_tcp_t listener;
 	struct http *http;
-	struct answering *answering;
-	unsigned stops_after; /* parts */
+	struct server_connection *server_connection;
+	unsigned stops_after; /* parts that the server sends */
 	bool done;
-	enum err_code code;
-	size_t len;
+	enum err_code code; /* of done() */
+	size_t len; /* of the body */
 } rig;
 
 static void write_text(const char *text)
@@ -37,12 +38,14 @@
 	uv_buf_t buf = uv_buf_init((char *)text, (unsigned)strlen(text));
 
 	ck_assert_int_gt(
-		uv_try_write((uv_stream_t *)&rig.answering->tcp, &buf, 1), 0);
+		uv_try_write((uv_stream_t *)&rig.server_connection->tcp, &buf,
+			     1),
+		0);
 }
 
 static void on_part(uv_timer_t *timer)
 {
-	struct answering *a = rig.answering;
+	struct server_connection *a = rig.server_connection;
 
 	if (a->n_written == rig.stops_after) {
 		uv_timer_stop(timer);
@@ -68,24 +71,27 @@
 
 	(void)stream;
 	(void)buf;
-	if (n <= 0 || rig.answering->n_written)
+	if (n <= 0 || rig.server_connection->n_written)
 		return;
 	g_snprintf(head, sizeof(head),
 		   "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n",
 		   PARTS * strlen(PART));
 	write_text(head);
-	uv_timer_start(&rig.answering->timer, on_part, PART_MS, PART_MS);
+	uv_timer_start(&rig.server_connection->timer, on_part, PART_MS,
+		       PART_MS);
 }
 
 static void on_connection(uv_stream_t *listener, int status)
 {
 	ck_assert_int_eq(status, 0);
-	rig.answering = g_new0(struct answering, 1);
-	uv_tcp_init(&rig.loop, &rig.answering->tcp);
-	uv_timer_init(&rig.loop, &rig.answering->timer);
-	ck_assert_int_eq(
-		uv_accept(listener, (uv_stream_t *)&rig.answering->tcp), 0);
-	uv_read_start((uv_stream_t *)&rig.answering->tcp, on_alloc, on_request);
+	rig.server_connection = g_new0(struct server_connection, 1);
+	uv_tcp_init(&rig.loop, &rig.server_connection->tcp);
+	uv_timer_init(&rig.loop, &rig.server_connection->timer);
+	ck_assert_int_eq(uv_accept(listener,
+				   (uv_stream_t *)&rig.server_connection->tcp),
+			 0);
+	uv_read_start((uv_stream_t *)&rig.server_connection->tcp, on_alloc,
+		      on_request);
 }
 
 static void on_done(void *ctx, const struct err *err, bool not_sent,
@@ -118,7 +124,7 @@
 	return ntohs(in.sin_port);
 }
 
-/* One call, whose answer stops after so many parts. */
+/* Makes one call, to which the server sends only so many parts. */
 static void call(unsigned stops_after)
 {
 	static const struct http_events events = { .done = on_done };
@@ -139,16 +145,18 @@
 	http_start(rig.http, &request, &events, NULL);
 	loop_until(&rig.loop, is_done, NULL);
 	http_destroy(rig.http);
-	uv_close((uv_handle_t *)&rig.answering->timer, NULL);
-	uv_close((uv_handle_t *)&rig.answering->tcp, NULL);
+	uv_close((uv_handle_t *)&rig.server_connection->timer, NULL);
+	uv_close((uv_handle_t *)&rig.server_connection->tcp, NULL);
 	uv_close((uv_handle_t *)&rig.listener, NULL);
 	uv_run(&rig.loop, UV_RUN_DEFAULT);
 	ck_assert_int_eq(uv_loop_close(&rig.loop), 0);
-	g_free(rig.answering);
+	g_free(rig.server_connection);
 	g_free(url);
 }
 
-/* Guards against a long answer over a narrow link that is cut and begun anew.
+/*
+ * A large response over a slow link must not be cut off and requested again,
+ * although it takes longer than silence_us in total.
  */
 START_TEST(an_answer_that_goes_on_is_not_silent)
 {
@@ -159,7 +167,7 @@
 }
 END_TEST
 
-/* Guards against a call that waits on after its server has vanished. */
+/* A call must not wait on after its server has vanished. */
 START_TEST(an_answer_that_stops_is_silent)
 {
 	call(3);
@@ -167,7 +175,7 @@
 }
 END_TEST
 
-/* The same before the first byte of the body. */
+/* The limit also applies before the first byte of the body. */
 START_TEST(an_answer_that_never_begins_is_silent)
 {
 	call(0);
