--- a/packages/transport/src/front_linger.c
+++ b/packages/transport/src/front_linger.c
@@ -101,8 +101,7 @@
 	c->linger_fd = -1;
 }
 
-/* Closes the lingering connections that have reached LINGER_TIMEOUT_MS, or all.
- */
+/* Closes the lingering connections whose time is up, or all of them. */
 void front_linger_sweep(struct front *f, bool all)
 {
 	uint64_t now = uv_now(f->loop);
