--- a/packages/relay/src/failover.c
+++ b/packages/relay/src/failover.c
@@ -454,9 +454,7 @@
 		return;
 	}
 	if (!may_be_promoted(v, best, now_us)) {
-		abort_change(v,
-			     "another server's promotion may still take effect",
-			     now_us);
+		abort_change(v, "another server's promotion may come", now_us);
 		return;
 	}
 	v->target = best;
@@ -583,7 +581,7 @@
 		if (outcome == RELAY_CLAIM_DONE)
 			on_claimed(v, now_us);
 		else
-			abort_change(v, "the claim was not confirmed", now_us);
+			abort_change(v, "the claim was not had", now_us);
 		if (v->phase != PHASE_WATCH)
 			rfailover_tick(v, now_us);
 	}
@@ -602,7 +600,7 @@
 		return;
 	}
 	if (++v->tries > MAX_PROMOTE_RETRIES) {
-		abort_change(v, "the platform refused the promotion", now_us);
+		abort_change(v, "the platform refused", now_us);
 		return;
 	}
 	/*
