--- a/packages/transport/src/store.c
+++ b/packages/transport/src/store.c
@@ -4,20 +4,23 @@
 #include <celeryquay/base/log.h>
 
 /*
- * Keys in one answer. A long list is read in pages of one revision, so that
- * the loop isn't held up by one large JSON text.
+ * Maximum number of keys in one answer. A longer range is read in pages, all at
+ * the same revision, so that parsing one large JSON text doesn't block the
+ * loop.
  */
-#define PAGE_KEYS 500
+#define PAGE_KEYS_MAX 500
 #define RANGE_PATH "/v3/kv/range"
 #define TXN_PATH "/v3/kv/txn"
 
-/* A call that is under way, so that store_destroy() can free it. */
+/*
+ * An operation without a result yet. store_destroy() frees those that are left.
+ */
 struct op {
 	struct store *store;
-	GList link;
-	char *prefix; /* NULL: one key */
-	GArray *kvs;
-	uint64_t revision;
+	GList link; /* in the store's ops */
+	char *prefix; /* of a range; NULL: the operation has one key */
+	GArray *kvs; /* struct store_kv, read so far */
+	uint64_t revision; /* of the first page; 0: none has come yet */
 	store_range_fn range_done;
 	store_cas_fn cas_done;
 	void *user;
@@ -26,8 +29,8 @@
 struct store {
 	uv_loop_t *loop;
 	struct store_link link;
-	struct watch *watch;
-	GQueue ops;
+	struct watch *watch; /* NULL: none is open */
+	GQueue ops; /* struct op */
 };
 
 static struct op *op_create(struct store *s, void *user)
@@ -49,8 +52,11 @@
 	g_free(op);
 }
 
-/* Takes the op out first: its user may destroy the store from the event. */
-static void op_finish(struct op *op)
+/*
+ * Called before the user's callback: the callback may destroy the store, which
+ * must not free the op as well.
+ */
+static void op_unlink(struct op *op)
 {
 	g_queue_unlink(&op->store->ops, &op->link);
 }
@@ -62,12 +68,12 @@
 
 static void on_page(void *ctx, const struct err *err, JsonObject *answer);
 
-static void ask_page(struct op *op, const char *from)
+static void request_page(struct op *op, const char *from)
 {
 	struct store_page page = {
 		.from = from,
 		.prefix = op->prefix,
-		.limit = op->prefix ? PAGE_KEYS : 0,
+		.limit = op->prefix ? PAGE_KEYS_MAX : 0,
 		.revision = op->revision,
 	};
 	struct store_post post = {
@@ -78,39 +84,42 @@
 	store_call(&op->store->link, &post, on_page, op);
 }
 
-/* Keys are text, so the key behind one is that with the byte 1 added. */
-static void ask_next_page(struct op *op)
+/*
+ * Keys contain no NUL byte, so the key with the byte 1 appended comes directly
+ * after the last one that was read.
+ */
+static void request_next_page(struct op *op)
 {
 	const struct store_kv *last = &kvs_of(op)[op->kvs->len - 1];
 	char *from = g_strconcat(last->key, "\x01", NULL);
 
-	ask_page(op, from);
+	request_page(op, from);
 	g_free(from);
 }
 
 static void on_page(void *ctx, const struct err *err, JsonObject *answer)
 {
 	struct op *op = ctx;
-	guint before = op->kvs->len;
+	guint n_before = op->kvs->len;
 
 	if (answer) {
 		if (!op->revision)
 			op->revision = store_body_revision(answer);
 		store_body_kvs(answer, op->kvs);
 		if (op->prefix && store_body_bool(answer, "more") &&
-		    op->kvs->len > before) {
-			ask_next_page(op);
+		    op->kvs->len > n_before) {
+			request_next_page(op);
 			return;
 		}
 	}
-	op_finish(op);
+	op_unlink(op);
 	if (err->code)
 		g_array_set_size(op->kvs, 0);
 	op->range_done(op->user, err, op->revision, kvs_of(op), op->kvs->len);
 	op_free(op);
 }
 
-/* Reads all keys with the prefix, as of one revision. */
+/* Reads all keys with the prefix at one revision. */
 void store_range(struct store *s, const char *prefix, store_range_fn done,
 		 void *user)
 {
@@ -118,20 +127,20 @@
 
 	op->prefix = g_strdup(prefix);
 	op->range_done = done;
-	ask_page(op, prefix);
+	request_page(op, prefix);
 }
 
-/* Reads one key; no key is a success with n == 0. */
+/* Reads one key; a key that doesn't exist is a success with n == 0. */
 void store_get(struct store *s, const char *key, store_range_fn done,
 	       void *user)
 {
 	struct op *op = op_create(s, user);
 
 	op->range_done = done;
-	ask_page(op, key);
+	request_page(op, key);
 }
 
-/* What stands under the key, from the failure branch's range. */
+/* Reads the key as stored, which the transaction's failure branch returned. */
 static void read_current(JsonObject *answer, GArray *kvs)
 {
 	JsonNode *node = json_object_get_member(answer, "responses");
@@ -157,15 +166,15 @@
 
 	if (answer && !took_effect)
 		read_current(answer, op->kvs);
-	op_finish(op);
+	op_unlink(op);
 	op->cas_done(op->user, err, took_effect, revision,
 		     op->kvs->len ? kvs_of(op) : NULL);
 	op_free(op);
 }
 
 /*
- * Writes or removes one key if it is as expected. STORE_DOWN leaves open
- * whether the write was made.
+ * Writes or removes one key if its revision is the expected one. After
+ * STORE_DOWN the write may or may not have been made.
  */
 void store_cas(struct store *s, const char *key, uint64_t expected,
 	       const struct str *value, store_cas_fn done, void *user)
@@ -181,36 +190,36 @@
 	store_call(&s->link, &post, on_cas, op);
 }
 
-/* Watches a prefix; a watch that is open already is closed before. */
+/* Watches a prefix; a watch that is already open is closed first. */
 void store_watch(struct store *s, const char *prefix, uint64_t from_revision,
-		 uint64_t silent_us, const struct store_watch_events *events,
-		 void *ctx)
+		 uint64_t silence_timeout_us,
+		 const struct store_watch_events *events, void *ctx)
 {
 	struct watch_target target = {
 		.prefix = prefix,
 		.from_revision = from_revision,
-		.silent_us = silent_us,
+		.silence_timeout_us = silence_timeout_us,
 	};
 
 	watch_close(&s->watch);
 	watch_open(&s->watch, &s->link, s->loop, &target, events, ctx);
 }
 
-/* Closes the watch, if there is one; no event follows. */
+/* Closes the watch, if there is one, without a callback. */
 void store_unwatch(struct store *s)
 {
 	watch_close(&s->watch);
 }
 
-/* HTTP calls that were made, a watch as one. */
+/* Number of HTTP calls made so far; a watch counts as one. */
 uint64_t store_calls(const struct store *s)
 {
 	return s->link.calls;
 }
 
 /*
- * A client for the store at these URLs (NULL-ended, at least one, without a
- * path). NULL when libcurl can't start.
+ * Creates a client for the store at these URLs (a NULL-terminated list of at
+ * least one, without a path). Returns NULL when libcurl can't be initialized.
  */
 struct store *store_create(uv_loop_t *loop, const char *const *urls,
 			   uint64_t timeout_us)
@@ -234,8 +243,8 @@
 }
 
 /*
- * Ends all calls and the watch without events. The loop must turn once more
- * for the memory to be freed. NULL is ignored.
+ * Cancels all calls and the watch without callbacks. The loop must run once
+ * more for all memory to be freed. NULL is ignored.
  */
 void store_destroy(struct store *s)
 {
--- a/packages/transport/src/store_body.c
+++ b/packages/transport/src/store_body.c
@@ -2,15 +2,15 @@
 
 #include <string.h>
 
-/* gRPC's number for OUT_OF_RANGE, a revision that is compacted. */
+/* gRPC status OUT_OF_RANGE: the requested revision has been compacted. */
 #define GRPC_OUT_OF_RANGE 11
-/* Those that leave open whether a call has run. */
+/* gRPC statuses after which the call may or may not have been executed. */
 #define GRPC_UNKNOWN 2
 #define GRPC_DEADLINE_EXCEEDED 4
 #define GRPC_INTERNAL 13
 #define GRPC_UNAVAILABLE 14
 
-static void put_bytes(GString *out, const char *name, struct str value)
+static void append_base64(GString *out, const char *name, struct str value)
 {
 	char *text = g_base64_encode((const guchar *)value.data, value.len);
 
@@ -18,13 +18,16 @@
 	g_free(text);
 }
 
-static void put_key(GString *out, const char *key)
+static void append_key(GString *out, const char *key)
 {
-	put_bytes(out, "key", str_from_c(key));
+	append_base64(out, "key", str_from_c(key));
 }
 
-/* The first key that sorts behind all with the prefix. */
-static void put_range_end(GString *out, const char *prefix)
+/*
+ * Appends the end of the range, which is the first key after all keys with the
+ * prefix. "\0" means all keys: for a prefix that is empty or all 0xff bytes.
+ */
+static void append_range_end(GString *out, const char *prefix)
 {
 	GString *end = g_string_new(prefix);
 
@@ -35,18 +38,18 @@
 	else
 		g_string_append_c(end, '\0');
 	g_string_append_c(out, ',');
-	put_bytes(out, "range_end", str_from_gstring(end));
+	append_base64(out, "range_end", str_from_gstring(end));
 	g_string_free(end, TRUE);
 }
 
-/* The body of a range. */
+/* The body of a range call; the caller frees it. */
 GString *store_body_range(const struct store_page *page)
 {
 	GString *out = g_string_new("{");
 
-	put_key(out, page->from);
+	append_key(out, page->from);
 	if (page->prefix)
-		put_range_end(out, page->prefix);
+		append_range_end(out, page->prefix);
 	if (page->limit)
 		g_string_append_printf(out, ",\"limit\":\"%u\"", page->limit);
 	if (page->revision)
@@ -59,9 +62,9 @@
 }
 
 /*
- * The body of a transaction that writes (value NULL: removes) a key if its
- * mod revision is the expected one, 0 for a key that isn't there, and reads
- * it otherwise.
+ * The body of a transaction that writes a key (value NULL: removes it) if its
+ * mod revision is the expected one, and reads it otherwise. An expected
+ * revision of 0 means that the key must not exist.
  */
 GString *store_body_cas(const char *key, uint64_t expected,
 			const struct str *value)
@@ -71,30 +74,30 @@
 	const char *op = value ? "request_put" : "request_delete_range";
 	GString *out = g_string_new("{\"compare\":[{");
 
-	put_key(out, key);
+	append_key(out, key);
 	g_string_append_printf(out,
 			       ",\"target\":\"%s\",\"result\":\"EQUAL\","
 			       "\"%s\":\"%" G_GUINT64_FORMAT
 			       "\"}],\"success\":[{\"%s\":{",
 			       target, field, expected, op);
-	put_key(out, key);
+	append_key(out, key);
 	if (value) {
 		g_string_append_c(out, ',');
-		put_bytes(out, "value", *value);
+		append_base64(out, "value", *value);
 	}
 	g_string_append(out, "}}],\"failure\":[{\"request_range\":{");
-	put_key(out, key);
+	append_key(out, key);
 	g_string_append(out, "}}]}");
 	return out;
 }
 
-/* The body that opens a watch of a prefix with progress notices. */
+/* The body of the call that opens a watch of a prefix with progress notices. */
 GString *store_body_watch(const char *prefix, uint64_t from_revision)
 {
 	GString *out = g_string_new("{\"create_request\":{");
 
-	put_key(out, prefix);
-	put_range_end(out, prefix);
+	append_key(out, prefix);
+	append_range_end(out, prefix);
 	g_string_append_printf(out,
 			       ",\"start_revision\":\"%" G_GUINT64_FORMAT
 			       "\",\"progress_notify\":true}}",
@@ -102,7 +105,10 @@
 	return out;
 }
 
-/* The object of a JSON text, which lives as long as *parser; or NULL. */
+/*
+ * Parses a JSON text to an object, which is valid as long as *parser. Returns
+ * NULL when the text is not a JSON object; *parser is NULL then.
+ */
 JsonObject *store_body_parse(struct str text, JsonParser **parser)
 {
 	JsonNode *root;
@@ -118,7 +124,7 @@
 	return NULL;
 }
 
-/* A member that is an object; NULL when it isn't there or is none. */
+/* A member that is an object; NULL when it is absent or not an object. */
 JsonObject *store_body_object(JsonObject *o, const char *name)
 {
 	JsonNode *node = o ? json_object_get_member(o, name) : NULL;
@@ -152,7 +158,7 @@
 		       "";
 }
 
-/* A boolean; one that is absent is false. */
+/* A boolean member; false when it is absent. */
 bool store_body_bool(JsonObject *o, const char *name)
 {
 	JsonNode *node = get_value(o, name);
@@ -160,7 +166,7 @@
 	return node && json_node_get_boolean(node);
 }
 
-/* A number, which may stand as a string; one that is absent is 0. */
+/* A number, which may be encoded as a string; 0 when it is absent. */
 uint64_t store_body_u64(JsonObject *o, const char *name)
 {
 	JsonNode *node = get_value(o, name);
@@ -175,7 +181,7 @@
 	return value;
 }
 
-/* The store's revision as an answer's header has it. */
+/* The store's revision from an answer's header; 0 when it is absent. */
 uint64_t store_body_revision(JsonObject *answer)
 {
 	return store_body_u64(store_body_object(answer, "header"), "revision");
@@ -193,7 +199,10 @@
 	return text;
 }
 
-/* One key with its value, freed with the array's clear function. */
+/*
+ * Reads one key with its value; false when there is no object. The strings in
+ * *out are freed by the array from store_kvs_create() that it is added to.
+ */
 bool store_body_kv(JsonObject *o, struct store_kv *out)
 {
 	size_t key_len;
@@ -215,7 +224,7 @@
 	g_free((char *)kv->value.data);
 }
 
-/* An empty array of struct store_kv that owns their strings. */
+/* Creates an empty array of struct store_kv, which frees their strings. */
 GArray *store_kvs_create(void)
 {
 	GArray *kvs = g_array_new(FALSE, TRUE, sizeof(struct store_kv));
@@ -224,7 +233,7 @@
 	return kvs;
 }
 
-/* Appends the "kvs" of a range's answer. */
+/* Appends the keys from the "kvs" list of a range answer. */
 void store_body_kvs(JsonObject *o, GArray *out)
 {
 	JsonArray *list = get_array(o, "kvs");
@@ -242,10 +251,10 @@
 }
 
 /*
- * Whether the answer is an error, as {"code", "message"} or, on a stream,
- * {"error": {"grpc_code", "message"}}; err says which.
+ * Whether the answer is an error: {"code", "message"} or, on a stream,
+ * {"error": {"grpc_code", "message"}}. Sets err to the matching code.
  */
-bool store_body_refusal(JsonObject *answer, struct err *err)
+bool store_body_error(JsonObject *answer, struct err *err)
 {
 	JsonObject *error = store_body_object(answer, "error");
 	const char *text = get_string(error ? error : answer, "message");
--- a/packages/transport/src/store_body.h
+++ b/packages/transport/src/store_body.h
@@ -1,17 +1,19 @@
 #ifndef CELERYQUAY_TRANSPORT_STORE_BODY_H
 #define CELERYQUAY_TRANSPORT_STORE_BODY_H
 
-/* The JSON bodies of the store's calls, built and read. */
+/* Builds and parses the JSON bodies of the calls to the store. */
 
 #include <celeryquay/transport/store.h>
 #include <json-glib/json-glib.h>
 
-/* What one call asks for a range of keys. */
+/* Parameters of one range call. */
 struct store_page {
-	const char *from; /* first key */
-	const char *prefix; /* all keys under it; NULL: the one key */
-	unsigned limit; /* 0: none */
-	uint64_t revision; /* 0: now */
+	const char *from; /* first key of the range */
+	/* All keys with this prefix from `from` on; NULL: only the key `from`.
+	 */
+	const char *prefix;
+	unsigned limit; /* maximum number of keys; 0: no limit */
+	uint64_t revision; /* to read at; 0: the latest one */
 };
 
 GString *store_body_range(const struct store_page *page);
@@ -26,7 +28,7 @@
 uint64_t store_body_revision(JsonObject *answer);
 void store_body_kvs(JsonObject *o, GArray *out);
 bool store_body_kv(JsonObject *o, struct store_kv *out);
-bool store_body_refusal(JsonObject *answer, struct err *err);
+bool store_body_error(JsonObject *answer, struct err *err);
 
 GArray *store_kvs_create(void);
 
--- a/packages/transport/src/store_call.c
+++ b/packages/transport/src/store_call.c
@@ -8,13 +8,13 @@
 
 struct store_call {
 	struct store_link *link;
-	GList node; /* in the link's open calls */
+	GList node; /* in the link's `open` queue */
 	const char *path;
 	GString *body;
 	bool writes;
-	unsigned used; /* index of the URL */
-	unsigned tried;
-	uint64_t deadline_us;
+	unsigned url_index; /* index of the URL of the latest attempt */
+	unsigned n_attempts; /* so far; at most the number of URLs */
+	uint64_t deadline_at_us; /* of all attempts, on uv_hrtime()'s clock */
 	store_answer_fn done;
 	void *ctx;
 };
@@ -27,7 +27,10 @@
 	g_free(call);
 }
 
-/* Frees the URLs and the calls that were open when http was destroyed. */
+/*
+ * Frees the URLs and the calls that had no answer when the HTTP client was
+ * destroyed.
+ */
 void store_link_clear(struct store_link *link)
 {
 	while (link->open.head) {
@@ -39,14 +42,17 @@
 	g_clear_pointer(&link->urls, g_strfreev);
 }
 
-/* A URL that failed is left for the next one, unless others did before. */
-void store_link_failed(struct store_link *link, unsigned used)
+/*
+ * Moves on from a URL that failed to the next one, unless another call has
+ * already done so.
+ */
+void store_link_url_failed(struct store_link *link, unsigned url_index)
 {
-	if (link->current == used)
-		link->current = (used + 1) % link->n_urls;
+	if (link->current == url_index)
+		link->current = (url_index + 1) % link->n_urls;
 }
 
-/* The current URL with a path; freed with g_free(). */
+/* The current URL with the path appended; freed with g_free(). */
 char *store_link_url(const struct store_link *link, const char *path)
 {
 	return g_strconcat(link->urls[link->current], path, NULL);
@@ -58,8 +64,8 @@
 }
 
 /*
- * Ends the call. It is taken out of the link first, since the user may
- * destroy the store from the event.
+ * Reports the result and frees the call. The call is unlinked first, because
+ * the callback may destroy the store, which frees all calls that are linked.
  */
 static void finish(struct store_call *call, const struct err *err,
 		   JsonObject *answer)
@@ -69,13 +75,16 @@
 	call_free(call);
 }
 
-/* An answer that is no success; without JSON the status alone has to do. */
-static void read_refusal(JsonObject *answer, long status, struct err *err)
+/*
+ * Sets err for an answer with another status than 200. Without an error object
+ * in JSON, the status alone decides: 500 and above is STORE_DOWN.
+ */
+static void read_error(JsonObject *answer, long status, struct err *err)
 {
 	enum err_code code = status >= HTTP_SERVER_ERROR ? ERR_STORE_DOWN :
 							   ERR_STORE_REFUSED;
 
-	if (!answer || !store_body_refusal(answer, err))
+	if (!answer || !store_body_error(answer, err))
 		err_set(err, code, "HTTP status %ld", status);
 }
 
@@ -86,27 +95,29 @@
 	struct err err = { 0 };
 
 	if (status != HTTP_OK) {
-		read_refusal(answer, status, &err);
+		read_error(answer, status, &err);
 		answer = NULL;
 	} else if (!answer) {
 		err_set(&err, ERR_STORE_DOWN, "the answer is not JSON");
 	}
 	if (err.code == ERR_STORE_DOWN)
-		store_link_failed(call->link, call->used);
+		store_link_url_failed(call->link, call->url_index);
 	finish(call, &err, answer);
 	g_clear_object(&parser);
 }
 
-static bool may_try_next(const struct store_call *call)
+static bool may_try_next_url(const struct store_call *call)
 {
-	return call->tried < call->link->n_urls && now_us() < call->deadline_us;
+	return call->n_attempts < call->link->n_urls &&
+	       now_us() < call->deadline_at_us;
 }
 
 /*
- * Only a call that reached no server is tried again here. After any other
- * failure the store may have done it and only the answer is lost: a second
- * write would see its own first one as somebody else's. STORE_DOWN leaves the
- * outcome open, and the caller looks for its change id.
+ * Only a call that reached no server is retried here. After any other failure
+ * the store may have executed the call and only the answer was lost: a retried
+ * write would then fail its compare against its own first attempt and take it
+ * for someone else's change. STORE_DOWN means that the outcome is unknown; the
+ * caller reads the key and looks for its change id.
  */
 static void on_done(void *ctx, const struct err *err, bool not_sent,
 		    long status, struct str body)
@@ -118,8 +129,8 @@
 		return;
 	}
 	LOG_DBG("%s: %s", call->path, err->message);
-	store_link_failed(call->link, call->used);
-	if (not_sent && may_try_next(call)) {
+	store_link_url_failed(call->link, call->url_index);
+	if (not_sent && may_try_next_url(call)) {
 		start(call);
 		return;
 	}
@@ -139,17 +150,20 @@
 		.new_connection = call->writes,
 	};
 
-	request.timeout_us = call->deadline_us > now ? call->deadline_us - now :
-						       1;
+	request.timeout_us =
+		call->deadline_at_us > now ? call->deadline_at_us - now : 1;
 	request.connect_timeout_us = request.timeout_us;
-	call->used = link->current;
-	call->tried++;
+	call->url_index = link->current;
+	call->n_attempts++;
 	link->calls++;
 	http_start(link->http, &request, &events, call);
 	g_free(url);
 }
 
-/* Starts a call; done comes from the loop, once, unless http is destroyed. */
+/*
+ * Starts a call. `done` is called once, from the loop; it is never called when
+ * the HTTP client is destroyed before.
+ */
 void store_call(struct store_link *link, const struct store_post *post,
 		store_answer_fn done, void *ctx)
 {
@@ -159,7 +173,7 @@
 	call->path = post->path;
 	call->body = post->body;
 	call->writes = post->writes;
-	call->deadline_us = now_us() + link->timeout_us;
+	call->deadline_at_us = now_us() + link->timeout_us;
 	call->done = done;
 	call->ctx = ctx;
 	call->node.data = call;
--- a/packages/transport/src/store_watch.c
+++ b/packages/transport/src/store_watch.c
@@ -3,23 +3,23 @@
 #include <celeryquay/core/types.h>
 #include <string.h>
 
-/* A line above this size is no answer to a watch. */
+/* Maximum size of an incomplete line; no valid line of a watch is that long. */
 #define LINE_MAX_BYTES ((size_t)64 * 1024 * 1024)
 #define WATCH_PATH "/v3/watch"
 #define HTTP_OK 200
 
 struct watch {
-	int refs; /* the slot's, and one while lines are read */
-	struct watch **slot; /* NULL: closed */
+	int refs; /* one of the slot, one while lines are read */
+	struct watch **slot; /* where the owner keeps the watch; NULL: closed */
 	struct store_link *link;
-	struct http_call *call;
-	unsigned used; /* index of the URL */
+	struct http_call *call; /* NULL: ended */
+	unsigned url_index; /* index of its URL */
 	const struct store_watch_events *events;
 	void *ctx;
 	uv_timer_t timer;
-	uint64_t silent_us;
-	uint64_t heard_us;
-	GString *line; /* the part of a line that has come */
+	uint64_t silence_timeout_us; /* longest time without a line */
+	uint64_t last_line_at_us; /* when the last line came, or the start */
+	GString *line; /* received bytes of a line that is not complete yet */
 };
 
 static uint64_t now_us(void)
@@ -41,7 +41,7 @@
 		uv_close((uv_handle_t *)&w->timer, free_watch);
 }
 
-/* Ends the watch; no event follows. */
+/* Closes the watch without a callback. */
 void watch_close(struct watch **slot)
 {
 	struct watch *w = *slot;
@@ -62,42 +62,42 @@
 	void *ctx = w->ctx;
 
 	if (err->code == ERR_STORE_DOWN)
-		store_link_failed(w->link, w->used);
+		store_link_url_failed(w->link, w->url_index);
 	watch_close(w->slot);
 	events->ended(ctx, err);
 }
 
-static void arm(struct watch *w);
+static void arm_silence_timer(struct watch *w);
 
 /*
- * Something between the store and us may forget the connection: nothing
- * comes then, and nothing fails. Progress notices come in every interval, so
- * their absence tells.
+ * A device between the store and the proxy may drop its state of the connection
+ * without closing it: no data arrives then, and no error is reported. Since the
+ * store sends progress notices at a regular interval, their absence shows it.
  */
-static void on_silence(uv_timer_t *timer)
+static void on_silence_timer(uv_timer_t *timer)
 {
 	struct watch *w = timer->data;
 	struct err err;
 
-	if (now_us() - w->heard_us < w->silent_us) {
-		arm(w);
+	if (now_us() - w->last_line_at_us < w->silence_timeout_us) {
+		arm_silence_timer(w);
 		return;
 	}
 	err_set(&err, ERR_STORE_DOWN,
 		"the watch was silent for %" G_GUINT64_FORMAT " ms",
-		w->silent_us / USEC_PER_MSEC);
+		w->silence_timeout_us / USEC_PER_MSEC);
 	end(w, &err);
 }
 
-static void arm(struct watch *w)
+static void arm_silence_timer(struct watch *w)
 {
-	uint64_t left = w->heard_us + w->silent_us - now_us();
+	uint64_t left = w->last_line_at_us + w->silence_timeout_us - now_us();
 
-	uv_timer_start(&w->timer, on_silence,
+	uv_timer_start(&w->timer, on_silence_timer,
 		       (left + USEC_PER_MSEC - 1) / USEC_PER_MSEC, 0);
 }
 
-static void tell_event(struct watch *w, JsonObject *event)
+static void deliver_event(struct watch *w, JsonObject *event)
 {
 	JsonObject *o = store_body_object(event, "kv");
 	GArray *kvs = store_kvs_create();
@@ -114,7 +114,7 @@
 	g_array_unref(kvs);
 }
 
-static void tell_events(struct watch *w, JsonArray *list)
+static void deliver_events(struct watch *w, JsonArray *list)
 {
 	guint n = json_array_get_length(list);
 	guint i;
@@ -123,7 +123,7 @@
 		JsonNode *node = json_array_get_element(list, i);
 
 		if (JSON_NODE_HOLDS_OBJECT(node))
-			tell_event(w, json_node_get_object(node));
+			deliver_event(w, json_node_get_object(node));
 	}
 }
 
@@ -148,7 +148,7 @@
 	if (store_body_bool(result, "canceled"))
 		read_canceled(w, result);
 	else if (events && JSON_NODE_HOLDS_ARRAY(events))
-		tell_events(w, json_node_get_array(events));
+		deliver_events(w, json_node_get_array(events));
 	else if (!store_body_bool(result, "created"))
 		w->events->progress(w->ctx, store_body_revision(result));
 }
@@ -162,19 +162,22 @@
 
 	if (!line.len)
 		return;
-	w->heard_us = now_us();
+	w->last_line_at_us = now_us();
 	if (result) {
 		read_result(w, result);
 	} else {
-		if (!answer || !store_body_refusal(answer, &err))
+		if (!answer || !store_body_error(answer, &err))
 			err_set(&err, ERR_STORE_DOWN,
-				"a line of the watch is not understood");
+				"a line of the watch is not recognized");
 		end(w, &err);
 	}
 	g_clear_object(&parser);
 }
 
-/* Reads the whole lines and keeps the rest; stops when the watch is closed. */
+/*
+ * Reads the complete lines and keeps the rest; stops when a callback has closed
+ * the watch.
+ */
 static void read_lines(struct watch *w)
 {
 	size_t start = 0;
@@ -201,13 +204,16 @@
 	read_lines(w);
 	if (w->slot && w->line->len > LINE_MAX_BYTES) {
 		err_set(&err, ERR_STORE_DOWN,
-			"a line of the watch is too long");
+			"a line of the watch is above 64 MiB");
 		end(w, &err);
 	}
 	unref(w);
 }
 
-/* The stream's end: by a failure, or by an error instead of a stream. */
+/*
+ * The stream ended: it failed, the store closed it, or the store answered with
+ * an error instead of a stream.
+ */
 static void on_done(void *ctx, const struct err *err, bool not_sent,
 		    long status, struct str body)
 {
@@ -219,9 +225,9 @@
 
 	(void)not_sent;
 	(void)body;
-	w->call = NULL; /* freed by its owner after this */
+	w->call = NULL; /* the HTTP client frees it after this callback */
 	if (!why.code && answer)
-		store_body_refusal(answer, &why);
+		store_body_error(answer, &why);
 	if (!why.code && status != HTTP_OK)
 		err_set(&why, ERR_STORE_DOWN, "HTTP status %ld", status);
 	else if (!why.code)
@@ -235,7 +241,7 @@
 	.done = on_done,
 };
 
-/* Opens a watch from a revision on; *slot must be NULL. */
+/* Opens a watch that starts at a revision; *slot must be NULL. */
 void watch_open(struct watch **slot, struct store_link *link, uv_loop_t *loop,
 		const struct watch_target *target,
 		const struct store_watch_events *events, void *ctx)
@@ -252,15 +258,15 @@
 	w->refs = 1;
 	w->slot = slot;
 	w->link = link;
-	w->used = link->current;
+	w->url_index = link->current;
 	w->events = events;
 	w->ctx = ctx;
 	w->line = g_string_new(NULL);
-	w->silent_us = target->silent_us;
-	w->heard_us = now_us();
+	w->silence_timeout_us = target->silence_timeout_us;
+	w->last_line_at_us = now_us();
 	uv_timer_init(loop, &w->timer);
 	w->timer.data = w;
-	arm(w);
+	arm_silence_timer(w);
 	link->calls++;
 	w->call = http_start(link->http, &request, &http_events, w);
 	*slot = w;
