--- a/packages/transport/include/celeryquay/transport/wire.h
+++ b/packages/transport/include/celeryquay/transport/wire.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TRANSPORT_WIRE_H
 
 /*
- * Requests and answers as MessagePack, for PEER_REQUEST and PEER_ANSWER. Maps
- * with small integer keys; unknown keys are skipped, so that two releases run
- * side by side.
+ * Packs and unpacks requests and answers as MessagePack, for PEER_REQUEST and
+ * PEER_ANSWER. A message is a map with small integer keys. Unknown keys are
+ * skipped, so that proxies of two releases can run side by side.
  */
 
 #include <celeryquay/core/request.h>
--- a/packages/transport/src/wire.c
+++ b/packages/transport/src/wire.c
@@ -3,8 +3,8 @@
 #include <msgpack.h>
 #include <string.h>
 
-/* Room for the fields besides statements and results. */
-#define PACK_ROOM 512
+/* Initial size of the buffer for the fields besides statements and results. */
+#define PACK_INITIAL_BYTES 512
 
 static int append(void *out, const char *data, size_t len)
 {
@@ -18,7 +18,11 @@
 	msgpack_pack_str_body(pk, s.data, s.len);
 }
 
-/* A field which the reader takes as empty when it is absent. */
+/*
+ * The put_ functions of one field pack it and return 1, or return 0 when it has
+ * its default, which the reader assumes for a field that is absent. With pk
+ * NULL nothing is packed, which serves to count the fields.
+ */
 static unsigned put_text(msgpack_packer *pk, unsigned key, struct str s)
 {
 	if (!s.len)
@@ -124,7 +128,10 @@
 	return 1;
 }
 
-/* Puts the fields that aren't at their default; without pk it counts them. */
+/*
+ * Packs the kind and all fields that don't have their default. Returns their
+ * number; with pk NULL it only counts.
+ */
 static unsigned put_request(msgpack_packer *pk, const struct request *r)
 {
 	unsigned n = 0;
@@ -189,10 +196,10 @@
 	return n;
 }
 
-/* A request as one MessagePack map; the caller owns the bytes. */
+/* Packs a request as one MessagePack map; freed with g_bytes_unref(). */
 GBytes *wire_pack_request(const struct request *r)
 {
-	GByteArray *out = g_byte_array_sized_new(PACK_ROOM);
+	GByteArray *out = g_byte_array_sized_new(PACK_INITIAL_BYTES);
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, append);
@@ -201,11 +208,15 @@
 	return g_byte_array_free_to_bytes(out);
 }
 
-/* An answer as one MessagePack map; the results are copied once. */
+/*
+ * Packs an answer as one MessagePack map, freed with g_bytes_unref(). The
+ * results are copied once.
+ */
 GBytes *wire_pack_answer(const struct answer *a)
 {
 	gsize results = a->results ? g_bytes_get_size(a->results) : 0;
-	GByteArray *out = g_byte_array_sized_new((guint)(PACK_ROOM + results));
+	GByteArray *out =
+		g_byte_array_sized_new((guint)(PACK_INITIAL_BYTES + results));
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, append);
--- a/packages/transport/src/wire_private.h
+++ b/packages/transport/src/wire_private.h
@@ -2,8 +2,8 @@
 #define CELERYQUAY_TRANSPORT_WIRE_PRIVATE_H
 
 /*
- * Keys and bounds that the packing and the unpacking of messages share. A key
- * is never used again for something else; a new field takes a new key.
+ * Keys and limits shared by packing and unpacking. A key is never reused for
+ * another field; a new field gets a new key.
  */
 
 #include <celeryquay/transport/wire.h>
@@ -46,10 +46,14 @@
 	WIRE_ANSWER_TRANSACTION,
 };
 
+/* Maximum length of a text field such as a name, key or id, in bytes. */
 #define WIRE_NAME_MAX 256
-#define WIRE_STATEMENTS_MAX 1000
-#define WIRE_PARAMETERS_MAX 10000
-/* message, request map, statement list, statement, parameter list, value */
+#define WIRE_STATEMENTS_MAX 1000 /* in one request */
+#define WIRE_PARAMETERS_MAX 10000 /* in all statements of a request */
+/*
+ * Maximum nesting depth, counted from the message. A request needs the levels
+ * message, request map, statement list, statement, parameter list and value.
+ */
 #define WIRE_DEPTH_MAX 8
 
 /* wire_scan.c */
--- a/packages/transport/src/wire_scan.c
+++ b/packages/transport/src/wire_scan.c
@@ -1,15 +1,15 @@
 #include "wire_private.h"
 
-/* What follows the first byte of a MessagePack value. */
+/* Describes what follows the first byte of a MessagePack value. */
 struct shape {
-	unsigned length_bytes; /* of a big-endian length, or of a number */
-	size_t extra; /* bytes besides those that the length counts */
-	size_t items; /* values inside, when known from the first byte */
-	unsigned per_item; /* 0: bytes; 1: list; 2: map */
-	bool number; /* length_bytes are the value itself */
+	unsigned length_bytes; /* size of a big-endian length or number */
+	size_t extra; /* bytes not counted by the length */
+	size_t items; /* elements or pairs, if the first byte gives them */
+	unsigned per_item; /* values per item; 1: array; 2: map; 0: other */
+	bool number; /* the length_bytes hold the value itself */
 };
 
-/* The shapes of the first bytes 0xc0 to 0xdf. */
+/* Shapes for the first bytes 0xc0 to 0xdf, by their low five bits. */
 static const struct shape shapes[] = {
 	[0x00] = { 0 }, /* nil */
 	[0x02] = { 0 }, /* false */
@@ -44,6 +44,7 @@
 	[0x1f] = { .length_bytes = 4, .per_item = 2 },
 };
 
+/* The one first byte that MessagePack never uses. */
 #define NEVER_USED 0xc1
 
 static struct shape shape_of(unsigned char c)
@@ -68,7 +69,11 @@
 	return value;
 }
 
-/* One value's head: moves on past it and past its bytes. */
+/*
+ * Skips a value's first byte, its length and the bytes of its text, binary data
+ * or number. The values inside an array or map aren't skipped; *items is set to
+ * their number. Returns false when the value is malformed or truncated.
+ */
 static bool skip_head(const unsigned char **p, const unsigned char *end,
 		      size_t *items)
 {
@@ -86,7 +91,7 @@
 	*items = (s.items + (s.per_item ? length : 0)) * s.per_item;
 	if (!s.per_item)
 		s.extra += length;
-	/* Every value inside takes a byte at least. */
+	/* Every nested value takes at least one byte. */
 	if (s.extra > left || *items > left)
 		return false;
 	*p += s.extra;
@@ -94,11 +99,12 @@
 }
 
 /*
- * Checks that the bytes are one whole MessagePack value, nested no deeper than
- * WIRE_DEPTH_MAX, and that no count is above what the bytes can hold. The
- * library allocates a container by its stated count before it reads on, so a
- * message of five bytes could ask for gigabytes; here such a count is seen
- * before the library looks at the message. Needs no recursion.
+ * Checks that the bytes are one complete MessagePack value, that it is nested
+ * no deeper than WIRE_DEPTH_MAX, and that no array or map states more elements
+ * than the remaining bytes can hold. The MessagePack library allocates an array
+ * or map by its stated count before it reads the elements, so a message of five
+ * bytes could make it allocate gigabytes; this check rejects such a message
+ * before the library parses it. It works without recursion.
  */
 bool wire_scan(struct str data, struct err *err)
 {
@@ -125,7 +131,8 @@
 	if (p == end)
 		return true;
 bad:
-	err_set(err, ERR_BAD_MESSAGE, "not one value: fault %zu bytes in",
+	err_set(err, ERR_BAD_MESSAGE,
+		"not one complete MessagePack value: fault at byte %zu",
 		(size_t)(p - (const unsigned char *)data.data));
 	return false;
 }
--- a/packages/transport/src/wire_unpack.c
+++ b/packages/transport/src/wire_unpack.c
@@ -3,6 +3,7 @@
 #include <msgpack.h>
 #include <string.h>
 
+/* Sets BAD_MESSAGE; always returns false. */
 static bool bad(struct err *err, const char *what, uint64_t key)
 {
 	err_set(err, ERR_BAD_MESSAGE, "%s, field %u", what, (unsigned)key);
@@ -25,7 +26,7 @@
 	return true;
 }
 
-/* A view into the message. */
+/* Sets *out to a view into the message. */
 static bool take_text(const msgpack_object *o, size_t max, struct str *out)
 {
 	if (o->type != MSGPACK_OBJECT_STR || o->via.str.size > max)
@@ -34,7 +35,7 @@
 	return true;
 }
 
-/* A copy that ends in NUL; room counts the NUL. */
+/* Copies a text that has no NUL byte and adds one, which `room` includes. */
 static bool take_chars(const msgpack_object *o, char *out, size_t room)
 {
 	struct str s;
@@ -53,7 +54,7 @@
 	       take_number(&o->via.array.ptr[1], &out->index);
 }
 
-/* An integer parameter has to fit what a server can take. */
+/* An integer parameter must fit the server's signed 64-bit integers. */
 static bool take_integer(const msgpack_object *o, struct value *v)
 {
 	v->type = VALUE_INT;
@@ -153,7 +154,7 @@
 	return true;
 }
 
-/* Where a request's text fields stand in it, by their key. */
+/* Offsets of the text fields in struct request, by their key. */
 static const size_t text_offsets[] = {
 	[WIRE_SERVICE] = offsetof(struct request, service),
 	[WIRE_DATABASE] = offsetof(struct request, database),
@@ -206,13 +207,13 @@
 	case WIRE_STATEMENTS:
 		return take_statements(o, r);
 	default:
-		return true; /* of a later release */
+		return true; /* a field of a later release */
 	}
 }
 
 /*
- * The outcome is never guessed: the range is checked, and an answer without
- * one is refused, since zero would read as "done".
+ * The outcome must be in range; no default is assumed for it, since zero means
+ * "done". An answer without an outcome is rejected by open_map().
  */
 static bool take_outcome(const msgpack_object *o, struct answer *a)
 {
@@ -283,13 +284,14 @@
 	case WIRE_ANSWER_TRANSACTION:
 		return take_answer_transaction(o, a);
 	default:
-		return true; /* of a later release */
+		return true; /* a field of a later release */
 	}
 }
 
 /*
- * Parses a checked message to objects that point into it. The first key must
- * be `first`: both kinds of message begin with what may not be missing.
+ * Checks a message with wire_scan() and parses it to objects that point into
+ * it. The first key must be `first`: requests and answers both begin with their
+ * required field, the kind or the outcome.
  */
 static bool open_map(struct str data, msgpack_unpacked *out, uint64_t first,
 		     struct err *err)
@@ -306,7 +308,8 @@
 		return bad(err, "not MessagePack", 0);
 	if (o->type != MSGPACK_OBJECT_MAP || !o->via.map.size ||
 	    !take_number(&o->via.map.ptr[0].key, &key) || key != first)
-		return bad(err, "no map with its first field", first);
+		return bad(err, "not a map that begins with its required field",
+			   first);
 	return true;
 }
 
@@ -346,8 +349,9 @@
 }
 
 /*
- * Reads a request; its views point into its `body`, a copy of the message.
- * NULL and BAD_MESSAGE when it is malformed or above a bound.
+ * Unpacks a request. Its strings are views into its `body`, a copy of the
+ * message. Returns NULL and sets BAD_MESSAGE when the message is malformed or
+ * exceeds a limit.
  */
 struct request *wire_unpack_request(struct str data, struct err *err)
 {
@@ -364,7 +368,10 @@
 	return r;
 }
 
-/* Reads an answer; the results are copied once. NULL and BAD_MESSAGE. */
+/*
+ * Unpacks an answer; the results are copied once. Returns NULL and sets
+ * BAD_MESSAGE when the message is malformed or exceeds a limit.
+ */
 struct answer *wire_unpack_answer(struct str data, struct err *err)
 {
 	struct answer *a = answer_create(OUTCOME_UNKNOWN);
