--- a/packages/transport/tests/support_process.c
+++ b/packages/transport/tests/support_process.c
@@ -12,15 +12,15 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Wide enough for a loaded machine under a sanitizer. */
-#define READY_MS 60000
-#define CONTROL_MS 60000L
+/* Long enough for a loaded machine with a sanitizer build. */
+#define READY_TIMEOUT_MS 60000
+#define CONTROL_TIMEOUT_MS 60000L
 
 struct child {
-	pid_t pid; /* 0: ended */
-	int in;
-	int out;
-	JsonParser *ready;
+	pid_t pid;
+	int in; /* pipe to its standard input */
+	int out; /* pipe from its standard output */
+	JsonParser *ready; /* holds the parsed ready line */
 };
 
 static void spawn(struct child *c, const char *const *argv,
@@ -57,15 +57,15 @@
 	char byte = '\0';
 
 	while (byte != '\n') {
-		ck_assert_msg(poll(&pfd, 1, READY_MS) == 1,
-			      "%s does not become ready", name);
+		ck_assert_msg(poll(&pfd, 1, READY_TIMEOUT_MS) == 1,
+			      "%s printed no ready line in time", name);
 		ck_assert_msg(read(c->out, &byte, 1) == 1,
-			      "%s ends before it is ready", name);
+			      "%s exited before its ready line", name);
 		g_string_append_c(line, byte);
 	}
 }
 
-/* Starts a program and waits for its ready line. */
+/* Starts a program and waits until it has printed its ready line. */
 struct child *child_start(const char *const *argv, const char *log_path)
 {
 	struct child *c = g_new0(struct child, 1);
@@ -75,24 +75,23 @@
 	read_line(c, argv[0], line);
 	c->ready = json_parser_new();
 	ck_assert_msg(json_parser_load_from_data(c->ready, line->str, -1, NULL),
-		      "%s says %s", argv[0], line->str);
+		      "%s: the ready line is not JSON: %s", argv[0], line->str);
 	g_string_free(line, TRUE);
 	return c;
 }
 
-/* Its process id. */
 pid_t child_pid(const struct child *c)
 {
 	return c->pid;
 }
 
-/* The object of the ready line. */
+/* The JSON object from the child's ready line. */
 JsonObject *child_ready(const struct child *c)
 {
 	return json_node_get_object(json_parser_get_root(c->ready));
 }
 
-/* A port that the ready line names. */
+/* A port number from the child's ready line. */
 unsigned child_port(const struct child *c, const char *member)
 {
 	return (unsigned)json_object_get_int_member(child_ready(c), member);
@@ -113,26 +112,26 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-/* Asks the child to end, waits for that and frees. NULL is ignored. */
+/* Asks the child to exit, waits until it has and frees it. NULL is ignored. */
 int child_stop(struct child *c)
 {
 	return c ? end(c, SIGTERM) : 0;
 }
 
-/* Ends the child as a crash would, and frees. NULL is ignored. */
+/* Kills the child, as a crash would, and frees it. NULL is ignored. */
 void child_kill(struct child *c)
 {
 	if (c)
 		end(c, SIGKILL);
 }
 
-/* Stops the child as an overloaded machine would. */
+/* Stops the child's process, as if its machine were overloaded. */
 void child_pause(struct child *c)
 {
 	ck_assert(!kill(c->pid, SIGSTOP));
 }
 
-/* Lets a paused child go on. */
+/* Lets a paused child continue. */
 void child_resume(struct child *c)
 {
 	ck_assert(!kill(c->pid, SIGCONT));
@@ -144,7 +143,7 @@
 	return size * n;
 }
 
-/* Makes one request to the control port and reads the answer. */
+/* Sends one request to the control port and parses the answer. */
 JsonObject *child_control(const struct child *c, const char *path,
 			  const char *body)
 {
@@ -158,7 +157,7 @@
 
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_NOPROXY, "*");
-	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, CONTROL_MS);
+	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, CONTROL_TIMEOUT_MS);
 	curl_easy_setopt(curl, CURLOPT_FAILONERROR, 1L);
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
--- a/packages/transport/tests/support_process.h
+++ b/packages/transport/tests/support_process.h
@@ -3,8 +3,8 @@
 
 /*
  * Child processes of a test: starts a program of the build, waits for its
- * ready line (one JSON object on standard output), talks to its control port
- * and ends it. A failure to start fails the test.
+ * ready line (one JSON object on standard output), sends requests to its
+ * control port and ends it. A child that doesn't start fails the test.
  */
 
 #include <json-glib/json-glib.h>
@@ -14,25 +14,29 @@
 struct child;
 
 /*
- * argv[0] is a program's name within $CQ_BIN, the list NULL-ended. The
- * child's log goes to log_path (NULL: dropped). Its standard input is a pipe
- * that ends with the test, for --exit-with-stdin.
+ * argv is NULL-terminated; argv[0] is the name of a program in $CQ_BIN. The
+ * child's standard error is appended to log_path (NULL: dropped). Its standard
+ * input is a pipe that closes when the test ends, so that a program started
+ * with --exit-with-stdin exits then.
  */
 struct child *child_start(const char *const *argv, const char *log_path);
 pid_t child_pid(const struct child *c);
 JsonObject *child_ready(const struct child *c);
 unsigned child_port(const struct child *c, const char *member);
 
-/* SIGTERM, then waits; gives the exit status (-1: ended by a signal). */
+/*
+ * Sends SIGTERM and waits; returns the exit status (-1: killed by a signal, 0
+ * if the child is NULL).
+ */
 int child_stop(struct child *c);
-/* SIGKILL, then waits. */
+/* Sends SIGKILL and waits. */
 void child_kill(struct child *c);
 void child_pause(struct child *c);
 void child_resume(struct child *c);
 
 /*
- * One request to the child's control port: POST when there is a body. Gives
- * the answer's object, freed with json_object_unref().
+ * Sends one request to the child's control port, a POST if there is a body.
+ * Returns the JSON object of the answer, to be freed with json_object_unref().
  */
 JsonObject *child_control(const struct child *c, const char *path,
 			  const char *body);
--- a/packages/transport/tests/support_store.c
+++ b/packages/transport/tests/support_store.c
@@ -5,7 +5,7 @@
 
 struct store_rig store_rig;
 
-static void take(const struct store_kv *kv)
+static void record_kv(const struct store_kv *kv)
 {
 	g_free(store_rig.got.value);
 	store_rig.got.value = g_strndup(kv->value.data, kv->value.len);
@@ -24,7 +24,7 @@
 	store_rig.got.revision = revision;
 	store_rig.got.n = n;
 	for (i = 0; i < n; i++)
-		take(&kvs[i]);
+		record_kv(&kvs[i]);
 }
 
 void rig_on_cas(void *user, const struct err *err, bool took_effect,
@@ -37,7 +37,7 @@
 	store_rig.got.revision = revision;
 	store_rig.got.n = current ? 1 : 0;
 	if (current)
-		take(current);
+		record_kv(current);
 }
 
 static bool is_done(void *ctx)
--- a/packages/transport/tests/test_store.c
+++ b/packages/transport/tests/test_store.c
@@ -4,7 +4,7 @@
 #include <glib/gstdio.h>
 #include <unistd.h>
 
-static int64_t calls_of(const char *path)
+static int64_t count_calls(const char *path)
 {
 	JsonObject *state = child_control(store_rig.server, "/state", NULL);
 	JsonObject *calls = json_object_get_object_member(state, "calls");
@@ -14,7 +14,7 @@
 	return n;
 }
 
-START_TEST(a_key_is_made_changed_and_removed)
+START_TEST(a_key_is_created_changed_and_removed)
 {
 	uint64_t made = rig_put(KEY, 0, "{\"change\":\"a\"}");
 	uint64_t changed;
@@ -35,10 +35,10 @@
 END_TEST
 
 /*
- * Two operators change one profile at the same moment. The second must not
- * overwrite the first one's change, and must be shown what stands there.
+ * Two operators change the same profile at the same time. The second one must
+ * not overwrite the first one's change and must get the stored value.
  */
-START_TEST(of_two_changes_at_once_one_gets_the_other_ones_value)
+START_TEST(of_two_concurrent_changes_the_second_gets_the_stored_value)
 {
 	uint64_t made = rig_put(KEY, 0, "{\"change\":\"first\"}");
 
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-START_TEST(a_range_has_only_the_prefix)
+START_TEST(a_range_has_only_keys_with_the_prefix)
 {
 	rig_put("/celeryquay/v0/x", 0, "{}");
 	rig_put(PREFIX "b", 0, "{}");
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-static char *write_load(unsigned n)
+static char *write_load_file(unsigned n)
 {
 	GString *text = g_string_new("{");
 	char *path;
@@ -88,7 +88,7 @@
 
 START_TEST(a_long_range_is_read_in_pages)
 {
-	char *load = write_load(1203);
+	char *load = write_load_file(1203);
 	unsigned i;
 
 	child_kill(store_rig.server);
@@ -109,11 +109,11 @@
 END_TEST
 
 /*
- * The store takes an operator's change and the answer is lost. The call must
- * leave the outcome open and not be made again behind the caller's back: the
- * caller finds its change id on reading.
+ * The store makes an operator's change, but the answer is lost. The call must
+ * report an unknown outcome and must not be retried without the user's
+ * knowledge. The user reads the key and finds its change id there.
  */
-START_TEST(a_write_whose_answer_is_lost_is_of_unknown_outcome)
+START_TEST(a_write_whose_answer_is_lost_has_an_unknown_outcome)
 {
 	rig_put(KEY, 0, "{\"change\":\"a\"}");
 	store_rig_control("/lose_answers",
@@ -122,7 +122,7 @@
 	ck_assert_int_eq(store_rig.got.err.code, ERR_STORE_DOWN);
 	ck_assert_int_eq(err_info(store_rig.got.err.code)->outcome,
 			 ERR_OUTCOME_UNKNOWN);
-	ck_assert_int_eq(calls_of("/v3/kv/txn"), 2);
+	ck_assert_int_eq(count_calls("/v3/kv/txn"), 2);
 	rig_get(KEY);
 	ck_assert_str_eq(store_rig.got.value, "{\"change\":\"b\"}");
 }
@@ -130,7 +130,7 @@
 
 static void check_outage(const char *body)
 {
-	store_rig_open(NULL, SHORT_US);
+	store_rig_open(NULL, SHORT_TIMEOUT_US);
 	store_rig_control("/outage", body);
 	rig_get(KEY);
 	ck_assert_int_eq(store_rig.got.err.code, ERR_STORE_DOWN);
@@ -172,8 +172,8 @@
 }
 END_TEST
 
-/* One of the store's nodes is down; the other one serves without a failure. */
-START_TEST(a_call_goes_on_to_the_next_url)
+/* One of the store's nodes is down; the call must succeed on the other one. */
+START_TEST(a_call_to_an_unreachable_url_tries_the_next_url)
 {
 	store_rig_open("http://127.0.0.1:1", TIMEOUT_US);
 	rig_put(KEY, 0, "{}");
@@ -184,7 +184,7 @@
 }
 END_TEST
 
-START_TEST(after_a_silent_url_the_next_call_takes_the_next)
+START_TEST(after_a_timeout_the_next_call_uses_the_next_url)
 {
 	struct child *other;
 	char *url;
@@ -194,7 +194,7 @@
 	url = g_strdup_printf("http://127.0.0.1:%u", child_port(other, "http"));
 	json_object_unref(
 		child_control(other, "/outage", "{\"mode\": \"hang\"}"));
-	store_rig_open(url, SHORT_US);
+	store_rig_open(url, SHORT_TIMEOUT_US);
 	rig_get(KEY);
 	ck_assert_int_eq(store_rig.got.err.code, ERR_STORE_DOWN);
 	rig_get(KEY);
@@ -210,17 +210,18 @@
 
 	tcase_set_timeout(t, 300);
 	tcase_add_checked_fixture(t, store_rig_setup, store_rig_teardown);
-	tcase_add_test(t, a_key_is_made_changed_and_removed);
-	tcase_add_test(t, of_two_changes_at_once_one_gets_the_other_ones_value);
-	tcase_add_test(t, a_range_has_only_the_prefix);
+	tcase_add_test(t, a_key_is_created_changed_and_removed);
+	tcase_add_test(
+		t, of_two_concurrent_changes_the_second_gets_the_stored_value);
+	tcase_add_test(t, a_range_has_only_keys_with_the_prefix);
 	tcase_add_test(t, a_long_range_is_read_in_pages);
-	tcase_add_test(t, a_write_whose_answer_is_lost_is_of_unknown_outcome);
+	tcase_add_test(t, a_write_whose_answer_is_lost_has_an_unknown_outcome);
 	tcase_add_test(t, a_store_that_refuses_connections_is_down);
 	tcase_add_test(t, a_store_that_hangs_is_down);
 	tcase_add_test(t, a_store_without_leader_is_down);
 	tcase_add_test(t, a_call_that_is_not_understood_is_refused);
-	tcase_add_test(t, a_call_goes_on_to_the_next_url);
-	tcase_add_test(t, after_a_silent_url_the_next_call_takes_the_next);
+	tcase_add_test(t, a_call_to_an_unreachable_url_tries_the_next_url);
+	tcase_add_test(t, after_a_timeout_the_next_call_uses_the_next_url);
 	return t;
 }
 
--- a/packages/transport/tests/test_store_watch.c
+++ b/packages/transport/tests/test_store_watch.c
@@ -3,13 +3,13 @@
 #include <check.h>
 #include <string.h>
 
-/* What the watch told, one text an event. */
+/* What the watch has delivered. */
 static struct {
-	GPtrArray *events;
-	uint64_t progress;
-	struct err ended;
-	bool unwatch; /* at the next event */
-	unsigned wanted;
+	GPtrArray *events; /* char *: "+key=value", "-key=" for a removal */
+	uint64_t progress; /* revision of the last progress notice */
+	struct err ended; /* code 0: the watch has not ended */
+	bool unwatch; /* stop the watch at the next event */
+	unsigned wanted; /* number of events that has_events() waits for */
 } seen;
 
 static void setup(void)
@@ -95,7 +95,7 @@
 	loop_until(&store_rig.loop, is_watched, &n);
 }
 
-START_TEST(a_watch_tells_changes_in_order_and_progress)
+START_TEST(a_watch_reports_changes_in_order_and_progress)
 {
 	uint64_t made = rig_put(PREFIX "a", 0, "1");
 	uint64_t last;
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(a_watch_starts_where_the_list_ended)
+START_TEST(a_watch_starts_at_the_given_revision)
 {
 	uint64_t made = rig_put(PREFIX "a", 0, "1");
 
@@ -129,10 +129,11 @@
 END_TEST
 
 /*
- * Something between the store and a proxy forgets the watch's connection. No
- * change would come in force here any more; the missing notices end it.
+ * A device between the store and a proxy drops its state of the watch's
+ * connection. The proxy would never apply a change again; the watch has to end
+ * because the progress notices are missing.
  */
-START_TEST(a_watch_that_goes_silent_ends)
+START_TEST(a_watch_without_progress_notices_ends)
 {
 	int one = 1;
 
@@ -150,10 +151,10 @@
 END_TEST
 
 /*
- * A proxy comes back after a long outage, and the store no longer keeps the
- * changes since: it has to list again, or it would miss removals.
+ * A proxy returns after a long outage, and the store no longer has the changes
+ * since then. The proxy has to read all keys again, or it would miss removals.
  */
-START_TEST(a_watch_from_a_compacted_revision_ends_so)
+START_TEST(a_watch_from_a_compacted_revision_ends_with_that_error)
 {
 	rig_put(PREFIX "a", 0, "1");
 	rig_put(PREFIX "b", 0, "1");
@@ -187,7 +188,7 @@
 }
 END_TEST
 
-START_TEST(unwatch_from_an_event_stops_the_rest)
+START_TEST(unwatch_from_an_event_stops_later_events)
 {
 	rig_put(PREFIX "a", 0, "1");
 	rig_put(PREFIX "b", 0, "1");
@@ -201,7 +202,7 @@
 }
 END_TEST
 
-START_TEST(destroy_works_while_all_is_under_way)
+START_TEST(destroy_works_with_calls_and_a_watch_open)
 {
 	store_rig_control("/outage", "{\"mode\": \"hang\"}");
 	store_get(store_rig.store, KEY, rig_on_range, NULL);
@@ -227,7 +228,7 @@
 	return !store_rig.store;
 }
 
-START_TEST(destroy_works_from_within_an_answer)
+START_TEST(destroy_works_from_a_callback)
 {
 	watch(1, TIMEOUT_US);
 	store_get(store_rig.store, KEY, destroy_on_range, NULL);
@@ -242,15 +243,16 @@
 
 	tcase_set_timeout(t, 300);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, a_watch_tells_changes_in_order_and_progress);
-	tcase_add_test(t, a_watch_starts_where_the_list_ended);
-	tcase_add_test(t, a_watch_that_goes_silent_ends);
-	tcase_add_test(t, a_watch_from_a_compacted_revision_ends_so);
+	tcase_add_test(t, a_watch_reports_changes_in_order_and_progress);
+	tcase_add_test(t, a_watch_starts_at_the_given_revision);
+	tcase_add_test(t, a_watch_without_progress_notices_ends);
+	tcase_add_test(t,
+		       a_watch_from_a_compacted_revision_ends_with_that_error);
 	tcase_add_test(t, a_watch_ends_with_an_outage);
 	tcase_add_test(t, a_watch_of_a_store_without_leader_ends);
-	tcase_add_test(t, destroy_works_while_all_is_under_way);
-	tcase_add_test(t, destroy_works_from_within_an_answer);
-	tcase_add_test(t, unwatch_from_an_event_stops_the_rest);
+	tcase_add_test(t, destroy_works_with_calls_and_a_watch_open);
+	tcase_add_test(t, destroy_works_from_a_callback);
+	tcase_add_test(t, unwatch_from_an_event_stops_later_events);
 	return t;
 }
 
--- a/packages/transport/tests/test_wire.c
+++ b/packages/transport/tests/test_wire.c
@@ -133,9 +133,9 @@
 END_TEST
 
 /*
- * A fleet is upgraded proxy by proxy. A proxy of the next release sends a
- * field that this one doesn't know; the caller must see its request served as
- * if the field weren't there.
+ * The proxies are upgraded one by one, so a proxy of the next release may send
+ * a field that this release doesn't know. The request must be served as if the
+ * field weren't there.
  */
 START_TEST(unknown_field_is_skipped)
 {
@@ -153,8 +153,8 @@
 END_TEST
 
 struct bad {
-	const char *why;
-	struct str data;
+	const char *why; /* shown when the test fails */
+	struct str data; /* a message that must be rejected */
 };
 
 /* Keys: 1 kind, 2 id, 3 service, 4 database, 12 seen, 14 statements. */
@@ -241,8 +241,8 @@
 };
 
 /*
- * An answer that lost its outcome on the way must not read as "done", which is
- * the number zero: the caller would believe in a write that never ran.
+ * An answer without its outcome must not be taken for "done", whose number is
+ * zero: the caller would believe that a write was made which never ran.
  */
 START_TEST(bad_answer_is_refused)
 {
@@ -255,8 +255,11 @@
 }
 END_TEST
 
-/* Every cut and many flipped bytes of a good message: no crash, no leak. */
-START_TEST(damaged_messages_are_survived)
+/*
+ * A valid message truncated at every length, and with every byte replaced by
+ * every value, must cause no crash and no leak.
+ */
+START_TEST(damaged_messages_cause_no_crash)
 {
 	struct request *in = example_request();
 	GBytes *bytes = wire_pack_request(in);
@@ -296,7 +299,7 @@
 			    G_N_ELEMENTS(bad_requests));
 	tcase_add_loop_test(tc, bad_answer_is_refused, 0,
 			    G_N_ELEMENTS(bad_answers));
-	tcase_add_test(tc, damaged_messages_are_survived);
+	tcase_add_test(tc, damaged_messages_cause_no_crash);
 	return tc;
 }
 
