--- a/packages/transport/src/store.c
+++ b/packages/transport/src/store.c
@@ -100,14 +100,14 @@
 static void on_page(void *ctx, const struct err *err, JsonObject *answer)
 {
 	struct op *op = ctx;
-	guint n_before = op->kvs->len;
+	guint before = op->kvs->len;
 
 	if (answer) {
 		if (!op->revision)
 			op->revision = store_body_revision(answer);
 		store_body_kvs(answer, op->kvs);
 		if (op->prefix && store_body_bool(answer, "more") &&
-		    op->kvs->len > n_before) {
+		    op->kvs->len > before) {
 			request_next_page(op);
 			return;
 		}
--- a/packages/transport/src/wire_scan.c
+++ b/packages/transport/src/wire_scan.c
@@ -132,7 +132,7 @@
 		return true;
 bad:
 	err_set(err, ERR_BAD_MESSAGE,
-		"not one complete MessagePack value: fault at byte %zu",
+		"not one complete MessagePack value: fault %zu bytes in",
 		(size_t)(p - (const unsigned char *)data.data));
 	return false;
 }
--- a/packages/transport/src/wire_unpack.c
+++ b/packages/transport/src/wire_unpack.c
@@ -308,7 +308,7 @@
 		return bad(err, "not MessagePack", 0);
 	if (o->type != MSGPACK_OBJECT_MAP || !o->via.map.size ||
 	    !take_number(&o->via.map.ptr[0].key, &key) || key != first)
-		return bad(err, "not a map that begins with its required field",
+		return bad(err, "not a map with its required first field",
 			   first);
 	return true;
 }
--- a/packages/transport/tests/support_process.c
+++ b/packages/transport/tests/support_process.c
@@ -58,9 +58,9 @@
 
 	while (byte != '\n') {
 		ck_assert_msg(poll(&pfd, 1, READY_TIMEOUT_MS) == 1,
-			      "%s printed no ready line in time", name);
+			      "%s did not become ready", name);
 		ck_assert_msg(read(c->out, &byte, 1) == 1,
-			      "%s exited before its ready line", name);
+			      "%s exited before it was ready", name);
 		g_string_append_c(line, byte);
 	}
 }
@@ -75,7 +75,7 @@
 	read_line(c, argv[0], line);
 	c->ready = json_parser_new();
 	ck_assert_msg(json_parser_load_from_data(c->ready, line->str, -1, NULL),
-		      "%s: the ready line is not JSON: %s", argv[0], line->str);
+		      "%s printed invalid JSON: %s", argv[0], line->str);
 	g_string_free(line, TRUE);
 	return c;
 }
--- a/packages/transport/tests/support_store.h
+++ b/packages/transport/tests/support_store.h
@@ -1,8 +1,7 @@
 #ifndef CELERYQUAY_TESTS_SUPPORT_STORE_H
 #define CELERYQUAY_TESTS_SUPPORT_STORE_H
 
-/* A stand-in store process, a client of it on a loop, and its calls' results.
- */
+/* A stand-in store process, its client on a loop, and the calls' results. */
 
 #include "support_loop.h"
 #include "support_process.h"
