--- a/packages/transport/include/celeryquay/transport/pg.h
+++ b/packages/transport/include/celeryquay/transport/pg.h
@@ -2,7 +2,7 @@
 #define CELERYQUAY_TRANSPORT_PG_H
 
 /*
- * Connections to servers over libpq, non-blocking, in pipeline mode, on a
+ * Connections to servers through libpq: non-blocking, in pipeline mode, on a
  * libuv loop. Implements struct upstream_ops.
  */
 
--- a/packages/transport/src/pg.c
+++ b/packages/transport/src/pg.c
@@ -3,33 +3,33 @@
 
 #include <celeryquay/base/log.h>
 
-/* How many idle runs with their buffers are kept for the next statements. */
+/* Maximum number of idle runs kept, with their buffers, for reuse. */
 #define SPARE_RUNS_MAX 64
 
 struct upstream {
 	uv_loop_t *loop;
 	const struct upstream_events *events;
 	void *ctx;
-	GHashTable *conns; /* by conn_id */
-	GQueue ready; /* of conns, by their own links */
-	uv_idle_t idle; /* runs while `ready` has some */
+	GHashTable *conns; /* conn_id -> struct pg_conn */
+	GQueue deferred; /* struct pg_conn, queued by its own link */
+	uv_idle_t idle; /* active while `deferred` is not empty */
 	struct pg_params params;
-	GPtrArray *spare_runs;
+	GPtrArray *spare_runs; /* idle struct pg_run, at most SPARE_RUNS_MAX */
 };
 
-/* The loop that all connections are on. */
+/* Returns the loop that all connections run on. */
 uv_loop_t *pg_table_loop(struct upstream *u)
 {
 	return u->loop;
 }
 
-/* The buffers for parameters, of use from one call to the next only. */
+/* Returns the shared parameter buffers; valid until the next call. */
 struct pg_params *pg_table_params(struct upstream *u)
 {
 	return &u->params;
 }
 
-/* A run with its buffers, new or used before. */
+/* Takes a spare run, or creates one if there is none. */
 struct pg_run *pg_table_take_run(struct upstream *u)
 {
 	if (!u->spare_runs->len)
@@ -38,7 +38,9 @@
 					     u->spare_runs->len - 1);
 }
 
-/* Takes a run back; NULL is ignored. */
+/*
+ * Recycles a run; frees it if there are enough spare ones. NULL is ignored.
+ */
 void pg_table_give_run(struct upstream *u, struct pg_run *run)
 {
 	if (!run)
@@ -52,50 +54,50 @@
 
 static bool is_queued(struct upstream *u, GList *link)
 {
-	return link->prev || link->next || u->ready.head == link;
+	return link->prev || link->next || u->deferred.head == link;
 }
 
-static void unqueue(struct upstream *u, struct pg_conn *c)
+static void cancel_deferred(struct upstream *u, struct pg_conn *c)
 {
 	GList *link = pg_conn_link(c);
 
 	if (!is_queued(u, link))
 		return;
-	g_queue_unlink(&u->ready, link);
-	if (!u->ready.length)
+	g_queue_unlink(&u->deferred, link);
+	if (!u->deferred.length)
 		uv_idle_stop(&u->idle);
 }
 
-static void resume_ready(uv_idle_t *idle)
+static void resume_deferred(uv_idle_t *idle)
 {
 	struct upstream *u = idle->data;
-	unsigned n = u->ready.length;
+	unsigned n = u->deferred.length;
 
-	while (n-- && u->ready.head) {
-		struct pg_conn *c = u->ready.head->data;
+	while (n-- && u->deferred.head) {
+		struct pg_conn *c = u->deferred.head->data;
 
-		unqueue(u, c);
+		cancel_deferred(u, c);
 		pg_conn_resume(c);
 	}
 }
 
-/* Puts the connection's work off to the next turn of the loop. */
+/* Schedules pg_conn_resume() for the loop's next iteration. */
 void pg_table_defer(struct upstream *u, struct pg_conn *c)
 {
 	GList *link = pg_conn_link(c);
 
 	if (is_queued(u, link))
 		return;
-	g_queue_push_tail_link(&u->ready, link);
-	uv_idle_start(&u->idle, resume_ready);
+	g_queue_push_tail_link(&u->deferred, link);
+	uv_idle_start(&u->idle, resume_deferred);
 }
 
-static struct pg_conn *find(struct upstream *u, conn_id id)
+static struct pg_conn *find_conn(struct upstream *u, conn_id id)
 {
 	return g_hash_table_lookup(u->conns, &id);
 }
 
-static struct pg_conn *add(struct upstream *u, conn_id id)
+static struct pg_conn *add_conn(struct upstream *u, conn_id id)
 {
 	struct pg_conn *c = pg_conn_create(u, id);
 	gint64 *key = g_new(gint64, 1);
@@ -105,16 +107,16 @@
 	return c;
 }
 
-static void drop(struct upstream *u, struct pg_conn *c)
+static void remove_conn(struct upstream *u, struct pg_conn *c)
 {
 	conn_id id = pg_conn_id(c);
 
-	unqueue(u, c);
+	cancel_deferred(u, c);
 	g_hash_table_remove(u->conns, &id);
 	pg_conn_destroy(c);
 }
 
-/* The connection is open. */
+/* Reports that the connection is open. */
 void pg_table_opened(struct upstream *u, struct pg_conn *c)
 {
 	struct err none = { 0 };
@@ -122,35 +124,35 @@
 	u->events->opened(u->ctx, pg_conn_id(c), &none);
 }
 
-/* The connection could not be opened; frees it. */
+/* Reports that the connection could not be opened; frees it. */
 void pg_table_open_failed(struct upstream *u, struct pg_conn *c,
 			  const struct err *err)
 {
 	struct err copy = *err;
 	conn_id id = pg_conn_id(c);
 
-	drop(u, c);
+	remove_conn(u, c);
 	u->events->opened(u->ctx, id, &copy);
 }
 
-/* A run has its result; frees the connection if it is unusable. */
+/* Reports a run's result; frees the connection if it is unusable. */
 void pg_table_done(struct upstream *u, struct pg_conn *c, struct pg_run *run)
 {
 	conn_id id = pg_conn_id(c);
 
 	if (!pg_run_result(run)->conn_usable)
-		drop(u, c);
+		remove_conn(u, c);
 	u->events->done(u->ctx, id, pg_run_result(run));
 	pg_table_give_run(u, run);
 }
 
-/* An idle connection broke; frees it. */
+/* Reports that an idle connection broke; frees it. */
 void pg_table_lost(struct upstream *u, struct pg_conn *c, const struct err *err)
 {
 	struct err copy = *err;
 	conn_id id = pg_conn_id(c);
 
-	drop(u, c);
+	remove_conn(u, c);
 	u->events->lost(u->ctx, id, &copy);
 }
 
@@ -158,38 +160,38 @@
 		      const struct upstream_target *target, uint64_t timeout_us)
 {
 
-	if (find(u, id)) {
+	if (find_conn(u, id)) {
 		LOG_ERR("connection %" G_GUINT64_FORMAT " exists", id);
 		return;
 	}
-	pg_conn_open(add(u, id), target, timeout_us);
+	pg_conn_open(add_conn(u, id), target, timeout_us);
 }
 
 /*
- * An id that isn't there gets its answer like a broken connection: the user
- * may not have heard yet.
+ * A run on an unknown id fails with CONNECTION_LOST: the connection may have
+ * broken before the user learned of it.
  */
 static void run_steps(struct upstream *u, conn_id id,
 		      const struct upstream_step *steps, unsigned n_steps,
 		      uint64_t max_bytes, uint64_t timeout_us)
 {
-	struct pg_conn *c = find(u, id);
+	struct pg_conn *c = find_conn(u, id);
 
 	if (c && !pg_conn_idle(c)) {
 		LOG_ERR("connection %" G_GUINT64_FORMAT " is not idle", id);
 		return;
 	}
 	if (!c)
-		c = add(u, id);
+		c = add_conn(u, id);
 	pg_conn_run(c, steps, n_steps, max_bytes, timeout_us);
 }
 
 static void close_conn(struct upstream *u, conn_id id)
 {
-	struct pg_conn *c = find(u, id);
+	struct pg_conn *c = find_conn(u, id);
 
 	if (c)
-		drop(u, c);
+		remove_conn(u, c);
 }
 
 const struct upstream_ops pg_ops = {
@@ -198,7 +200,7 @@
 	.close = close_conn,
 };
 
-/* An empty table of connections on a loop. */
+/* Creates an empty table of connections on a loop. */
 struct upstream *pg_create(uv_loop_t *loop,
 			   const struct upstream_events *events, void *ctx)
 {
@@ -210,7 +212,7 @@
 	u->conns = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 					 NULL);
 	u->spare_runs = g_ptr_array_new();
-	g_queue_init(&u->ready);
+	g_queue_init(&u->deferred);
 	uv_idle_init(loop, &u->idle);
 	u->idle.data = u;
 	return u;
@@ -230,8 +232,8 @@
 }
 
 /*
- * Closes all connections without events. The loop must turn once more for
- * the memory to be freed. NULL is ignored.
+ * Closes all connections without events. The memory is freed in the loop's
+ * next iteration. NULL is ignored.
  */
 void pg_destroy(struct upstream *u)
 {
@@ -243,12 +245,12 @@
 	while (g_hash_table_size(u->conns)) {
 		g_hash_table_iter_init(&iter, u->conns);
 		g_hash_table_iter_next(&iter, NULL, &conn);
-		drop(u, conn);
+		remove_conn(u, conn);
 	}
 	uv_close((uv_handle_t *)&u->idle, free_table);
 }
 
-/* Connections that are open or being opened. */
+/* Returns the number of connections that are open or being opened. */
 unsigned pg_open_connections(const struct upstream *u)
 {
 	return g_hash_table_size(u->conns);
--- a/packages/transport/src/pg_conn.c
+++ b/packages/transport/src/pg_conn.c
@@ -7,8 +7,8 @@
 #include <string.h>
 
 /*
- * Keep-alive probes notice an idle connection that something in between has
- * forgotten; runs have their own timeout.
+ * TCP keep-alive detects an idle connection that a device on the path, such as
+ * a firewall, has dropped from its table. Runs have their own timeout.
  */
 #define KEEPALIVE_IDLE_S "10"
 #define KEEPALIVE_INTERVAL_S "5"
@@ -19,7 +19,7 @@
 	PG_CONN_OPENING,
 	PG_CONN_IDLE,
 	PG_CONN_RUNNING,
-	PG_CONN_FAILED, /* its event is put off to the next turn */
+	PG_CONN_FAILED, /* the event follows in the loop's next iteration */
 };
 
 struct pg_conn {
@@ -27,18 +27,18 @@
 	conn_id id;
 	enum pg_conn_state state;
 	PGconn *pq;
-	SSL *ssl; /* NULL: plain */
-	uv_poll_t *poll; /* NULL: no socket */
-	int poll_fd;
-	int poll_events;
+	SSL *ssl; /* NULL: no TLS */
+	uv_poll_t *poll; /* NULL: no socket is watched */
+	int poll_fd; /* descriptor that `poll` was created for */
+	int poll_events; /* events being watched for; 0: stopped */
 	uv_timer_t timer;
-	uint64_t timer_due_us; /* 0: stopped */
-	uint64_t deadline_us; /* 0: none */
-	uint64_t timeout_us;
-	struct pg_run *run;
-	bool read_only; /* within a READ ONLY transaction */
-	GList link; /* in the table's ready list */
-	struct err err; /* of PG_CONN_FAILED */
+	uint64_t timer_due_at_us; /* when the timer fires; 0: stopped */
+	uint64_t deadline_at_us; /* of the opening or the run; 0: none */
+	uint64_t timeout_us; /* that the deadline was set from; for messages */
+	struct pg_run *run; /* the run in progress; NULL: none */
+	bool read_only; /* a READ ONLY transaction is open */
+	GList link; /* in the table's queue of deferred connections */
+	struct err err; /* error of a failed attempt to open */
 };
 
 static uint64_t now_us(void)
@@ -46,13 +46,13 @@
 	return uv_hrtime() / 1000;
 }
 
-/* The link by which the table queues the connection. */
+/* Returns the connection's link for the table's queue. */
 GList *pg_conn_link(struct pg_conn *c)
 {
 	return &c->link;
 }
 
-/* The number that the user picked. */
+/* Returns the id that the user chose. */
 conn_id pg_conn_id(const struct pg_conn *c)
 {
 	return c->id;
@@ -71,8 +71,10 @@
 	g_free(handle);
 }
 
-/* Must come before libpq closes the socket, or at once after it did. */
-static void drop_poll(struct pg_conn *c)
+/*
+ * Must be called before libpq closes the socket or immediately afterwards.
+ */
+static void close_poll(struct pg_conn *c)
 {
 	if (!c->poll)
 		return;
@@ -89,15 +91,16 @@
 }
 
 /*
- * Watches libpq's socket for the events. libpq may have taken another socket
- * meanwhile (an attempt without TLS after one with it), or none.
+ * Watches libpq's socket for the events. libpq may have replaced its socket
+ * since the last call (a retry without TLS after an attempt with it), or may
+ * have none: then false.
  */
 static bool watch(struct pg_conn *c, int events)
 {
 	int fd = PQsocket(c->pq);
 
 	if (c->poll && fd != c->poll_fd)
-		drop_poll(c);
+		close_poll(c);
 	if (fd < 0)
 		return false;
 	if (!c->poll) {
@@ -119,26 +122,27 @@
 static void on_timer(uv_timer_t *timer);
 
 /*
- * Arms the timer for the deadline unless it is due before that anyway: most
- * runs end long before theirs, and then nothing has to be taken out again.
+ * Arms the timer for the deadline unless it already fires earlier; on_timer()
+ * then arms it again. Most runs end long before their deadline, so this saves
+ * stopping and restarting the timer for each of them.
  */
 static void arm_timer(struct pg_conn *c)
 {
 	uint64_t now = now_us();
-	uint64_t left;
+	uint64_t remaining_us;
 
-	if (c->timer_due_us && c->timer_due_us <= c->deadline_us)
+	if (c->timer_due_at_us && c->timer_due_at_us <= c->deadline_at_us)
 		return;
-	left = c->deadline_us > now ? c->deadline_us - now : 0;
-	c->timer_due_us = c->deadline_us;
+	remaining_us = c->deadline_at_us > now ? c->deadline_at_us - now : 0;
+	c->timer_due_at_us = c->deadline_at_us;
 	uv_timer_start(&c->timer, on_timer,
-		       (left + USEC_PER_MSEC - 1) / USEC_PER_MSEC, 0);
+		       (remaining_us + USEC_PER_MSEC - 1) / USEC_PER_MSEC, 0);
 }
 
 static void set_deadline(struct pg_conn *c, uint64_t timeout_us)
 {
 	c->timeout_us = timeout_us;
-	c->deadline_us = timeout_us ? now_us() + timeout_us : 0;
+	c->deadline_at_us = timeout_us ? now_us() + timeout_us : 0;
 	if (timeout_us)
 		arm_timer(c);
 }
@@ -148,7 +152,7 @@
 	struct pg_run *run = c->run;
 
 	c->run = NULL;
-	c->deadline_us = 0;
+	c->deadline_at_us = 0;
 	c->state = PG_CONN_IDLE;
 	if (pg_run_result(run)->conn_usable) {
 		c->read_only = pg_run_read_only(run) &&
@@ -158,25 +162,27 @@
 	pg_table_done(c->table, c, run);
 }
 
-static void lose_idle(struct pg_conn *c)
+static void report_idle_lost(struct pg_conn *c)
 {
-	struct str why = pg_first_line(PQerrorMessage(c->pq));
+	struct str reason = pg_first_line(PQerrorMessage(c->pq));
 	struct err err;
 
-	err_set(&err, ERR_CONNECTION_LOST, "%.*s", (int)why.len, why.data);
+	err_set(&err, ERR_CONNECTION_LOST, "%.*s", (int)reason.len,
+		reason.data);
 	pg_table_lost(c->table, c, &err);
 }
 
 /*
- * TLS may hold bytes that it has read from the socket already: nothing would
- * become readable for them, and the answer would hang until the timeout.
+ * OpenSSL may have buffered bytes that it has already read from the socket. The
+ * socket does not become readable for them, so without this check the result
+ * would not be read until the timeout.
  */
-static bool tls_holds_more(const struct pg_conn *c)
+static bool tls_has_buffered(const struct pg_conn *c)
 {
 	return c->ssl && SSL_pending(c->ssl) > 0;
 }
 
-static void wait_more(struct pg_conn *c)
+static void watch_for_more(struct pg_conn *c)
 {
 	if (c->poll_events)
 		return;
@@ -187,17 +193,17 @@
 {
 	enum pg_run_state state = pg_run_read(c->run, c->pq);
 
-	while (state == PG_RUN_WAIT && tls_holds_more(c) &&
+	while (state == PG_RUN_WAIT && tls_has_buffered(c) &&
 	       PQconsumeInput(c->pq))
 		state = pg_run_read(c->run, c->pq);
 	if (state == PG_RUN_AGAIN) {
-		/* No reading meanwhile: it would only fill libpq's buffer. */
+		/* Reading on would only grow libpq's buffer. */
 		stop_poll(c);
 		pg_table_defer(c->table, c);
 		return;
 	}
 	if (state == PG_RUN_WAIT && PQstatus(c->pq) == CONNECTION_OK) {
-		wait_more(c);
+		watch_for_more(c);
 		return;
 	}
 	if (state == PG_RUN_WAIT)
@@ -209,22 +215,22 @@
 {
 	PGnotify *notify;
 
-	/* Has libpq read the messages that belong to no run. */
+	/* Makes libpq parse the messages that belong to no run. */
 	PQisBusy(c->pq);
 	while ((notify = PQnotifies(c->pq)))
 		PQfreemem(notify);
 	if (PQstatus(c->pq) != CONNECTION_OK)
-		lose_idle(c);
+		report_idle_lost(c);
 }
 
-static void on_ready(struct pg_conn *c, int events)
+static void on_socket_ready(struct pg_conn *c, int events)
 {
 	if (events & UV_WRITABLE && PQflush(c->pq) == 0)
 		watch(c, UV_READABLE);
 	if (events & UV_READABLE)
 		PQconsumeInput(c->pq);
 	if (PQstatus(c->pq) != CONNECTION_OK)
-		drop_poll(c);
+		close_poll(c);
 	if (c->state == PG_CONN_RUNNING)
 		read_run(c);
 	else
@@ -233,9 +239,10 @@
 
 static void open_failed(struct pg_conn *c)
 {
-	struct str why = pg_first_line(PQerrorMessage(c->pq));
+	struct str reason = pg_first_line(PQerrorMessage(c->pq));
 
-	err_set(&c->err, ERR_CONNECT_FAILED, "%.*s", (int)why.len, why.data);
+	err_set(&c->err, ERR_CONNECT_FAILED, "%.*s", (int)reason.len,
+		reason.data);
 	pg_table_open_failed(c->table, c, &c->err);
 }
 
@@ -248,15 +255,17 @@
 	}
 	c->ssl = PQsslInUse(c->pq) ? PQgetssl(c->pq) : NULL;
 	c->state = PG_CONN_IDLE;
-	c->deadline_us = 0;
+	c->deadline_at_us = 0;
 	pg_table_opened(c->table, c);
 }
 
-static void open_step(struct pg_conn *c)
+static void continue_opening(struct pg_conn *c)
 {
 	bool watched;
 
-	/* libpq may close the socket and get the same number again. */
+	/*
+	 * libpq may close the socket and open one with the same descriptor.
+	 */
 	stop_poll(c);
 	switch (PQconnectPoll(c->pq)) {
 	case PGRES_POLLING_OK:
@@ -281,14 +290,14 @@
 	struct pg_conn *c = poll->data;
 
 	if (status < 0) {
-		/* libuv has stopped the handle; libpq finds out why. */
+		/* libuv has stopped the handle; reading gives the error. */
 		c->poll_events = 0;
 		events = UV_READABLE;
 	}
 	if (c->state == PG_CONN_OPENING)
-		open_step(c);
+		continue_opening(c);
 	else
-		on_ready(c, events);
+		on_socket_ready(c, events);
 }
 
 static void on_timer(uv_timer_t *timer)
@@ -296,10 +305,10 @@
 	struct pg_conn *c = timer->data;
 	uint64_t ms = c->timeout_us / USEC_PER_MSEC;
 
-	c->timer_due_us = 0;
-	if (!c->deadline_us)
+	c->timer_due_at_us = 0;
+	if (!c->deadline_at_us)
 		return;
-	if (c->deadline_us > now_us()) {
+	if (c->deadline_at_us > now_us()) {
 		arm_timer(c);
 		return;
 	}
@@ -309,8 +318,9 @@
 		pg_table_open_failed(c->table, c, &c->err);
 	} else if (c->state == PG_CONN_RUNNING) {
 		/*
-		 * The answer may still come, for a request that has got its
-		 * own by then: the connection is never used again.
+		 * The result may still arrive after the request has been
+		 * answered with the timeout, so the connection must not be
+		 * used again.
 		 */
 		pg_run_fail(c->run, ERR_TIMED_OUT,
 			    "no answer within %" G_GUINT64_FORMAT " ms", ms);
@@ -319,7 +329,7 @@
 	}
 }
 
-/* A connection that is not open yet. */
+/* Creates a connection that is not open yet. */
 struct pg_conn *pg_conn_create(struct upstream *table, conn_id id)
 {
 	struct pg_conn *c = g_new0(struct pg_conn, 1);
@@ -338,10 +348,10 @@
 	g_free(timer->data);
 }
 
-/* Closes it in any state; nothing is told. */
+/* Closes the connection in any state, without an event. */
 void pg_conn_destroy(struct pg_conn *c)
 {
-	drop_poll(c);
+	close_poll(c);
 	PQfinish(c->pq);
 	c->pq = NULL;
 	pg_table_give_run(c->table, c->run);
@@ -358,11 +368,14 @@
 		text.data);
 }
 
-static PGconn *start(const struct upstream_target *target)
+static PGconn *start_connecting(const struct upstream_target *target)
 {
 	char port[8];
 	const char *const pairs[][2] = {
-		/* Both, or libpq would take the name from its environment. */
+		/*
+		 * Both are set; otherwise libpq would take the missing one from
+		 * its environment (PGHOST, PGHOSTADDR).
+		 */
 		{ "host", target->host },
 		{ "hostaddr", target->host },
 		{ "port", port },
@@ -372,7 +385,7 @@
 		{ "application_name", "celeryquay" },
 		{ "client_encoding", "UTF8" },
 		{ "target_session_attrs", "any" },
-		/* GSSAPI reads files and asks other servers while we wait. */
+		/* GSSAPI blocks: it reads files and contacts other servers. */
 		{ "gssencmode", "disable" },
 		{ "keepalives", "1" },
 		{ "keepalives_idle", KEEPALIVE_IDLE_S },
@@ -392,28 +405,31 @@
 	return PQconnectStartParams(keys, values, 0);
 }
 
-/* Begins to open it; `opened` tells how that ended. */
+/* Starts opening the connection; the `opened` event gives the outcome. */
 void pg_conn_open(struct pg_conn *c, const struct upstream_target *target,
 		  uint64_t timeout_us)
 {
-	c->pq = start(target);
+	c->pq = start_connecting(target);
 	c->state = PG_CONN_OPENING;
 	if (PQstatus(c->pq) == CONNECTION_BAD || !watch(c, UV_WRITABLE)) {
-		struct str why = pg_first_line(PQerrorMessage(c->pq));
+		struct str reason = pg_first_line(PQerrorMessage(c->pq));
 
 		c->state = PG_CONN_FAILED;
-		err_set(&c->err, ERR_CONNECT_FAILED, "%.*s", (int)why.len,
-			why.data);
+		err_set(&c->err, ERR_CONNECT_FAILED, "%.*s", (int)reason.len,
+			reason.data);
 		pg_table_defer(c->table, c);
 		return;
 	}
 	PQsetNoticeReceiver(c->pq, log_notice, c);
-	/* Puts the SQLSTATE into the text of a refused connection. */
+	/* Includes the SQLSTATE in the error text of a refused connection. */
 	PQsetErrorVerbosity(c->pq, PQERRORS_VERBOSE);
 	set_deadline(c, timeout_us);
 }
 
-/* Starts a run on an idle connection, or on one that never was. */
+/*
+ * Starts a run on an idle connection, or on one that was never opened: that run
+ * fails with CONNECTION_LOST.
+ */
 void pg_conn_run(struct pg_conn *c, const struct upstream_step *steps,
 		 unsigned n_steps, uint64_t max_bytes, uint64_t timeout_us)
 {
@@ -423,7 +439,7 @@
 	sent = pg_run_send(c->run, c->pq, pg_table_params(c->table), steps,
 			   n_steps, max_bytes, c->read_only);
 	if (!sent) {
-		drop_poll(c);
+		close_poll(c);
 		c->state = PG_CONN_FAILED;
 		pg_table_defer(c->table, c);
 		return;
@@ -434,7 +450,7 @@
 	set_deadline(c, timeout_us);
 }
 
-/* Goes on where the last turn of the loop left off. */
+/* Continues the work deferred by the loop's previous iteration. */
 void pg_conn_resume(struct pg_conn *c)
 {
 	if (c->state == PG_CONN_RUNNING)
--- a/packages/transport/src/pg_conn.h
+++ b/packages/transport/src/pg_conn.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_TRANSPORT_PG_CONN_H
 
 /*
- * One connection to a server: opens it, watches its socket and its time, and
- * carries one run after the other. What happens is told to the table of
- * connections (pg_table.h) that it belongs to.
+ * One connection to a server: opens it, watches its socket and deadlines, and
+ * executes one run at a time. Reports its events to the table of connections
+ * (pg_table.h) that it belongs to.
  */
 
 #include "pg_run.h"
@@ -21,7 +21,7 @@
 		  uint64_t timeout_us);
 void pg_conn_run(struct pg_conn *c, const struct upstream_step *steps,
 		 unsigned n_steps, uint64_t max_bytes, uint64_t timeout_us);
-/* The work that pg_table_defer() put off. */
+/* Continues the work that was deferred by pg_table_defer(). */
 void pg_conn_resume(struct pg_conn *c);
 GList *pg_conn_link(struct pg_conn *c);
 
--- a/packages/transport/src/pg_json.c
+++ b/packages/transport/src/pg_json.c
@@ -3,18 +3,21 @@
 
 #include <string.h>
 
-/* Bytes that are decoded from hex in one go; a multiple of 3. */
-#define HEX_CHUNK 768
-/* What an escaped byte takes at most. */
-#define ESCAPE_MAX 6
-/* Bytes that plain_word() looks at at once. */
-#define WORD 8
+/*
+ * Size of the buffer for decoded hex. A multiple of 3, so that the base64 text
+ * of each chunk can be appended without padding in between.
+ */
+#define HEX_CHUNK_BYTES 768
+/* Maximum length of the escape sequence of one byte (\u00xx). */
+#define ESCAPE_BYTES_MAX 6
+/* Number of bytes that plain_word() checks at a time. */
+#define WORD_BYTES 8
 
 /*
- * Room for n more bytes behind what `out` holds. What is written there counts
- * only after advance().
+ * Reserves space for n more bytes at the end of `out` and returns its address.
+ * The length changes only with advance().
  */
-static inline char *room(GString *out, size_t n)
+static inline char *reserve(GString *out, size_t n)
 {
 	size_t len = out->len;
 
@@ -32,24 +35,28 @@
 
 static inline void put(GString *out, struct str s)
 {
-	memcpy(room(out, s.len), s.data, s.len);
+	memcpy(reserve(out, s.len), s.data, s.len);
 	out->len += s.len;
 }
 
 static inline void put_byte(GString *out, char c)
 {
-	*room(out, 1) = c;
+	*reserve(out, 1) = c;
 	out->len++;
 }
 
-/* The NUL that a GString has behind it. */
+/* Writes the terminating NUL of the GString. */
 static inline void terminate(GString *out)
 {
-	*room(out, 0) = '\0';
+	*reserve(out, 0) = '\0';
 }
 
-/* What a byte needs within a JSON string. */
-enum byte_class { BYTE_PLAIN, BYTE_ESCAPE, BYTE_HIGH };
+/* How a byte has to be treated within a JSON string. */
+enum byte_class {
+	BYTE_PLAIN, /* copied as it is */
+	BYTE_ESCAPE, /* needs an escape sequence */
+	BYTE_HIGH, /* not ASCII: must be checked for valid UTF-8 */
+};
 
 static enum byte_class classify(unsigned char c)
 {
@@ -61,8 +68,9 @@
 }
 
 /*
- * Whether 8 bytes are all plain. Each term sets the high bit of a byte that is
- * not; a borrow may set further ones, but only beside one that is.
+ * Whether 8 bytes are all plain. Each term sets the high bit of every byte that
+ * is not plain. A borrow may set the high bit of a plain byte as well, but only
+ * if a byte below it is not plain, so the result is still right.
  */
 static inline bool plain_word(uint64_t word)
 {
@@ -107,7 +115,7 @@
 
 static void put_escaped(GString *out, struct str s)
 {
-	char *at = room(out, s.len * ESCAPE_MAX);
+	char *at = reserve(out, s.len * ESCAPE_BYTES_MAX);
 	size_t i;
 
 	for (i = 0; i < s.len; i++) {
@@ -122,8 +130,9 @@
 }
 
 /*
- * Bytes that are not UTF-8, which a server whose database is in no encoding
- * may send, would spoil the caller's whole answer: they become U+FFFD.
+ * A server whose database has no encoding (SQL_ASCII) may send bytes that are
+ * not valid UTF-8, which would make the caller's whole answer invalid JSON.
+ * They are replaced by U+FFFD.
  */
 static void put_special(GString *out, struct str s)
 {
@@ -138,20 +147,20 @@
 	g_free(valid);
 }
 
-/* Appends a JSON string; copies while it looks for what isn't plain. */
+/* Appends a JSON string; copies plain bytes while it checks them. */
 static void put_string(GString *out, struct str s)
 {
-	char *at = room(out, s.len + WORD);
+	char *at = reserve(out, s.len + WORD_BYTES);
 	size_t i = 0;
 
 	*at++ = '"';
-	for (; i + WORD <= s.len; i += WORD) {
+	for (; i + WORD_BYTES <= s.len; i += WORD_BYTES) {
 		uint64_t word;
 
-		memcpy(&word, s.data + i, WORD);
+		memcpy(&word, s.data + i, WORD_BYTES);
 		if (!plain_word(word))
 			break;
-		memcpy(at + i, &word, WORD);
+		memcpy(at + i, &word, WORD_BYTES);
 	}
 	for (; i < s.len; i++) {
 		if (classify((unsigned char)s.data[i]) != BYTE_PLAIN)
@@ -174,7 +183,7 @@
 	return i;
 }
 
-/* Whether the text is a number by JSON's grammar; "NaN" is none. */
+/* Whether the text is a number in JSON's grammar; "NaN" is not. */
 static bool is_number(struct str s)
 {
 	size_t i = s.len && s.data[0] == '-';
@@ -201,7 +210,10 @@
 	return i == s.len;
 }
 
-/* Servers send floats in the shortest text that reads back the same. */
+/*
+ * The text is copied: servers send floats in the shortest form that parses back
+ * to the same value.
+ */
 static void put_number(GString *out, struct str s)
 {
 	if (is_number(s))
@@ -228,7 +240,7 @@
 	g_free(text);
 }
 
-/* The old escape format, which a server may be set to. */
+/* Converts bytea's older "escape" format (setting bytea_output). */
 static void put_escape_format(GString *out, struct str s)
 {
 	char *text = str_dup(s);
@@ -244,7 +256,7 @@
 
 static void put_hex_format(GString *out, struct str s)
 {
-	guchar chunk[HEX_CHUNK];
+	guchar chunk[HEX_CHUNK_BYTES];
 	size_t i = 2;
 
 	while (i + 1 < s.len) {
@@ -293,10 +305,10 @@
 }
 
 /*
- * Appends one value that is not NULL. Integers and floats become numbers
- * (NaN and infinities strings), booleans true or false, bytes an object;
- * everything else, numeric too, stays the server's text as a string, since a
- * JSON reader would round it.
+ * Appends one value that is not NULL. Integers and floats become numbers (NaN
+ * and infinities strings), booleans true or false, bytes an object. All other
+ * types become strings with the server's text, numeric included, because a
+ * JSON parser would round it.
  */
 void pg_json_value(GString *out, Oid type, struct str text)
 {
@@ -304,7 +316,7 @@
 	terminate(out);
 }
 
-/* Begins the object of one statement's result with its columns. */
+/* Starts the object of one statement's result and writes its columns. */
 void pg_json_begin(GString *out, const PGresult *res)
 {
 	int n = PQnfields(res);
@@ -320,7 +332,7 @@
 	terminate(out);
 }
 
-/* Appends one row as a list. */
+/* Appends one row as a JSON array. */
 void pg_json_row(GString *out, const PGresult *res, int row, bool first)
 {
 	int n = PQnfields(res);
@@ -344,7 +356,7 @@
 	terminate(out);
 }
 
-/* Ends the object. */
+/* Ends the object that pg_json_begin() started. */
 void pg_json_end(GString *out, uint64_t rows_affected)
 {
 	char digits[20];
--- a/packages/transport/src/pg_json.h
+++ b/packages/transport/src/pg_json.h
@@ -1,7 +1,7 @@
 #ifndef CELERYQUAY_TRANSPORT_PG_JSON_H
 #define CELERYQUAY_TRANSPORT_PG_JSON_H
 
-/* Rows of a server's answer as JSON text, typed by the columns' OIDs. */
+/* Converts result rows to JSON text; the columns' type OIDs give the types. */
 
 #include <celeryquay/base/str.h>
 #include <libpq-fe.h>
--- a/packages/transport/src/pg_param.c
+++ b/packages/transport/src/pg_param.c
@@ -4,15 +4,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Room for a 64-bit number or a double as text with its NUL. */
+/* Buffer size for a 64-bit integer or a double as text, with its NUL. */
 #define NUMBER_SIZE G_ASCII_DTOSTR_BUF_SIZE
-/* Buffers above this size aren't kept for the next statement. */
+/* Buffers above this size are not kept for the next statement. */
 #define KEPT_TEXT_MAX ((size_t)64 * 1024)
 
 /*
- * Whether libpq can carry the step. Its strings are NUL-ended: a NUL within
- * would cut the SQL or a parameter short, and another statement would run
- * than the caller's. BAD_FIELD then, before anything is sent.
+ * Fails with BAD_FIELD if the SQL or a text parameter contains a NUL. libpq's
+ * strings are NUL-terminated: it would truncate them there, and the server
+ * would run another statement than the caller's. Checked before anything is
+ * sent.
  */
 bool pg_params_check(const struct upstream_step *step, struct err *err)
 {
@@ -63,10 +64,10 @@
 		p->text_size = MAX(need, 1024);
 		p->text = g_malloc(p->text_size);
 	}
-	if (step->n_params > p->n_max) {
-		p->n_max = MAX(step->n_params, 16);
-		p->types = g_renew(Oid, p->types, p->n_max);
-		p->values = g_renew(const char *, p->values, p->n_max);
+	if (step->n_params > p->capacity) {
+		p->capacity = MAX(step->n_params, 16);
+		p->types = g_renew(Oid, p->types, p->capacity);
+		p->values = g_renew(const char *, p->values, p->capacity);
 	}
 }
 
@@ -118,7 +119,7 @@
 	return at + 1;
 }
 
-/* Writes one value at `at`; gives its type and where the next one goes. */
+/* Writes one value at `at`; returns the address after it. */
 static char *put_value(char *at, const struct value *v, Oid *type)
 {
 	*type = PG_OID_ANY;
@@ -135,7 +136,7 @@
 		*type = PG_OID_FLOAT8;
 		return put_float(at, v->u.f);
 	case VALUE_TEXT:
-		/* Untyped, so that the text may go to a date or a numeric. */
+		/* Untyped, so that a date or numeric column accepts it too. */
 		return put_text(at, v->u.s);
 	case VALUE_BYTES:
 		*type = PG_OID_BYTEA;
@@ -145,8 +146,8 @@
 }
 
 /*
- * Fills the arrays from a step. They are valid until the next call; libpq
- * copies them when the statement is sent.
+ * Fills the buffers from a step. They are valid until the next call; libpq
+ * copies their contents when the statement is sent.
  */
 void pg_params_set(struct pg_params *p, const struct upstream_step *step)
 {
--- a/packages/transport/src/pg_param.h
+++ b/packages/transport/src/pg_param.h
@@ -2,9 +2,8 @@
 #define CELERYQUAY_TRANSPORT_PG_PARAM_H
 
 /*
- * Parameters and SQL as libpq wants them: NUL-ended text with type OIDs. The
- * arrays and the text are kept between statements, since every statement
- * needs them.
+ * Converts SQL and parameters to the form that libpq takes: NUL-terminated text
+ * with type OIDs. The buffers are reused from one statement to the next.
  */
 
 #include <celeryquay/core/upstream.h>
@@ -22,12 +21,12 @@
 };
 
 struct pg_params {
-	char *text;
-	size_t text_size;
-	unsigned n_max;
+	char *text; /* buffer that holds the SQL and the values */
+	size_t text_size; /* allocated bytes of `text` */
+	unsigned capacity; /* allocated elements of `types` and `values` */
 	Oid *types;
-	const char **values;
-	const char *sql;
+	const char **values; /* point into `text`; NULL for SQL NULL */
+	const char *sql; /* points into `text` */
 };
 
 bool pg_params_check(const struct upstream_step *step, struct err *err);
--- a/packages/transport/src/pg_rows.c
+++ b/packages/transport/src/pg_rows.c
@@ -3,15 +3,15 @@
 
 #include <string.h>
 
-/* Room that most answers fit into. */
-#define START_SIZE 1024
-/* A buffer above this size isn't kept for the next run. */
+/* Initial size of the buffer; most answers fit into it. */
+#define INITIAL_SIZE 1024
+/* A buffer above this size is not kept for the next run. */
 #define KEPT_SIZE_MAX ((size_t)64 * 1024)
 
-/* An empty list. */
+/* Initializes an empty list. */
 void pg_rows_init(struct pg_rows *rows)
 {
-	rows->out = g_string_sized_new(START_SIZE);
+	rows->out = g_string_sized_new(INITIAL_SIZE);
 }
 
 /* Frees the buffer. */
@@ -20,40 +20,43 @@
 	g_string_free(rows->out, TRUE);
 }
 
-/* Empties the list for the next run; a large buffer goes back. */
+/* Empties the list for the next run; frees a large buffer. */
 void pg_rows_reset(struct pg_rows *rows)
 {
 	if (rows->out->allocated_len > KEPT_SIZE_MAX) {
 		g_string_free(rows->out, TRUE);
-		rows->out = g_string_sized_new(START_SIZE);
+		rows->out = g_string_sized_new(INITIAL_SIZE);
 	}
 	g_string_truncate(rows->out, 0);
 	rows->n_objects = 0;
-	rows->begun = false;
-	rows->any = false;
+	rows->in_object = false;
+	rows->has_row = false;
 }
 
-static void begin(struct pg_rows *rows, const PGresult *res)
+static void begin_object(struct pg_rows *rows, const PGresult *res)
 {
-	if (rows->begun)
+	if (rows->in_object)
 		return;
-	rows->begun = true;
-	rows->any = false;
-	rows->start = rows->out->len;
+	rows->in_object = true;
+	rows->has_row = false;
+	rows->object_start = rows->out->len;
 	if (rows->n_objects)
 		g_string_append_c(rows->out, ',');
 	pg_json_begin(rows->out, res);
 }
 
-/* Adds a row to the step's object; the first one begins it. */
+/* Adds a row to the step's object; the first row starts the object. */
 void pg_rows_add(struct pg_rows *rows, const PGresult *res, int row)
 {
-	begin(rows, res);
-	pg_json_row(rows->out, res, row, !rows->any);
-	rows->any = true;
+	begin_object(rows, res);
+	pg_json_row(rows->out, res, row, !rows->has_row);
+	rows->has_row = true;
 }
 
-/* The rows that a command changed; a SELECT's tag counts those it read. */
+/*
+ * Number of rows that a command changed. 0 for SELECT and FETCH, whose command
+ * tags count the rows that they read.
+ */
 static uint64_t rows_affected(PGresult *res)
 {
 	struct str tag = str_from_c(PQcmdStatus(res));
@@ -66,26 +69,26 @@
 	return n;
 }
 
-/* Ends the step's object, which has no rows if none was added. */
+/* Ends the step's object; starts one without rows if none was added. */
 void pg_rows_end(struct pg_rows *rows, PGresult *res)
 {
-	begin(rows, res);
+	begin_object(rows, res);
 	pg_json_end(rows->out, rows_affected(res));
 	rows->n_objects++;
-	rows->begun = false;
+	rows->in_object = false;
 }
 
-/* Takes back the object of a step that failed after some rows. */
+/* Removes the unfinished object of a step that failed after some rows. */
 void pg_rows_undo(struct pg_rows *rows)
 {
-	if (rows->begun)
-		g_string_truncate(rows->out, rows->start);
-	rows->begun = false;
+	if (rows->in_object)
+		g_string_truncate(rows->out, rows->object_start);
+	rows->in_object = false;
 }
 
 /*
- * Copies a row as text to the buffer: a NULL-ended list of strings, valid
- * until the buffer changes. A value that is NULL becomes an empty string.
+ * Copies a row as text into the buffer and returns a NULL-terminated list of
+ * strings, valid until the buffer changes. SQL NULL becomes an empty string.
  */
 char **pg_row_copy(GByteArray *buffer, const PGresult *res, int row)
 {
--- a/packages/transport/src/pg_rows.h
+++ b/packages/transport/src/pg_rows.h
@@ -2,20 +2,20 @@
 #define CELERYQUAY_TRANSPORT_PG_ROWS_H
 
 /*
- * The results of a run as a list of JSON objects, one for each step whose rows
- * are kept, built as rows come. A step that fails on the way takes its object
- * back.
+ * Builds the results of a run as comma-separated JSON objects, one for each
+ * step whose rows are kept, row by row as they arrive. The unfinished object of
+ * a step that fails is removed.
  */
 
 #include <celeryquay/base/str.h>
 #include <libpq-fe.h>
 
 struct pg_rows {
-	GString *out;
-	unsigned n_objects; /* that are whole */
-	size_t start; /* of the one that is begun */
-	bool begun;
-	bool any; /* it has a row */
+	GString *out; /* the JSON text */
+	unsigned n_objects; /* number of finished objects in `out` */
+	size_t object_start; /* offset in `out` of the unfinished object */
+	bool in_object; /* `out` ends with an unfinished object */
+	bool has_row; /* the unfinished object has a row */
 };
 
 void pg_rows_init(struct pg_rows *rows);
--- a/packages/transport/src/pg_run.c
+++ b/packages/transport/src/pg_run.c
@@ -10,56 +10,60 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* A turn of the loop turns at most so much into JSON, and takes so long. */
+/*
+ * Limits of the work done in one iteration of the loop, so that other
+ * connections are not delayed: bytes of JSON produced, and time taken.
+ */
 #define TURN_BYTES_MAX ((size_t)256 * 1024)
 #define TURN_USEC_MAX 1000
-/* How many rows are read between two looks at the clock. */
-#define ROWS_PER_CLOCK 32
+/* Number of rows converted between two reads of the clock. */
+#define ROWS_PER_CLOCK_READ 32
 /*
- * With a limit up to this, libpq gathers a step's rows before they become
- * JSON: half the instructions a row, for some times the limit in memory.
- * Above it, each row is a result of its own.
+ * If the run's limit in bytes is at most this, libpq buffers all rows of a step
+ * before they are converted to JSON. That takes half the instructions per row,
+ * at the price of a few times the limit in memory. Above it, and without a
+ * limit, libpq's single-row mode is used: each row is a result of its own.
  */
-#define GATHER_MAX ((uint64_t)2 * 1024 * 1024)
+#define BUFFER_ROWS_LIMIT_MAX ((uint64_t)2 * 1024 * 1024)
 /*
- * What a value takes on the wire, at most, for each byte that it takes in
- * JSON: 3 in a row of one digit, and some more for TLS.
+ * Maximum number of bytes that a value takes on the wire for each byte that it
+ * takes in JSON: 3 in a row of one digit, and some more for TLS.
  */
-#define WIRE_PER_JSON 4
-/* What is received before it is held against the limit. */
-#define UNCOUNTED_MAX ((uint64_t)256 * 1024)
+#define WIRE_BYTES_PER_JSON_BYTE 4
+/* Bytes received on the socket that do not count against the limit. */
+#define UNCOUNTED_BYTES_MAX ((uint64_t)256 * 1024)
 
 struct pg_run {
 	struct upstream_result result;
 	struct pg_rows rows;
-	GByteArray *last_row; /* pointers, then the text they point to */
-	GByteArray *keep; /* keep_rows of each step */
+	GByteArray *last_row; /* buffer of pg_row_copy() for result.last_row */
+	GByteArray *kept_steps; /* keep_rows of each step, one byte each */
 	unsigned n_steps;
-	unsigned step; /* whose results come now */
-	uint64_t max_bytes;
-	bool read_only;
-	bool ended; /* the last result was the NULL between two steps */
-	PGresult *gathered; /* whose rows aren't all taken, or NULL */
-	int next_row;
-	unsigned reads; /* since the last result */
-	uint64_t received; /* bytes on the socket when `reads` began */
+	unsigned step; /* index of the step whose results arrive now */
+	uint64_t max_bytes; /* limit of the results; 0: none */
+	bool read_only; /* a READ ONLY transaction was begun */
+	bool step_ended; /* last PQgetResult() was the NULL after a step */
+	PGresult *buffered_rows; /* not all converted yet; NULL: none */
+	int next_row; /* index of the next row of `buffered_rows` */
+	unsigned reads; /* reads since the last result */
+	uint64_t received_at_start; /* socket_received() at the first read */
 };
 
-/* What one turn of the loop has done so far. */
+/* The work done so far in one iteration of the loop. */
 struct turn {
-	size_t start; /* length of the results */
-	unsigned rows;
-	gint64 began; /* 0: the clock was not asked yet */
+	size_t start; /* length of the results before this iteration */
+	unsigned rows; /* calls of turn_is_over(), about one per row */
+	gint64 began_at_us; /* first read of the clock; 0: not read yet */
 };
 
-/* An idle run, to be used again and again. */
+/* Creates an idle run, which can be used any number of times. */
 struct pg_run *pg_run_create(void)
 {
 	struct pg_run *run = g_new0(struct pg_run, 1);
 
 	pg_rows_init(&run->rows);
 	run->last_row = g_byte_array_new();
-	run->keep = g_byte_array_new();
+	run->kept_steps = g_byte_array_new();
 	return run;
 }
 
@@ -70,32 +74,32 @@
 		return;
 	pg_rows_clear(&run->rows);
 	g_byte_array_unref(run->last_row);
-	g_byte_array_unref(run->keep);
-	PQclear(run->gathered);
+	g_byte_array_unref(run->kept_steps);
+	PQclear(run->buffered_rows);
 	g_free(run);
 }
 
-/* Gives back what the run holds, so that it may wait for its next use. */
+/* Frees the run's results and large buffers until its next use. */
 void pg_run_recycle(struct pg_run *run)
 {
-	PQclear(run->gathered);
-	run->gathered = NULL;
+	PQclear(run->buffered_rows);
+	run->buffered_rows = NULL;
 	pg_rows_reset(&run->rows);
 }
 
-/* The result, complete once the run is DONE or BROKEN. */
+/* Returns the result; complete once the run is DONE or BROKEN. */
 struct upstream_result *pg_run_result(struct pg_run *run)
 {
 	return &run->result;
 }
 
-/* Whether the transaction that stands after the run was begun READ ONLY. */
+/* Whether a transaction still open after the run was begun READ ONLY. */
 bool pg_run_read_only(const struct pg_run *run)
 {
 	return run->read_only;
 }
 
-/* The first line of a message of libpq, without its end. */
+/* Returns the first line of a libpq message, without the line end. */
 struct str pg_first_line(const char *text)
 {
 	return (struct str){ .data = text, .len = strcspn(text, "\r\n") };
@@ -110,18 +114,18 @@
 	memset(&run->result, 0, sizeof(run->result));
 	run->result.results = run->rows.out;
 	run->result.conn_usable = true;
-	g_byte_array_set_size(run->keep, n_steps);
+	g_byte_array_set_size(run->kept_steps, n_steps);
 	for (i = 0; i < n_steps; i++)
-		run->keep->data[i] = steps[i].keep_rows;
+		run->kept_steps->data[i] = steps[i].keep_rows;
 	run->n_steps = n_steps;
 	run->step = 0;
-	run->ended = false;
+	run->step_ended = false;
 	run->reads = 0;
 }
 
 /*
- * Sets the run's error. The first one stays, since what follows is its
- * consequence.
+ * Sets the run's error. Only the first error is kept, since later ones are its
+ * consequences.
  */
 void pg_run_fail(struct pg_run *run, enum err_code code, const char *fmt, ...)
 {
@@ -136,18 +140,21 @@
 	va_end(args);
 }
 
-/* Ends the run because the connection broke. */
+/* Fails the run because the connection broke. */
 void pg_run_fail_lost(struct pg_run *run, const PGconn *pq)
 {
-	struct str why = pg_first_line(PQerrorMessage(pq));
+	struct str reason = pg_first_line(PQerrorMessage(pq));
 
-	pg_run_fail(run, ERR_CONNECTION_LOST, "%.*s", (int)why.len,
-		    why.len ? why.data : "the connection broke");
+	pg_run_fail(run, ERR_CONNECTION_LOST, "%.*s", (int)reason.len,
+		    reason.len ? reason.data : "the connection broke");
 	run->result.conn_usable = false;
 }
 
-/* Whether the text begins with a word of capital letters, in any case. */
-static inline bool has_word(const char *text, const char *word)
+/*
+ * Whether the text begins with the word, ignoring case. The word is written in
+ * capitals.
+ */
+static inline bool starts_with_word(const char *text, const char *word)
 {
 	while (*word && (*text & ~0x20) == *word) {
 		text++;
@@ -157,21 +164,21 @@
 }
 
 /*
- * Whether the step begins a READ ONLY transaction. Where one was begun,
- * SQLSTATE 25006 is the caller's mistake; elsewhere it says that the server
- * is not, or is no longer, the primary.
+ * Whether the step begins a READ ONLY transaction. Within one, SQLSTATE 25006
+ * is the caller's mistake; otherwise it means that the server is not, or is no
+ * longer, the primary.
  */
 static bool begins_read_only(struct str sql)
 {
 	const size_t len = sizeof("READ ONLY") - 1;
 	size_t i;
 
-	if (sql.len < len ||
-	    (!has_word(sql.data, "BEGIN") && !has_word(sql.data, "START")))
+	if (sql.len < len || (!starts_with_word(sql.data, "BEGIN") &&
+			      !starts_with_word(sql.data, "START")))
 		return false;
 	for (i = 0; i + len <= sql.len; i++) {
-		if (has_word(sql.data + i, "READ") &&
-		    has_word(sql.data + i + len - 4, "ONLY"))
+		if (starts_with_word(sql.data + i, "READ") &&
+		    starts_with_word(sql.data + i + len - 4, "ONLY"))
 			return true;
 	}
 	return false;
@@ -185,25 +192,27 @@
 				 params->types, params->values, NULL, NULL, 0);
 }
 
-static bool keeps(const struct pg_run *run)
+static bool keeps_rows(const struct pg_run *run)
 {
-	return run->step < run->n_steps && run->keep->data[run->step];
+	return run->step < run->n_steps && run->kept_steps->data[run->step];
 }
 
 /*
- * Chooses how libpq hands over the rows of the step whose results come next.
- * A step whose rows aren't kept has one row or none.
+ * Chooses whether libpq returns the rows of the next step singly or all at
+ * once. A step whose rows are not kept has one row or none, so it needs no
+ * single-row mode.
  */
 static void begin_step(const struct pg_run *run, PGconn *pq)
 {
-	if (keeps(run) && (!run->max_bytes || run->max_bytes > GATHER_MAX))
+	if (keeps_rows(run) &&
+	    (!run->max_bytes || run->max_bytes > BUFFER_ROWS_LIMIT_MAX))
 		PQsetSingleRowMode(pq);
 }
 
 /*
- * Queues the steps and the sync and sends what the socket takes. False with
- * the error set when nothing was sent (a step that libpq can't carry) or the
- * connection broke; conn_usable tells which.
+ * Queues the steps and the sync and sends as much as the socket takes. Returns
+ * false with the error set if a step has a NUL in its text (nothing was sent,
+ * conn_usable stays true) or if the connection broke (conn_usable is false).
  */
 bool pg_run_send(struct pg_run *run, PGconn *pq, struct pg_params *params,
 		 const struct upstream_step *steps, unsigned n_steps,
@@ -263,14 +272,14 @@
 {
 	if (is_last(run) && !run->result.last_row)
 		run->result.last_row = pg_row_copy(run->last_row, res, row);
-	if (keeps(run))
+	if (keeps_rows(run))
 		pg_rows_add(&run->rows, res, row);
 }
 
 static enum pg_run_state take_end(struct pg_run *run, PGresult *res)
 {
 	run->result.steps_done++;
-	if (keeps(run))
+	if (keeps_rows(run))
 		pg_rows_end(&run->rows, res);
 	return check_size(run);
 }
@@ -281,19 +290,19 @@
 
 	if (run->rows.out->len - turn->start > TURN_BYTES_MAX)
 		return true;
-	if (++turn->rows % ROWS_PER_CLOCK)
+	if (++turn->rows % ROWS_PER_CLOCK_READ)
 		return false;
 	now = g_get_monotonic_time();
-	if (!turn->began)
-		turn->began = now;
-	return now - turn->began > TURN_USEC_MAX;
+	if (!turn->began_at_us)
+		turn->began_at_us = now;
+	return now - turn->began_at_us > TURN_USEC_MAX;
 }
 
-/* Takes rows that libpq has gathered, as many as the turn allows. */
-static enum pg_run_state take_gathered(struct pg_run *run, struct turn *turn)
+/* Converts rows that libpq has buffered, within this iteration's limits. */
+static enum pg_run_state take_buffered(struct pg_run *run, struct turn *turn)
 {
-	PGresult *res = run->gathered;
-	int n = keeps(run) ? PQntuples(res) : MIN(PQntuples(res), 1);
+	PGresult *res = run->buffered_rows;
+	int n = keeps_rows(run) ? PQntuples(res) : MIN(PQntuples(res), 1);
 	enum pg_run_state state = PG_RUN_AGAIN;
 
 	while (run->next_row < n && state == PG_RUN_AGAIN) {
@@ -304,12 +313,15 @@
 	}
 	if (state == PG_RUN_AGAIN)
 		state = take_end(run, res);
-	run->gathered = NULL;
+	run->buffered_rows = NULL;
 	PQclear(res);
 	return state;
 }
 
-/* A statement's refusal; a FATAL one ends the connection too. */
+/*
+ * Sets the run's error from a statement's error. FATAL and PANIC mean that the
+ * server ends the connection too.
+ */
 static void take_error(struct pg_run *run, const PGresult *res,
 		       const PGconn *pq)
 {
@@ -336,8 +348,8 @@
 }
 
 /*
- * COPY changes the protocol for its connection: the server would wait for
- * data that never comes, and the caller for its answer.
+ * COPY puts the connection into another mode of the protocol: the server would
+ * wait for data that is never sent, and the caller for its answer.
  */
 static void take_copy(struct pg_run *run)
 {
@@ -346,7 +358,7 @@
 	run->result.conn_usable = false;
 }
 
-/* Takes one result, which it frees unless its rows are left for later. */
+/* Processes one result; frees it unless its rows are converted later. */
 static enum pg_run_state take_result(struct pg_run *run, PGresult *res,
 				     const PGconn *pq)
 {
@@ -358,7 +370,7 @@
 		state = check_size(run);
 		break;
 	case PGRES_TUPLES_OK:
-		run->gathered = res;
+		run->buffered_rows = res;
 		run->next_row = 0;
 		return PG_RUN_AGAIN;
 	case PGRES_COMMAND_OK:
@@ -386,12 +398,12 @@
 	return state;
 }
 
-/* The NULL that ends a step's results; false when it can't be one. */
+/* Processes the NULL that ends a step's results; false if it is unexpected. */
 static bool take_separator(struct pg_run *run, PGconn *pq)
 {
-	if (run->ended || run->step >= run->n_steps)
+	if (run->step_ended || run->step >= run->n_steps)
 		return false;
-	run->ended = true;
+	run->step_ended = true;
 	run->step++;
 	begin_step(run, pq);
 	return true;
@@ -403,7 +415,7 @@
 
 	run->reads = 0;
 	if (res) {
-		run->ended = false;
+		run->step_ended = false;
 		return take_result(run, res, pq);
 	}
 	if (take_separator(run, pq))
@@ -414,7 +426,7 @@
 	return finish(run);
 }
 
-/* Bytes that the socket has received since it was opened. */
+/* Returns the bytes received by the socket since it was opened; 0 on error. */
 static uint64_t socket_received(const PGconn *pq)
 {
 	struct tcp_info info;
@@ -427,11 +439,12 @@
 }
 
 /*
- * Whether what libpq gathers outgrows the limit before it is complete. libpq
- * keeps a row until its last byte is there, so that one row of a gigabyte
- * would take a gigabyte here; the bytes on the socket tell in time.
+ * Whether a result exceeds the limit before it is complete. libpq buffers a row
+ * until its last byte has arrived, so one row of a gigabyte would take a
+ * gigabyte of memory here. The socket's count of received bytes shows it
+ * earlier.
  */
-static bool outgrows(struct pg_run *run, const PGconn *pq)
+static bool exceeds_limit_early(struct pg_run *run, const PGconn *pq)
 {
 	uint64_t received;
 
@@ -439,16 +452,16 @@
 		return false;
 	received = socket_received(pq);
 	if (++run->reads == 1) {
-		run->received = received;
+		run->received_at_start = received;
 		return false;
 	}
-	return received - run->received >
-	       run->max_bytes * WIRE_PER_JSON + UNCOUNTED_MAX;
+	return received - run->received_at_start >
+	       run->max_bytes * WIRE_BYTES_PER_JSON_BYTE + UNCOUNTED_BYTES_MAX;
 }
 
-static enum pg_run_state wait_more(struct pg_run *run, const PGconn *pq)
+static enum pg_run_state wait_for_more(struct pg_run *run, const PGconn *pq)
 {
-	if (!outgrows(run, pq))
+	if (!exceeds_limit_early(run, pq))
 		return PG_RUN_WAIT;
 	pg_run_fail(run, ERR_ANSWER_TOO_LARGE,
 		    "the answer grows larger than %" G_GUINT64_FORMAT " bytes",
@@ -458,8 +471,8 @@
 }
 
 /*
- * Takes the results that have arrived, as much as one turn of the loop
- * allows.
+ * Processes the results that have arrived, within the limits of one iteration
+ * of the loop.
  */
 enum pg_run_state pg_run_read(struct pg_run *run, PGconn *pq)
 {
@@ -467,10 +480,10 @@
 	enum pg_run_state state;
 
 	do {
-		if (run->gathered)
-			state = take_gathered(run, &turn);
+		if (run->buffered_rows)
+			state = take_buffered(run, &turn);
 		else if (PQisBusy(pq))
-			return wait_more(run, pq);
+			return wait_for_more(run, pq);
 		else
 			state = take_next(run, pq);
 	} while (state == PG_RUN_AGAIN && !turn_is_over(&turn, run));
--- a/packages/transport/src/pg_run.h
+++ b/packages/transport/src/pg_run.h
@@ -3,8 +3,8 @@
 
 /*
  * One run of steps in a pipeline on an open connection: sends the statements,
- * then turns the results that have arrived into a struct upstream_result. It
- * never waits; who calls it watches the socket.
+ * then converts the results as they arrive to a struct upstream_result. Never
+ * blocks; the caller has to watch the socket.
  */
 
 #include "pg_param.h"
@@ -12,10 +12,10 @@
 struct pg_run;
 
 enum pg_run_state {
-	PG_RUN_WAIT, /* for more from the server */
-	PG_RUN_AGAIN, /* a turn's work is done; more has arrived already */
-	PG_RUN_DONE, /* the pipeline is in sync again */
-	PG_RUN_BROKEN, /* failed, and the connection is of no more use */
+	PG_RUN_WAIT, /* needs more data from the server */
+	PG_RUN_AGAIN, /* has more to do in the loop's next iteration */
+	PG_RUN_DONE, /* ended; the pipeline is in sync again */
+	PG_RUN_BROKEN, /* failed; the connection must not be used again */
 };
 
 struct pg_run *pg_run_create(void);
