--- a/packages/transport/src/peer.c
+++ b/packages/transport/src/peer.c
@@ -6,23 +6,27 @@
 #define LOG_MODULE "peer"
 #include <celeryquay/base/log.h>
 
-/* Sockets of one context: one for each link. */
+/* Maximum number of sockets in the context; each link takes one. */
 #define SOCKETS_MAX 8192
-#define QUEUE_MESSAGES 1000
+/* Maximum number of messages that ZeroMQ queues for each sending peer. */
+#define QUEUE_MESSAGES_MAX 1000
 #define MESSAGE_BYTES_MAX (64LL * 1024 * 1024)
-#define HANDSHAKE_MS 3000
+#define HANDSHAKE_TIMEOUT_MS 3000
 #define LISTEN_BACKLOG 4096
-/* Messages of one turn; the rest wait for the next, after other sockets. */
-#define MESSAGES_PER_TURN 128
-/* id of the connection, header, body */
+/*
+ * Maximum number of messages delivered in one iteration of the loop. The rest
+ * follows in the next one, so that other sockets are served in between.
+ */
+#define MESSAGES_PER_TURN_MAX 128
+/* Frames of a message: id of the connection, header, body. */
 #define FRAMES 3
-/* The key that ZAP has told ZeroMQ as the sender's id. */
-#define PROPERTY_KEY "User-Id"
+/* Message property with the sender's key, as set by the ZAP handler. */
+#define USER_ID_PROPERTY "User-Id"
 
 struct received {
-	zmq_msg_t frames[FRAMES + 1]; /* the last is for what is too much */
-	unsigned n;
-	bool whole; /* exactly three frames */
+	zmq_msg_t frames[FRAMES + 1]; /* the last one for surplus frames */
+	unsigned n; /* frames kept, at most FRAMES */
+	bool well_formed; /* the message has exactly three frames */
 };
 
 static struct str frame(struct received *r, unsigned i)
@@ -37,13 +41,13 @@
 		zmq_msg_close(&r->frames[--r->n]);
 }
 
-/* Takes one message off the socket; false when there is none. */
+/* Receives one message; false when there is none. */
 static bool receive(void *socket, struct received *r)
 {
 	bool more = true;
 
 	memset(r, 0, sizeof(*r));
-	r->whole = true;
+	r->well_formed = true;
 	while (more) {
 		zmq_msg_t *msg = &r->frames[r->n];
 
@@ -58,32 +62,33 @@
 			continue;
 		}
 		zmq_msg_close(msg);
-		r->whole = false;
+		r->well_formed = false;
 	}
-	r->whole = r->whole && r->n == FRAMES;
+	r->well_formed = r->well_formed && r->n == FRAMES;
 	return true;
 }
 
 /*
- * A key that was taken off the list must count for nothing at once, but a
- * connection that was made under it still stands. So each message is checked
- * against the list as it is now.
+ * Whether the message was sent under a key that is allowed now. A key removed
+ * from the list must lose its effect at once, but connections made under it
+ * stay open, so the key is checked for each message.
  */
 static bool is_allowed(struct peer *p, struct received *r)
 {
 	if (!p->encrypted)
 		return true;
-	return peer_auth_is_allowed(p,
-				    zmq_msg_gets(&r->frames[1], PROPERTY_KEY));
+	return peer_auth_is_allowed(p, zmq_msg_gets(&r->frames[1],
+						    USER_ID_PROPERTY));
 }
 
 static void deliver(struct peer *p, struct received *r)
 {
 	struct peer_header h;
 
-	if (!r->whole || !is_allowed(p, r) ||
+	if (!r->well_formed || !is_allowed(p, r) ||
 	    !peer_header_unpack(p, frame(r, 1), &h)) {
-		LOG_DBG("a message of %u frames dropped", r->n);
+		LOG_DBG("malformed or unauthorized message of %u frames dropped",
+			r->n);
 		return;
 	}
 	p->received[h.kind] += frame(r, 1).len + frame(r, 2).len;
@@ -92,7 +97,7 @@
 
 static void on_router(void *data);
 
-static void on_more(uv_idle_t *idle)
+static void on_resume(uv_idle_t *idle)
 {
 	uv_idle_stop(idle);
 	on_router(idle->data);
@@ -103,34 +108,38 @@
 	struct peer *p = data;
 	unsigned n;
 
-	for (n = 0; n < MESSAGES_PER_TURN; n++) {
+	for (n = 0; n < MESSAGES_PER_TURN_MAX; n++) {
 		struct received r;
-		bool any = receive(p->router, &r);
+		bool got = receive(p->router, &r);
 
-		if (any)
+		if (got)
 			deliver(p, &r);
 		received_clear(&r);
-		if (!any)
+		if (!got)
 			return;
 	}
-	/* The descriptor may not speak again of what is left: come back. */
-	uv_idle_start(p->more, on_more);
+	/*
+	 * The descriptor may not signal the messages that are left, so they
+	 * are received in the loop's next iteration.
+	 */
+	uv_idle_start(p->resume_idle, on_resume);
 }
 
-static bool take_keys(struct peer *p, const struct peer_settings *s,
-		      struct err *err)
+static bool set_keys(struct peer *p, const struct peer_settings *s,
+		     struct err *err)
 {
 	p->encrypted = s->curve_secret != NULL;
 	if (!p->encrypted)
 		return true;
-	if (!s->curve_public || strlen(s->curve_secret) != PEER_KEY_TEXT - 1 ||
-	    strlen(s->curve_public) != PEER_KEY_TEXT - 1) {
+	if (!s->curve_public ||
+	    strlen(s->curve_secret) != PEER_KEY_TEXT_SIZE - 1 ||
+	    strlen(s->curve_public) != PEER_KEY_TEXT_SIZE - 1) {
 		err_set(err, ERR_BAD_SETTINGS,
-			"a peers' key takes 40 characters");
+			"the peers' keys must have 40 characters each");
 		return false;
 	}
-	g_strlcpy(p->keys.secret, s->curve_secret, PEER_KEY_TEXT);
-	g_strlcpy(p->keys.public, s->curve_public, PEER_KEY_TEXT);
+	g_strlcpy(p->keys.secret, s->curve_secret, PEER_KEY_TEXT_SIZE);
+	g_strlcpy(p->keys.public, s->curve_public, PEER_KEY_TEXT_SIZE);
 	return peer_set_allowed(p, s->allowed) && peer_auth_open(p, err);
 }
 
@@ -141,9 +150,10 @@
 
 	return peer_set_option(p->router, ZMQ_LINGER, 0) &&
 	       peer_set_option(p->router, ZMQ_IPV6, v6) &&
-	       peer_set_option(p->router, ZMQ_RCVHWM, QUEUE_MESSAGES) &&
+	       peer_set_option(p->router, ZMQ_RCVHWM, QUEUE_MESSAGES_MAX) &&
 	       peer_set_option(p->router, ZMQ_BACKLOG, LISTEN_BACKLOG) &&
-	       peer_set_option(p->router, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS) &&
+	       peer_set_option(p->router, ZMQ_HANDSHAKE_IVL,
+			       HANDSHAKE_TIMEOUT_MS) &&
 	       !zmq_setsockopt(p->router, ZMQ_MAXMSGSIZE, &bytes,
 			       sizeof(bytes)) &&
 	       (!p->encrypted || peer_auth_server(p, p->router));
@@ -177,7 +187,8 @@
 	}
 	p->router_watch = peer_watch_create(p->loop, p->router, on_router, p);
 	if (!p->router_watch) {
-		err_set(err, ERR_SYSTEM, "listen for peers: no poll");
+		err_set(err, ERR_SYSTEM,
+			"listen for peers: cannot watch the socket");
 		return false;
 	}
 	peer_watch_start(p->router_watch);
@@ -185,9 +196,9 @@
 }
 
 /*
- * Listens for the other proxies. NULL and BAD_SETTINGS for a malformed key,
- * SYSTEM when the address can't be used. With keys but no list of allowed
- * ones, only this node's own key is allowed.
+ * Listens for the other proxies. Returns NULL with BAD_SETTINGS for a malformed
+ * key, with SYSTEM when the address cannot be used. With keys but no list of
+ * allowed ones, only this node's own key is allowed.
  */
 struct peer *peer_create(uv_loop_t *loop, const struct peer_settings *settings,
 			 const struct peer_events *events, void *ctx,
@@ -200,13 +211,13 @@
 	p->ctx = ctx;
 	p->incarnation = settings->incarnation;
 	g_strlcpy(p->name, settings->name, sizeof(p->name));
-	p->more = g_new0(uv_idle_t, 1);
-	uv_idle_init(loop, p->more);
-	p->more->data = p;
+	p->resume_idle = g_new0(uv_idle_t, 1);
+	uv_idle_init(loop, p->resume_idle);
+	p->resume_idle->data = p;
 	p->links = peer_links_create(p);
 	p->context = zmq_ctx_new();
 	zmq_ctx_set(p->context, ZMQ_MAX_SOCKETS, SOCKETS_MAX);
-	if (!take_keys(p, settings, err) || !open_router(p, settings, err)) {
+	if (!set_keys(p, settings, err) || !open_router(p, settings, err)) {
 		peer_destroy(p);
 		return NULL;
 	}
@@ -224,7 +235,7 @@
 		zmq_close(socket);
 }
 
-/* Closes every link; not to be called from within the message event. */
+/* Closes every link. Must not be called from within the message event. */
 void peer_destroy(struct peer *p)
 {
 	if (!p)
@@ -232,7 +243,7 @@
 	peer_links_destroy(p->links);
 	peer_watch_close(p->router_watch);
 	peer_watch_close(p->zap_watch);
-	uv_close((uv_handle_t *)p->more, free_idle);
+	uv_close((uv_handle_t *)p->resume_idle, free_idle);
 	close_socket(p->router);
 	close_socket(p->zap);
 	zmq_ctx_term(p->context);
@@ -241,16 +252,16 @@
 	g_free(p);
 }
 
-/* The port that the other proxies connect to. */
+/* Returns the port that the other proxies connect to. */
 uint16_t peer_port(const struct peer *p)
 {
 	return p->port;
 }
 
 /*
- * Replaces the list of keys that may connect, for a change of keys: first both
- * keys are allowed everywhere, then nodes go over to the new one, then the old
- * one is taken off. False, and the list as it was, when a key is malformed.
+ * Replaces the list of keys that may connect. For a key rotation, first both
+ * keys are allowed on all nodes, then the nodes change to the new one, then the
+ * old one is removed. Returns false and keeps the list if a key is malformed.
  */
 bool peer_set_allowed(struct peer *p, const char *const *allowed)
 {
@@ -260,7 +271,7 @@
 	if (!allowed || !allowed[0])
 		allowed = own;
 	for (i = 0; allowed[i]; i++) {
-		if (strlen(allowed[i]) != PEER_KEY_TEXT - 1)
+		if (strlen(allowed[i]) != PEER_KEY_TEXT_SIZE - 1)
 			return false;
 	}
 	g_strfreev(p->keys.allowed);
@@ -268,13 +279,13 @@
 	return true;
 }
 
-/* Bytes of headers and bodies that were taken to be sent. */
+/* Returns the bytes of headers and bodies accepted for sending. */
 uint64_t peer_bytes_sent(const struct peer *p, enum peer_kind kind)
 {
 	return p->sent[kind];
 }
 
-/* Bytes of headers and bodies that were delivered. */
+/* Returns the bytes of headers and bodies delivered. */
 uint64_t peer_bytes_received(const struct peer *p, enum peer_kind kind)
 {
 	return p->received[kind];
--- a/packages/transport/src/peer_auth.c
+++ b/packages/transport/src/peer_auth.c
@@ -9,8 +9,9 @@
 /* ZeroMQ's authentication protocol, ZAP 1.0. */
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define ZAP_DOMAIN "celeryquay"
+/* Frames kept of a request, and bytes of a frame with its NUL. */
 #define ZAP_FRAMES_MAX 16
-#define ZAP_FRAME_MAX 256
+#define ZAP_FRAME_SIZE 256
 
 enum zap_frame {
 	ZAP_VERSION,
@@ -26,10 +27,10 @@
 struct zap_request {
 	unsigned n;
 	size_t len[ZAP_FRAMES_MAX];
-	char frames[ZAP_FRAMES_MAX][ZAP_FRAME_MAX];
+	char frames[ZAP_FRAMES_MAX][ZAP_FRAME_SIZE];
 };
 
-/* Reads one request whole; false when none is waiting. */
+/* Receives all frames of one request; false when there is none. */
 static bool receive(void *socket, struct zap_request *out)
 {
 	size_t size = sizeof(int);
@@ -38,15 +39,15 @@
 
 	memset(out, 0, sizeof(*out));
 	while (more) {
-		char spare[ZAP_FRAME_MAX];
+		char spare[ZAP_FRAME_SIZE];
 		bool room = out->n < ZAP_FRAMES_MAX;
 		char *to = room ? out->frames[out->n] : spare;
 
-		n = zmq_recv(socket, to, ZAP_FRAME_MAX - 1, ZMQ_DONTWAIT);
+		n = zmq_recv(socket, to, ZAP_FRAME_SIZE - 1, ZMQ_DONTWAIT);
 		if (n < 0)
 			return false;
 		if (room)
-			out->len[out->n++] = MIN((size_t)n, ZAP_FRAME_MAX - 1);
+			out->len[out->n++] = MIN((size_t)n, ZAP_FRAME_SIZE - 1);
 		zmq_getsockopt(socket, ZMQ_RCVMORE, &more, &size);
 	}
 	return true;
@@ -77,7 +78,7 @@
 	zmq_send(socket, "", 0, ZMQ_DONTWAIT);
 }
 
-/* Whether messages under this public key are taken now. */
+/* Whether messages under this public key are accepted now. */
 bool peer_auth_is_allowed(const struct peer *p, const char *key)
 {
 	char **allowed = p->keys.allowed;
@@ -85,14 +86,14 @@
 	return key && g_strv_contains((const char *const *)allowed, key);
 }
 
-/* Answers every handshake that waits for a verdict. */
+/* Accepts or refuses every connection whose handshake is pending. */
 static void on_zap(void *data)
 {
 	struct peer *p = data;
 	struct zap_request r;
 
 	while (receive(p->zap, &r)) {
-		char key[PEER_KEY_TEXT] = "";
+		char key[PEER_KEY_TEXT_SIZE] = "";
 		bool allowed = key_text(&r, key) &&
 			       peer_auth_is_allowed(p, key);
 
@@ -104,9 +105,9 @@
 }
 
 /*
- * Binds the handler that decides which keys may connect. It has to stand
- * before the first socket listens: ZeroMQ lets every key in while there is no
- * handler.
+ * Binds the ZAP handler, which decides which keys may connect. It must be bound
+ * before the first socket listens: without a handler ZeroMQ accepts every
+ * key.
  */
 bool peer_auth_open(struct peer *p, struct err *err)
 {
@@ -119,30 +120,31 @@
 	}
 	p->zap_watch = peer_watch_create(p->loop, p->zap, on_zap, p);
 	if (!p->zap_watch) {
-		err_set(err, ERR_SYSTEM, "authentication of peers: no poll");
+		err_set(err, ERR_SYSTEM,
+			"authentication of peers: cannot watch the socket");
 		return false;
 	}
 	peer_watch_start(p->zap_watch);
 	return true;
 }
 
-/* Makes a socket ask for keys of those who connect to it. */
+/* Makes a socket require CURVE authentication of connecting peers. */
 bool peer_auth_server(struct peer *p, void *socket)
 {
 	return peer_set_option(socket, ZMQ_CURVE_SERVER, 1) &&
 	       !zmq_setsockopt(socket, ZMQ_CURVE_SECRETKEY, p->keys.secret,
-			       PEER_KEY_TEXT) &&
+			       PEER_KEY_TEXT_SIZE) &&
 	       !zmq_setsockopt(socket, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN,
 			       strlen(ZAP_DOMAIN));
 }
 
-/* Makes a socket show this node's key and insist on the server's. */
+/* Makes a socket present this node's key and require the server's key. */
 bool peer_auth_client(struct peer *p, void *socket, const char *server_key)
 {
 	return !zmq_setsockopt(socket, ZMQ_CURVE_SERVERKEY, server_key,
-			       PEER_KEY_TEXT) &&
+			       PEER_KEY_TEXT_SIZE) &&
 	       !zmq_setsockopt(socket, ZMQ_CURVE_PUBLICKEY, p->keys.public,
-			       PEER_KEY_TEXT) &&
+			       PEER_KEY_TEXT_SIZE) &&
 	       !zmq_setsockopt(socket, ZMQ_CURVE_SECRETKEY, p->keys.secret,
-			       PEER_KEY_TEXT);
+			       PEER_KEY_TEXT_SIZE);
 }
--- a/packages/transport/src/peer_header.c
+++ b/packages/transport/src/peer_header.c
@@ -13,17 +13,18 @@
 	HEADER_FIELDS,
 };
 
-#define HEADER_ROOM 128
-/* An odd number, so that every incarnation gives another salt. */
+/* Initial size of the buffer for a header. */
+#define HEADER_INITIAL_SIZE 128
+/* Odd, so that different incarnations give different salts. */
 #define SALT_FACTOR 0x9e3779b97f4a7c15ULL
 
 /*
- * A proxy that restarts has its old name, host and port, and numbers its
- * requests from the beginning again. An answer to the old process could then
- * pass for the answer to a request of the new one: a caller would get another
- * caller's rows. So a request's correlation is shifted by a salt of the
- * process on the way out and its answer's on the way in; what was meant for an
- * earlier process comes out as a number that nobody waits for.
+ * A proxy that restarts keeps its name, host and port, and numbers its requests
+ * from the beginning again. An answer to the old process could then be taken
+ * for the answer to a request of the new one: a caller would get another
+ * caller's rows. So the process's salt is added to the correlation of each
+ * request sent and subtracted from that of each answer received; an answer to
+ * an earlier process gets a number that no request has.
  */
 static uint64_t salt(const struct peer *p)
 {
@@ -36,11 +37,11 @@
 	return 0;
 }
 
-/* The first frame of a message. */
+/* Packs the header, which is sent as a message's first frame. */
 GBytes *peer_header_pack(const struct peer *p, enum peer_kind kind,
 			 uint64_t correlation)
 {
-	GByteArray *out = g_byte_array_sized_new(HEADER_ROOM);
+	GByteArray *out = g_byte_array_sized_new(HEADER_INITIAL_SIZE);
 	size_t len = strlen(p->name);
 	msgpack_packer pk;
 
@@ -68,7 +69,7 @@
 static bool take_name(const msgpack_object *o, char *out)
 {
 	if (o->type != MSGPACK_OBJECT_STR || !o->via.str.size ||
-	    o->via.str.size >= PEER_NAME_MAX ||
+	    o->via.str.size >= PEER_NAME_SIZE ||
 	    memchr(o->via.str.ptr, '\0', o->via.str.size))
 		return false;
 	memcpy(out, o->via.str.ptr, o->via.str.size);
@@ -102,7 +103,7 @@
 	return true;
 }
 
-/* Reads a header; false for a malformed one or another protocol's. */
+/* Parses a header; false if it is malformed or of another version. */
 bool peer_header_unpack(const struct peer *p, struct str data,
 			struct peer_header *out)
 {
--- a/packages/transport/src/peer_link.c
+++ b/packages/transport/src/peer_link.c
@@ -7,66 +7,81 @@
 #define LOG_MODULE "peer"
 #include <celeryquay/base/log.h>
 
-/* Messages that ZeroMQ queues for one peer. */
-#define QUEUE_MESSAGES 1000
-/* Bytes of big bodies that may wait for one peer. */
-#define QUEUE_BYTES (64L * 1024 * 1024)
-/* Bodies from this size on are sent without a copy. */
-#define ZERO_COPY_BYTES 8192
-/* What waits here while the link is being made, and for how long. */
-#define WAITING_MESSAGES 256
-#define WAITING_BYTES ((size_t)4 * 1024 * 1024)
-#define WAITING_MS 1000
-/* A link without traffic is closed, so that open links follow the traffic. */
-#define IDLE_MS 15000
-#define SWEEP_MS 5000
+/* Maximum number of messages that ZeroMQ queues for one peer. */
+#define QUEUE_MESSAGES_MAX 1000
 /*
- * A socket that has not connected for this long is given up for a new one: for
- * ZeroMQ a refused handshake is final, and the peer may allow the key by now.
+ * Maximum bytes of bodies sent without a copy that ZeroMQ may hold for one
+ * peer.
  */
-#define CONNECT_TRY_MS 3000
-/* The same where the peer's key is a guess, and the next one may be right. */
-#define GUESS_TRY_MS 1000
+#define ZERO_COPY_UNSENT_MAX (64L * 1024 * 1024)
+/* Minimum size of frames that are sent without a copy. */
+#define ZERO_COPY_SIZE_MIN 8192
 /*
- * A link that went silent under traffic is found by its unacknowledged bytes.
- * The heartbeat is for the receiver, which never sends and would keep the
- * connections of peers that have vanished. It is rare: with 1,399 links each
- * way one a minute would take 14.4 KB a second, all that a node has for
- * control.
+ * Limits of the messages that wait while the link is being established: their
+ * number, the bytes of their bodies, and the time.
+ */
+#define WAITING_MESSAGES_MAX 256
+#define WAITING_BYTES_MAX ((size_t)4 * 1024 * 1024)
+#define WAITING_TIMEOUT_MS 1000
+/*
+ * Links not used for this long are closed, so that only links with traffic stay
+ * open.
+ */
+#define IDLE_TIMEOUT_MS 15000
+/* Interval at which idle links are looked for. */
+#define SWEEP_INTERVAL_MS 5000
+/*
+ * A socket that has not connected for this long is replaced by a new one:
+ * ZeroMQ does not retry after a refused handshake, but the peer may allow the
+ * key by now.
+ */
+#define CONNECT_TIMEOUT_MS 3000
+/* The same if the peer's key is a guess, after which the next key is tried. */
+#define GUESSED_KEY_TIMEOUT_MS 1000
+/*
+ * A link that goes silent while messages are sent is closed when its bytes stay
+ * unacknowledged for TCP_TIMEOUT_MS. The heartbeat is for the receiver, which
+ * never sends and would keep the connections of peers that have vanished. Its
+ * interval is long: with 1,399 links each way, one heartbeat a minute would
+ * take 14.4 KB/s, all that a node has for control traffic.
  */
 #define TCP_TIMEOUT_MS 3000
-#define HEARTBEAT_MS 300000
+#define HEARTBEAT_INTERVAL_MS 300000
 #define HEARTBEAT_TIMEOUT_MS 10000
-#define HANDSHAKE_MS 3000
-#define RECONNECT_MS 50
-#define RECONNECT_MAX_MS 1000
+#define HANDSHAKE_TIMEOUT_MS 3000
+#define RECONNECT_DELAY_MS 50
+#define RECONNECT_DELAY_MAX_MS 1000
 
+/* A message that waits until its link is established. */
 struct waiting {
 	GBytes *header;
 	GBytes *body;
-	uint64_t since_ms;
+	uint64_t queued_at_ms;
 };
 
-/* Counts the bytes that ZeroMQ still holds; shared with its thread. */
-struct account {
+/*
+ * Counts the bytes of bodies that ZeroMQ has not released yet. Shared with
+ * ZeroMQ's thread.
+ */
+struct byte_counter {
 	atomic_int refs;
 	atomic_long bytes;
 };
 
 struct link {
 	struct peer *peer;
-	char *key; /* in the table */
+	char *key; /* in the table of links */
 	char endpoint[96];
-	char server_key[PEER_KEY_TEXT];
-	unsigned guess; /* which of the allowed keys a seed was taken to have */
+	char server_key[PEER_KEY_TEXT_SIZE];
+	unsigned guess; /* index for guess_key(); used if the key is unknown */
 	void *socket;
 	struct peer_watch *watch;
-	GQueue waiting;
-	size_t waiting_bytes;
-	uint64_t created_ms;
-	uint64_t used_ms;
-	uint64_t down_since_ms; /* 0: the last send went through */
-	struct account *account;
+	GQueue waiting; /* struct waiting, oldest first */
+	size_t waiting_bytes; /* bytes of their bodies */
+	uint64_t created_at_ms;
+	uint64_t used_at_ms; /* of the last attempt to send */
+	uint64_t down_since_ms; /* first failed send; 0: last one succeeded */
+	struct byte_counter *unsent; /* bytes that ZeroMQ has not sent yet */
 };
 
 struct peer_links {
@@ -75,44 +90,46 @@
 	uv_timer_t *sweep;
 };
 
-static void account_unref(struct account *a)
+static void byte_counter_unref(struct byte_counter *a)
 {
 	if (atomic_fetch_sub(&a->refs, 1) == 1)
 		g_free(a);
 }
 
-struct held {
+/* A body that is sent without a copy, until ZeroMQ releases it. */
+struct shared_body {
 	GBytes *bytes;
-	struct account *account;
+	struct byte_counter *unsent;
 };
 
-/* ZeroMQ's thread is done with a body that was sent without a copy. */
-static void release_held(void *data, void *hint)
+/* Called on ZeroMQ's thread when it no longer needs a body. */
+static void release_body(void *data, void *hint)
 {
-	struct held *h = hint;
+	struct shared_body *h = hint;
 
 	(void)data;
-	atomic_fetch_sub(&h->account->bytes, (long)g_bytes_get_size(h->bytes));
-	account_unref(h->account);
+	atomic_fetch_sub(&h->unsent->bytes, (long)g_bytes_get_size(h->bytes));
+	byte_counter_unref(h->unsent);
 	g_bytes_unref(h->bytes);
 	g_free(h);
 }
 
-static void hold(zmq_msg_t *msg, struct account *account, GBytes *bytes)
+static void init_shared(zmq_msg_t *msg, struct byte_counter *byte_counter,
+			GBytes *bytes)
 {
-	struct held *h = g_new(struct held, 1);
+	struct shared_body *h = g_new(struct shared_body, 1);
 	gsize len;
-	/* ZeroMQ takes it as writable but doesn't write. */
+	/* ZeroMQ's parameter is not const, but it doesn't write. */
 	void *data = (void *)g_bytes_get_data(bytes, &len);
 
 	h->bytes = g_bytes_ref(bytes);
-	h->account = account;
-	atomic_fetch_add(&account->refs, 1);
-	atomic_fetch_add(&account->bytes, (long)len);
-	zmq_msg_init_data(msg, data, len, release_held, h);
+	h->unsent = byte_counter;
+	atomic_fetch_add(&byte_counter->refs, 1);
+	atomic_fetch_add(&byte_counter->bytes, (long)len);
+	zmq_msg_init_data(msg, data, len, release_body, h);
 }
 
-static void copy(zmq_msg_t *msg, GBytes *bytes)
+static void init_copied(zmq_msg_t *msg, GBytes *bytes)
 {
 	struct str s = str_from_bytes(bytes);
 
@@ -124,24 +141,27 @@
 {
 	zmq_msg_t msg;
 
-	if (g_bytes_get_size(bytes) < ZERO_COPY_BYTES)
-		copy(&msg, bytes);
+	if (g_bytes_get_size(bytes) < ZERO_COPY_SIZE_MIN)
+		init_copied(&msg, bytes);
 	else
-		hold(&msg, l->account, bytes);
+		init_shared(&msg, l->unsent, bytes);
 	if (zmq_msg_send(&msg, l->socket, flags | ZMQ_DONTWAIT) >= 0)
 		return true;
 	zmq_msg_close(&msg);
 	return false;
 }
 
-/* Both frames or none: once the first is taken, so is the second. */
+/*
+ * Sends both frames or none: once ZeroMQ has taken the first it takes the
+ * second too.
+ */
 static bool send_now(struct link *l, GBytes *header, GBytes *body)
 {
 	if (!send_frame(l, header, ZMQ_SNDMORE))
 		return false;
 	if (!send_frame(l, body, 0)) {
-		LOG_WARN("half a message to %s: %s", l->endpoint,
-			 zmq_strerror(zmq_errno()));
+		LOG_WARN("only the header of a message to %s was sent: %s",
+			 l->endpoint, zmq_strerror(zmq_errno()));
 		return false;
 	}
 	l->down_since_ms = 0;
@@ -157,8 +177,8 @@
 }
 
 /*
- * A message that waited long is dropped: its sender has given up on it, and a
- * request that is delivered late would run for nobody.
+ * Drops messages that have waited too long: the sender has given up by then,
+ * and a request delivered late would be executed although nobody waits for it.
  */
 static void drop_old(struct link *l)
 {
@@ -166,12 +186,12 @@
 	struct waiting *w;
 
 	while ((w = g_queue_peek_head(&l->waiting)) &&
-	       now - w->since_ms > WAITING_MS)
+	       now - w->queued_at_ms > WAITING_TIMEOUT_MS)
 		waiting_free(l, g_queue_pop_head(&l->waiting));
 }
 
-/* Sends what waits, in its order, as far as the socket takes it. */
-static void flush(struct link *l)
+/* Sends waiting messages in order, as many as the socket takes. */
+static void send_waiting(struct link *l)
 {
 	struct waiting *w;
 
@@ -191,13 +211,13 @@
 	size_t len = sizeof(int);
 	int events = 0;
 
-	/* Reading the events also takes the change off the descriptor. */
+	/* Reading the events also clears the signal of the descriptor. */
 	zmq_getsockopt(l->socket, ZMQ_EVENTS, &events, &len);
 	if (events & ZMQ_POLLOUT)
-		flush(l);
+		send_waiting(l);
 }
 
-static bool wait_for_link(struct link *l, GBytes *header, GBytes *body)
+static bool queue_message(struct link *l, GBytes *header, GBytes *body)
 {
 	uint64_t now = uv_now(l->peer->loop);
 	struct waiting *w;
@@ -205,14 +225,14 @@
 	if (!l->down_since_ms)
 		l->down_since_ms = now ? now : 1;
 	drop_old(l);
-	if (now - l->down_since_ms > WAITING_MS ||
-	    l->waiting.length >= WAITING_MESSAGES ||
-	    l->waiting_bytes + g_bytes_get_size(body) > WAITING_BYTES)
+	if (now - l->down_since_ms > WAITING_TIMEOUT_MS ||
+	    l->waiting.length >= WAITING_MESSAGES_MAX ||
+	    l->waiting_bytes + g_bytes_get_size(body) > WAITING_BYTES_MAX)
 		return false;
 	w = g_new(struct waiting, 1);
 	w->header = g_bytes_ref(header);
 	w->body = g_bytes_ref(body);
-	w->since_ms = now;
+	w->queued_at_ms = now;
 	l->waiting_bytes += g_bytes_get_size(body);
 	g_queue_push_tail(&l->waiting, w);
 	peer_watch_start(l->watch);
@@ -221,14 +241,14 @@
 
 static bool link_send(struct link *l, GBytes *header, GBytes *body)
 {
-	l->used_ms = uv_now(l->peer->loop);
-	if (atomic_load(&l->account->bytes) > QUEUE_BYTES)
+	l->used_at_ms = uv_now(l->peer->loop);
+	if (atomic_load(&l->unsent->bytes) > ZERO_COPY_UNSENT_MAX)
 		return false;
 	if (l->waiting.length)
-		flush(l);
+		send_waiting(l);
 	if (!l->waiting.length && send_now(l, header, body))
 		return true;
-	return wait_for_link(l, header, body);
+	return queue_message(l, header, body);
 }
 
 static void link_destroy(void *data)
@@ -240,31 +260,33 @@
 	peer_watch_close(l->watch);
 	if (l->socket)
 		zmq_close(l->socket);
-	account_unref(l->account);
+	byte_counter_unref(l->unsent);
 	g_free(l->key);
 	g_free(l);
 }
 
 /*
- * ZMQ_IMMEDIATE: nothing is queued for a connection that doesn't stand, so a
- * peer that restarts isn't given what was meant for the process before it.
+ * ZMQ_IMMEDIATE: ZeroMQ queues messages only for established connections, so a
+ * restarted peer does not get messages that were meant for its predecessor.
  */
 static bool set_options(void *socket, bool v6)
 {
 	return peer_set_option(socket, ZMQ_LINGER, 0) &&
 	       peer_set_option(socket, ZMQ_IMMEDIATE, 1) &&
 	       peer_set_option(socket, ZMQ_IPV6, v6) &&
-	       peer_set_option(socket, ZMQ_SNDHWM, QUEUE_MESSAGES) &&
+	       peer_set_option(socket, ZMQ_SNDHWM, QUEUE_MESSAGES_MAX) &&
 	       peer_set_option(socket, ZMQ_RCVHWM, 1) &&
-	       peer_set_option(socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS) &&
-	       peer_set_option(socket, ZMQ_RECONNECT_IVL, RECONNECT_MS) &&
+	       peer_set_option(socket, ZMQ_HANDSHAKE_IVL,
+			       HANDSHAKE_TIMEOUT_MS) &&
+	       peer_set_option(socket, ZMQ_RECONNECT_IVL, RECONNECT_DELAY_MS) &&
 	       peer_set_option(socket, ZMQ_RECONNECT_IVL_MAX,
-			       RECONNECT_MAX_MS) &&
-	       peer_set_option(socket, ZMQ_HEARTBEAT_IVL, HEARTBEAT_MS) &&
+			       RECONNECT_DELAY_MAX_MS) &&
+	       peer_set_option(socket, ZMQ_HEARTBEAT_IVL,
+			       HEARTBEAT_INTERVAL_MS) &&
 	       peer_set_option(socket, ZMQ_HEARTBEAT_TIMEOUT,
 			       HEARTBEAT_TIMEOUT_MS) &&
 	       peer_set_option(socket, ZMQ_HEARTBEAT_TTL,
-			       HEARTBEAT_MS + HEARTBEAT_TIMEOUT_MS) &&
+			       HEARTBEAT_INTERVAL_MS + HEARTBEAT_TIMEOUT_MS) &&
 	       peer_set_option(socket, ZMQ_TCP_MAXRT, TCP_TIMEOUT_MS);
 }
 
@@ -289,7 +311,10 @@
 		   to->peer_port);
 }
 
-/* The allowed keys in turn, after this node's own, which most share. */
+/*
+ * Returns the key to try: first this node's own, which most nodes share, then
+ * the allowed keys in turn.
+ */
 static const char *guess_key(const struct peer_keys *keys, unsigned guess)
 {
 	char **allowed = keys->allowed;
@@ -301,19 +326,20 @@
 }
 
 /*
- * The key that the peer has to show. A seed is known by its address alone: it
- * has one of the allowed keys, which are tried in turn. Each seed has a turn of
- * its own: with one for all, two seeds of two keys could be wrong forever.
+ * Sets the key that the peer has to present. Of a seed only the address is
+ * known: it has one of the allowed keys, which are tried in turn. Each seed has
+ * an index of its own: with a shared one, two seeds with two different keys
+ * might never be tried with the right ones.
  */
 static void choose_key(struct peer_links *links, struct link *l,
 		       const struct member_info *to)
 {
 	if (to->curve_public[0])
-		g_strlcpy(l->server_key, to->curve_public, PEER_KEY_TEXT);
+		g_strlcpy(l->server_key, to->curve_public, PEER_KEY_TEXT_SIZE);
 	else if (links->peer->encrypted)
 		g_strlcpy(l->server_key,
 			  guess_key(&links->peer->keys, l->guess),
-			  PEER_KEY_TEXT);
+			  PEER_KEY_TEXT_SIZE);
 }
 
 static struct link *link_create(struct peer_links *links,
@@ -325,9 +351,9 @@
 	l->peer = links->peer;
 	l->guess = guess;
 	l->key = g_strdup(key);
-	l->created_ms = uv_now(l->peer->loop);
-	l->account = g_new0(struct account, 1);
-	atomic_init(&l->account->refs, 1);
+	l->created_at_ms = uv_now(l->peer->loop);
+	l->unsent = g_new0(struct byte_counter, 1);
+	atomic_init(&l->unsent->refs, 1);
 	write_endpoint(to, l->endpoint, sizeof(l->endpoint));
 	choose_key(links, l, to);
 	if (!link_open(l)) {
@@ -340,7 +366,7 @@
 	return l;
 }
 
-/* Whether the link leads where the member is said to be now. */
+/* Whether the link has the member's current address and key. */
 static bool is_current(const struct link *l, const struct member_info *to)
 {
 	char endpoint[sizeof(l->endpoint)];
@@ -352,23 +378,24 @@
 	       !strcmp(to->curve_public, l->server_key);
 }
 
-static bool is_stuck(const struct link *l, const struct member_info *to)
+static bool connect_timed_out(const struct link *l,
+			      const struct member_info *to)
 {
-	uint64_t since = MAX(l->created_ms, l->down_since_ms);
+	uint64_t since = MAX(l->created_at_ms, l->down_since_ms);
 	bool guessed = l->peer->encrypted && !to->curve_public[0];
 
 	return l->down_since_ms &&
 	       uv_now(l->peer->loop) - since >
-		       (guessed ? GUESS_TRY_MS : CONNECT_TRY_MS);
+		       (guessed ? GUESSED_KEY_TIMEOUT_MS : CONNECT_TIMEOUT_MS);
 }
 
 /*
- * What waits goes on with the link that takes the place of another. A request
- * may come from a process that has just taken over a name before the news of
- * its address and key: the answer waits at the old link, and must not be lost
- * with it, as the entry would wait for it up to its deadline.
+ * Moves the waiting messages to the link that replaces another. A request may
+ * arrive from a process that has just taken over a name, before its new address
+ * and key are known here. Its answer then waits on the old link; if it were
+ * dropped with that link, the entry proxy would wait until its deadline.
  */
-static void take_waiting(struct link *l, struct link *from)
+static void move_waiting(struct link *l, struct link *from)
 {
 	struct waiting *w;
 
@@ -393,13 +420,13 @@
 		key = address;
 	}
 	old = g_hash_table_lookup(links->table, key);
-	if (old && is_current(old, to) && !is_stuck(old, to))
+	if (old && is_current(old, to) && !connect_timed_out(old, to))
 		return old;
 	if (old)
 		g_hash_table_steal(links->table, key);
 	l = link_create(links, to, key, old ? old->guess + 1 : 0);
 	if (l && old)
-		take_waiting(l, old);
+		move_waiting(l, old);
 	if (old)
 		link_destroy(old);
 	return l;
@@ -410,7 +437,7 @@
 	struct link *l = value;
 
 	(void)key;
-	return *(uint64_t *)now - l->used_ms > IDLE_MS;
+	return *(uint64_t *)now - l->used_at_ms > IDLE_TIMEOUT_MS;
 }
 
 static void on_sweep(uv_timer_t *timer)
@@ -421,7 +448,7 @@
 	g_hash_table_foreach_remove(links->table, is_idle, &now);
 }
 
-/* No link yet. */
+/* Creates an empty table of links. */
 struct peer_links *peer_links_create(struct peer *p)
 {
 	struct peer_links *links = g_new0(struct peer_links, 1);
@@ -432,7 +459,8 @@
 	links->sweep = g_new0(uv_timer_t, 1);
 	uv_timer_init(p->loop, links->sweep);
 	links->sweep->data = links;
-	uv_timer_start(links->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
+	uv_timer_start(links->sweep, on_sweep, SWEEP_INTERVAL_MS,
+		       SWEEP_INTERVAL_MS);
 	return links;
 }
 
@@ -441,7 +469,7 @@
 	g_free(handle);
 }
 
-/* Closes every link; what waits is dropped. */
+/* Closes every link; drops the waiting messages. NULL is ignored. */
 void peer_links_destroy(struct peer_links *links)
 {
 	if (!links)
@@ -452,9 +480,9 @@
 }
 
 /*
- * Sends a message, or lets it wait up to a second while the link is made. The
- * body's bytes may be freed on ZeroMQ's thread. False when the message can't
- * be taken: the queue to the peer is full, or the peer can't be reached.
+ * Sends a message, or queues it for up to one second while the link is being
+ * established. The body's bytes may be freed on ZeroMQ's thread. Returns false
+ * if the queue to the peer is full or the peer cannot be reached.
  */
 bool peer_send(struct peer *p, const struct member_info *to,
 	       enum peer_kind kind, uint64_t correlation, GBytes *body)
@@ -475,8 +503,8 @@
 }
 
 /*
- * A member has changed: when its link leads to an earlier address or key, what
- * waits there goes on at once.
+ * A member may have changed: if its link has an outdated address or key,
+ * replaces the link and moves the waiting messages to the new one at once.
  */
 void peer_refresh(struct peer *p, const struct member_info *member)
 {
@@ -486,7 +514,7 @@
 		find_link(p->links, member);
 }
 
-/* Closes the link to a member; the next message to it makes a new one. */
+/* Closes the link to a member; the next message opens a new one. */
 void peer_forget(struct peer *p, const char *name)
 {
 	g_hash_table_remove(p->links->table, name);
--- a/packages/transport/src/peer_private.h
+++ b/packages/transport/src/peer_private.h
@@ -1,28 +1,33 @@
 #ifndef CELERYQUAY_TRANSPORT_PEER_PRIVATE_H
 #define CELERYQUAY_TRANSPORT_PEER_PRIVATE_H
 
-/* What the files of the peers' transport share. */
+/* Declarations shared by the peer_*.c files. */
 
 #include <celeryquay/transport/peer.h>
 
-/* The protocol's version in every header. */
+/* Version of the protocol, sent in every header. */
 #define PEER_PROTOCOL 1
-#define PEER_KINDS (PEER_ADMIN + 1)
-#define PEER_NAME_MAX 64
-/* Z85 text of a key, with its NUL, and the key itself. */
-#define PEER_KEY_TEXT 41
+/* Size of an array indexed by enum peer_kind. */
+#define PEER_KINDS_SIZE (PEER_ADMIN + 1)
+/* Size of a buffer for a node's name, with its NUL. */
+#define PEER_NAME_SIZE 64
+/* Sizes of a key: as Z85 text with its NUL, and in binary. */
+#define PEER_KEY_TEXT_SIZE 41
 #define PEER_KEY_BYTES 32
 
-/* A ZeroMQ socket's descriptor on the loop; outlives its socket's owner. */
+/*
+ * Watches a ZeroMQ socket's descriptor on the loop. Freed by the loop after
+ * peer_watch_close(), when the socket's owner may be gone already.
+ */
 struct peer_watch {
 	uv_poll_t poll;
-	void (*ready)(void *data);
-	void *data; /* NULL once the owner has closed it */
+	void (*ready)(void *data); /* called when the descriptor is readable */
+	void *data; /* NULL after peer_watch_close() */
 };
 
 struct peer_keys {
-	char secret[PEER_KEY_TEXT];
-	char public[PEER_KEY_TEXT];
+	char secret[PEER_KEY_TEXT_SIZE];
+	char public[PEER_KEY_TEXT_SIZE];
 	char **allowed; /* Z85, NULL-ended */
 };
 
@@ -30,28 +35,29 @@
 
 struct peer {
 	uv_loop_t *loop;
-	void *context; /* ZeroMQ's */
-	void *router;
-	void *zap; /* NULL without encryption */
+	void *context; /* ZeroMQ context */
+	void *router; /* socket that receives the peers' messages */
+	void *zap; /* socket of the ZAP handler; NULL without encryption */
 	struct peer_watch *router_watch;
 	struct peer_watch *zap_watch;
-	uv_idle_t *more; /* runs while messages were left for a next turn */
+	uv_idle_t *resume_idle; /* active while messages are left to receive */
 	struct peer_links *links;
 	struct peer_events events;
 	void *ctx;
-	char name[PEER_NAME_MAX];
+	char name[PEER_NAME_SIZE];
 	uint64_t incarnation;
-	uint16_t port;
+	uint16_t port; /* that the router is bound to */
 	bool encrypted;
 	struct peer_keys keys;
-	uint64_t sent[PEER_KINDS];
-	uint64_t received[PEER_KINDS];
+	/* Bytes of headers and bodies, by kind of message. */
+	uint64_t sent[PEER_KINDS_SIZE];
+	uint64_t received[PEER_KINDS_SIZE];
 };
 
 struct peer_header {
 	enum peer_kind kind;
-	char from[PEER_NAME_MAX];
-	uint64_t incarnation;
+	char from[PEER_NAME_SIZE]; /* sender's name */
+	uint64_t incarnation; /* sender's */
 	uint64_t correlation;
 };
 
--- a/packages/transport/src/peer_watch.c
+++ b/packages/transport/src/peer_watch.c
@@ -18,9 +18,9 @@
 }
 
 /*
- * Puts a socket's descriptor on the loop, not started yet. The descriptor
- * tells only that something has changed, so `ready` has to go on until the
- * socket says EAGAIN.
+ * Creates a watch for a socket's descriptor, not started yet. The descriptor
+ * only signals that the socket's state has changed, so `ready` has to read
+ * until the socket returns EAGAIN.
  */
 struct peer_watch *peer_watch_create(uv_loop_t *loop, void *socket,
 				     void (*ready)(void *), void *data)
@@ -42,19 +42,22 @@
 	return w;
 }
 
-/* Begins to watch; a change that came before is seen too. */
+/* Starts watching; an earlier change is signalled too. */
 void peer_watch_start(struct peer_watch *w)
 {
 	uv_poll_start(&w->poll, UV_READABLE, on_poll);
 }
 
-/* Ceases to watch until the next start. */
+/* Stops watching until the next start. */
 void peer_watch_stop(struct peer_watch *w)
 {
 	uv_poll_stop(&w->poll);
 }
 
-/* Takes the descriptor off the loop; comes before the socket's close. */
+/*
+ * Removes the descriptor from the loop; must be called before the socket is
+ * closed.
+ */
 void peer_watch_close(struct peer_watch *w)
 {
 	if (!w)
--- a/packages/transport/src/pg_json.c
+++ b/packages/transport/src/pg_json.c
@@ -55,7 +55,7 @@
 enum byte_class {
 	BYTE_PLAIN, /* copied as it is */
 	BYTE_ESCAPE, /* needs an escape sequence */
-	BYTE_HIGH, /* not ASCII: must be checked for valid UTF-8 */
+	BYTE_HIGH /* not ASCII: must be checked for valid UTF-8 */
 };
 
 static enum byte_class classify(unsigned char c)
