--- a/packages/transport/tests/support_pg.c
+++ b/packages/transport/tests/support_pg.c
@@ -5,34 +5,35 @@
 
 struct pg_rig pg_rig;
 
-static struct told *tell(enum told_kind kind, conn_id id, const struct err *err)
+static struct pg_event *record_event(enum pg_event_kind kind, conn_id id,
+				     const struct err *err)
 {
-	struct told *told = g_new0(struct told, 1);
+	struct pg_event *event = g_new0(struct pg_event, 1);
 
-	told->kind = kind;
-	told->id = id;
-	told->err = *err;
-	g_ptr_array_add(pg_rig.told, told);
-	return told;
+	event->kind = kind;
+	event->id = id;
+	event->err = *err;
+	g_ptr_array_add(pg_rig.recorded, event);
+	return event;
 }
 
 static void on_opened(void *ctx, conn_id id, const struct err *err)
 {
 	(void)ctx;
-	tell(TOLD_OPENED, id, err);
+	record_event(PG_EVENT_OPENED, id, err);
 }
 
 static void on_done(void *ctx, conn_id id, struct upstream_result *result)
 {
-	struct told *told = tell(TOLD_DONE, id, &result->err);
+	struct pg_event *event = record_event(PG_EVENT_DONE, id, &result->err);
 
 	(void)ctx;
-	memcpy(told->sqlstate, result->sqlstate, sizeof(told->sqlstate));
-	told->steps_done = result->steps_done;
-	told->n_kept = result->n_kept;
-	told->results = g_strdup(result->results->str);
-	told->last_row = g_strdupv(result->last_row);
-	told->conn_usable = result->conn_usable;
+	memcpy(event->sqlstate, result->sqlstate, sizeof(event->sqlstate));
+	event->steps_done = result->steps_done;
+	event->n_kept = result->n_kept;
+	event->results = g_strdup(result->results->str);
+	event->last_row = g_strdupv(result->last_row);
+	event->conn_usable = result->conn_usable;
 	if (pg_rig.run_again) {
 		pg_rig.run_again = false;
 		pg_rig_start(id, "SELECT 'again'");
@@ -42,7 +43,7 @@
 static void on_lost(void *ctx, conn_id id, const struct err *err)
 {
 	(void)ctx;
-	tell(TOLD_LOST, id, err);
+	record_event(PG_EVENT_LOST, id, err);
 }
 
 static const struct upstream_events events = {
@@ -51,13 +52,13 @@
 	.lost = on_lost,
 };
 
-static void told_free(gpointer data)
+static void event_free(gpointer data)
 {
-	struct told *told = data;
+	struct pg_event *event = data;
 
-	g_free(told->results);
-	g_strfreev(told->last_row);
-	g_free(told);
+	g_free(event->results);
+	g_strfreev(event->last_row);
+	g_free(event);
 }
 
 static void start_processes(void)
@@ -89,30 +90,33 @@
 	g_free(route);
 }
 
-/* Starts the processes and an empty upstream. */
+/* Starts the processes and creates a struct upstream without connections. */
 void pg_rig_setup(void)
 {
 	memset(&pg_rig, 0, sizeof(pg_rig));
 	start_processes();
 	uv_loop_init(&pg_rig.loop);
-	pg_rig.told = g_ptr_array_new_with_free_func(told_free);
+	pg_rig.recorded = g_ptr_array_new_with_free_func(event_free);
 	pg_rig.upstream = pg_create(&pg_rig.loop, &events, NULL);
 }
 
-/* Ends everything; whatever is still open is closed by pg_destroy(). */
+/*
+ * Stops everything. Connections still open are closed by pg_destroy(), which
+ * must not report an event.
+ */
 void pg_rig_teardown(void)
 {
-	unsigned told = pg_rig.told->len;
+	unsigned n_recorded = pg_rig.recorded->len;
 
 	pg_destroy(pg_rig.upstream);
 	loop_end(&pg_rig.loop);
-	ck_assert_uint_eq(pg_rig.told->len, told);
-	g_ptr_array_unref(pg_rig.told);
+	ck_assert_uint_eq(pg_rig.recorded->len, n_recorded);
+	g_ptr_array_unref(pg_rig.recorded);
 	child_kill(pg_rig.proxy);
 	child_kill(pg_rig.server);
 }
 
-/* Begins to open a connection. */
+/* Starts opening a connection. */
 void pg_rig_open_at(conn_id id, const char *host, unsigned port,
 		    uint64_t timeout_us)
 {
@@ -128,13 +132,13 @@
 
 static void open_port(conn_id id, unsigned port)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open_at(id, "127.0.0.1", port, PG_TIMEOUT_US);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->kind, TOLD_OPENED);
-	ck_assert_uint_eq(told->id, id);
-	ck_assert_msg(!told->err.code, "%s", told->err.message);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->kind, PG_EVENT_OPENED);
+	ck_assert_uint_eq(event->id, id);
+	ck_assert_msg(!event->err.code, "%s", event->err.message);
 }
 
 void pg_rig_open(conn_id id)
@@ -147,14 +151,14 @@
 	open_port(id, pg_rig.proxy_port);
 }
 
-/* Starts a run; nothing may be told from within the call. */
+/* Starts a run; no event may be reported from within the call. */
 void pg_rig_run(conn_id id, const struct upstream_step *steps, unsigned n,
 		uint64_t max_bytes, uint64_t timeout_us)
 {
-	unsigned told = pg_rig.told->len;
+	unsigned n_recorded = pg_rig.recorded->len;
 
 	pg_ops.run(pg_rig.upstream, id, steps, n, max_bytes, timeout_us);
-	ck_assert_uint_eq(pg_rig.told->len, told);
+	ck_assert_uint_eq(pg_rig.recorded->len, n_recorded);
 }
 
 void pg_rig_start(conn_id id, const char *sql)
@@ -165,41 +169,41 @@
 	pg_rig_run(id, &step, 1, 0, PG_TIMEOUT_US);
 }
 
-static bool is_told(void *ctx)
+static bool enough_recorded(void *ctx)
 {
 	(void)ctx;
-	return pg_rig.told->len >= pg_rig.wanted;
+	return pg_rig.recorded->len >= pg_rig.wanted;
 }
 
-const struct told *pg_rig_told(unsigned i)
+const struct pg_event *pg_rig_event(unsigned i)
 {
-	return g_ptr_array_index(pg_rig.told, i);
+	return g_ptr_array_index(pg_rig.recorded, i);
 }
 
-const struct told *pg_rig_wait(unsigned n)
+const struct pg_event *pg_rig_wait(unsigned n)
 {
 	pg_rig.wanted = n;
-	loop_until(&pg_rig.loop, is_told, NULL);
-	return pg_rig_told(n - 1);
+	loop_until(&pg_rig.loop, enough_recorded, NULL);
+	return pg_rig_event(n - 1);
 }
 
-const struct told *pg_rig_wait_next(void)
+const struct pg_event *pg_rig_wait_next(void)
 {
-	return pg_rig_wait(pg_rig.told->len + 1);
+	return pg_rig_wait(pg_rig.recorded->len + 1);
 }
 
 /* Runs one statement and waits for its result. */
-const struct told *pg_rig_query(conn_id id, const char *sql)
+const struct pg_event *pg_rig_query(conn_id id, const char *sql)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_start(id, sql);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->kind, TOLD_DONE);
-	return told;
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->kind, PG_EVENT_DONE);
+	return event;
 }
 
-/* Asks the fault proxy for a fault on the route. */
+/* Sends a control request for a fault on the route to the fault proxy. */
 void pg_rig_fault(const char *path, const char *body)
 {
 	json_object_unref(child_control(pg_rig.proxy, path, body));
--- a/packages/transport/tests/test_peer.c
+++ b/packages/transport/tests/test_peer.c
@@ -5,33 +5,34 @@
 #include <string.h>
 #include <zmq.h>
 
-#define KEY_ROOM 41
-/* Wide: reached only when something is broken. */
-#define LIMIT_MS 60000
+#define KEY_TEXT_SIZE 41
+/* Bounds a wait for messages; long, since only a fault lets it expire. */
+#define WAIT_TIMEOUT_MS 60000
 
 struct keys {
-	char public[KEY_ROOM];
-	char secret[KEY_ROOM];
+	char public[KEY_TEXT_SIZE];
+	char secret[KEY_TEXT_SIZE];
 };
 
+/* A proxy under test and the messages that it has received. */
 struct node {
 	struct peer *peer;
 	struct member_info info;
-	unsigned messages;
-	size_t bytes;
-	enum peer_kind kind;
+	unsigned messages; /* number received */
+	size_t bytes; /* of their bodies */
+	enum peer_kind kind; /* this and the rest: of the last message */
 	char from[64];
 	uint64_t correlation;
 	char body[64];
 };
 
 static uv_loop_t loop;
-static bool late;
+static bool timed_out;
 
 static void setup(void)
 {
 	uv_loop_init(&loop);
-	late = false;
+	timed_out = false;
 }
 
 static void teardown(void)
@@ -78,7 +79,7 @@
 	if (keys) {
 		s.curve_secret = keys->secret;
 		s.curve_public = keys->public;
-		g_strlcpy(n->info.curve_public, keys->public, KEY_ROOM);
+		g_strlcpy(n->info.curve_public, keys->public, KEY_TEXT_SIZE);
 	}
 	n->peer = peer_create(&loop, &s, &events, n, &err);
 	ck_assert_msg(n->peer != NULL, "%s", err.message);
@@ -97,44 +98,44 @@
 	return sent;
 }
 
-static void on_late(uv_timer_t *timer)
+static void on_timeout(uv_timer_t *timer)
 {
 	(void)timer;
-	late = true;
+	timed_out = true;
 }
 
-/* Runs the loop until the counter is there; the limit is for broken code. */
+/* Runs the loop until the counter is reached; fails after WAIT_TIMEOUT_MS. */
 static void run_until(const unsigned *counter, unsigned wanted)
 {
 	uv_timer_t timer;
 
 	uv_timer_init(&loop, &timer);
-	uv_timer_start(&timer, on_late, LIMIT_MS, 0);
-	while (*counter < wanted && !late)
+	uv_timer_start(&timer, on_timeout, WAIT_TIMEOUT_MS, 0);
+	while (*counter < wanted && !timed_out)
 		uv_run(&loop, UV_RUN_ONCE);
 	uv_close((uv_handle_t *)&timer, NULL);
 	uv_run(&loop, UV_RUN_NOWAIT);
 	ck_assert_uint_ge(*counter, wanted);
 }
 
-static void on_pause(uv_timer_t *timer)
+static void on_pause_end(uv_timer_t *timer)
 {
 	uv_stop(timer->loop);
 }
 
-/* Lets the loop work between two looks at a condition. */
-static void run_a_while(void)
+/* Runs the loop for 20 ms, between two checks of a condition. */
+static void run_briefly(void)
 {
 	uv_timer_t timer;
 
 	uv_timer_init(&loop, &timer);
-	uv_timer_start(&timer, on_pause, 20, 0);
+	uv_timer_start(&timer, on_pause_end, 20, 0);
 	uv_run(&loop, UV_RUN_DEFAULT);
 	uv_close((uv_handle_t *)&timer, NULL);
 	uv_run(&loop, UV_RUN_NOWAIT);
 }
 
-START_TEST(message_arrives_whole)
+START_TEST(message_arrives_unchanged)
 {
 	struct node a;
 	struct node b;
@@ -155,7 +156,10 @@
 }
 END_TEST
 
-/* More than one turn takes, and bodies that aren't copied. */
+/*
+ * More messages than one iteration of the loop delivers, and bodies large
+ * enough to be sent without a copy.
+ */
 START_TEST(many_messages_arrive_in_order)
 {
 	GBytes *big = g_bytes_new_take(g_malloc0(1 << 20), 1 << 20);
@@ -182,10 +186,11 @@
 END_TEST
 
 /*
- * A request goes to a home; before it answers, the entry proxy is replaced by
- * a new process on the same name and port, which numbers its requests from 1
- * again. The old answer reaches the new process. Were it taken for the answer
- * to the new request 1, a caller would read another caller's rows.
+ * A request is sent to a home proxy. Before that answers, the entry proxy is
+ * replaced by a new process with the same name and port, which numbers its
+ * requests from 1 again. The old answer reaches the new process. If it were
+ * taken for the answer to the new request 1, a caller would get another
+ * caller's rows.
  */
 START_TEST(answer_to_an_earlier_process_is_not_taken)
 {
@@ -215,7 +220,8 @@
 }
 END_TEST
 
-/* Nobody listens there: the sender learns it instead of queueing for ever. */
+/* Nothing listens at the peer: sending must fail instead of queueing forever.
+ */
 START_TEST(queue_to_an_unreachable_peer_is_bounded)
 {
 	struct node a;
@@ -233,7 +239,7 @@
 }
 END_TEST
 
-START_TEST(allowed_key_speaks)
+START_TEST(message_under_an_allowed_key_is_delivered)
 {
 	struct keys fleet = make_keys();
 	const char *allowed[] = { fleet.public, NULL };
@@ -251,9 +257,9 @@
 END_TEST
 
 /*
- * A seed is known by its address alone, without name or key. The node tries
- * the keys that it allows in turn, so it finds the fleet also in the middle of
- * a change of keys, when the seed has another key than itself.
+ * Of a seed only the address is known, not its name or key. The node tries the
+ * keys that it allows in turn, so it can join also during a key rotation, when
+ * the seed has another key than the node itself.
  */
 START_TEST(seed_without_a_known_key_is_reached)
 {
@@ -273,7 +279,7 @@
 
 		peer_send(a.peer, &seed, PEER_GOSSIP, 0, body);
 		g_bytes_unref(body);
-		run_a_while();
+		run_briefly();
 	}
 	ck_assert_str_eq(b.body, "join");
 	peer_destroy(a.peer);
@@ -282,46 +288,45 @@
 END_TEST
 
 /*
- * A stranger on the network has learned a proxy's address and public key, but
- * its own key is not on the list. It sends a request; nothing of it may get
- * through. A message of an allowed peer, sent after the stranger's was
- * refused, shows that the link itself works.
+ * An impostor knows a proxy's address and public key, but its own key is not
+ * allowed. No message from it may be delivered. A message from an allowed peer,
+ * sent after the impostor's was refused, shows that delivery works.
  */
-START_TEST(impostor_gets_nothing_through)
+START_TEST(message_under_an_unknown_key_is_refused)
 {
 	struct keys fleet = make_keys();
 	struct keys other = make_keys();
 	const char *allowed[] = { fleet.public, NULL };
 	const char *both[] = { fleet.public, other.public, NULL };
-	struct node stranger;
+	struct node impostor;
 	struct node a;
 	struct node b;
 
-	node_open(&stranger, "proxy-1", 5, 0, &other, both);
+	node_open(&impostor, "proxy-1", 5, 0, &other, both);
 	node_open(&a, "proxy-1", 5, 0, &fleet, allowed);
 	node_open(&b, "proxy-2", 6, 0, &fleet, allowed);
-	ck_assert(send_text(&stranger, &b, PEER_REQUEST, 0, "drop"));
+	ck_assert(send_text(&impostor, &b, PEER_REQUEST, 0, "drop"));
 	ck_assert(send_text(&a, &b, PEER_GOSSIP, 0, "hello"));
 	run_until(&b.messages, 1);
-	while (send_text(&stranger, &b, PEER_REQUEST, 0, "drop"))
-		run_a_while();
+	while (send_text(&impostor, &b, PEER_REQUEST, 0, "drop"))
+		run_briefly();
 	ck_assert(send_text(&a, &b, PEER_GOSSIP, 0, "hello"));
 	run_until(&b.messages, 2);
 	ck_assert_uint_eq(b.messages, 2);
 	ck_assert_str_eq(b.body, "hello");
 	ck_assert_uint_eq(peer_bytes_received(b.peer, PEER_REQUEST), 0);
-	peer_destroy(stranger.peer);
+	peer_destroy(impostor.peer);
 	peer_destroy(a.peer);
 	peer_destroy(b.peer);
 }
 END_TEST
 
 /*
- * Operators change the fleet's key because the old one has leaked. The link
- * that was made under the old key still stands when the key is taken off the
- * list; from then on nothing that comes over it may count.
+ * The operators replace a key that has leaked. A link established under the old
+ * key is still open when that key is removed from the list; from then on no
+ * message from it may be delivered.
  */
-START_TEST(withdrawn_key_is_refused_on_a_standing_link)
+START_TEST(removed_key_is_refused_on_an_open_link)
 {
 	struct keys old = make_keys();
 	struct keys new = make_keys();
@@ -349,9 +354,10 @@
 END_TEST
 
 /*
- * Operators change keys in the wrong order: a proxy that has its new key is
- * refused by one that doesn't allow it yet. For ZeroMQ such a refusal is
- * final; once the key is allowed the link must come up all the same.
+ * The operators rotate keys in the wrong order: a proxy that already uses its
+ * new key is refused by one that does not allow it yet. ZeroMQ does not retry
+ * after such a refusal, but once the key is allowed the link must be
+ * established.
  */
 START_TEST(link_recovers_when_its_key_is_allowed)
 {
@@ -365,11 +371,11 @@
 	node_open(&a, "proxy-1", 5, 0, &new, both);
 	node_open(&b, "proxy-2", 6, 0, &old, first);
 	while (send_text(&a, &b, PEER_GOSSIP, 0, "early"))
-		run_a_while();
+		run_briefly();
 	ck_assert(peer_set_allowed(b.peer, both));
 	while (!b.messages) {
 		send_text(&a, &b, PEER_GOSSIP, 0, "late");
-		run_a_while();
+		run_briefly();
 	}
 	ck_assert_str_eq(b.body, "late");
 	peer_destroy(a.peer);
@@ -377,7 +383,7 @@
 }
 END_TEST
 
-/* Frames that a proxy never sends, from a bare ZeroMQ socket. */
+/* A plain ZeroMQ socket sends frames that a proxy never sends. */
 START_TEST(malformed_messages_are_dropped)
 {
 	void *context = zmq_ctx_new();
@@ -440,14 +446,14 @@
 	TCase *tc = tcase_create("peer");
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_test(tc, message_arrives_whole);
+	tcase_add_test(tc, message_arrives_unchanged);
 	tcase_add_test(tc, many_messages_arrive_in_order);
 	tcase_add_test(tc, answer_to_an_earlier_process_is_not_taken);
 	tcase_add_test(tc, queue_to_an_unreachable_peer_is_bounded);
-	tcase_add_test(tc, allowed_key_speaks);
+	tcase_add_test(tc, message_under_an_allowed_key_is_delivered);
 	tcase_add_test(tc, seed_without_a_known_key_is_reached);
-	tcase_add_test(tc, impostor_gets_nothing_through);
-	tcase_add_test(tc, withdrawn_key_is_refused_on_a_standing_link);
+	tcase_add_test(tc, message_under_an_unknown_key_is_refused);
+	tcase_add_test(tc, removed_key_is_refused_on_an_open_link);
 	tcase_add_test(tc, link_recovers_when_its_key_is_allowed);
 	tcase_add_test(tc, malformed_messages_are_dropped);
 	tcase_add_test(tc, bad_settings_are_named);
--- a/packages/transport/tests/test_pg.c
+++ b/packages/transport/tests/test_pg.c
@@ -3,8 +3,8 @@
 #include <celeryquay/suite.h>
 #include <string.h>
 
-#define LIMIT ((uint64_t)1024 * 1024)
-#define LARGE ((gsize)48 * 1024 * 1024)
+#define MAX_BYTES ((uint64_t)1024 * 1024)
+#define LARGE_PARAM_BYTES ((gsize)48 * 1024 * 1024)
 
 static void run(conn_id id, const struct upstream_step *steps, unsigned n)
 {
@@ -27,23 +27,23 @@
 		UNKEPT("COMMIT"),
 		UNKEPT("SELECT cq_commit_position()"),
 	};
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	run(1, steps, G_N_ELEMENTS(steps));
-	told = pg_rig_wait_next();
-	ck_assert_msg(!told->err.code, "%s", told->err.message);
-	ck_assert_uint_eq(told->steps_done, G_N_ELEMENTS(steps));
-	ck_assert_uint_eq(told->n_kept, 3);
-	ck_assert(told->conn_usable);
-	ck_assert_str_eq(told->results,
+	event = pg_rig_wait_next();
+	ck_assert_msg(!event->err.code, "%s", event->err.message);
+	ck_assert_uint_eq(event->steps_done, G_N_ELEMENTS(steps));
+	ck_assert_uint_eq(event->n_kept, 3);
+	ck_assert(event->conn_usable);
+	ck_assert_str_eq(event->results,
 			 "{\"columns\":[],\"rows\":[],\"rows_affected\":0},"
 			 "{\"columns\":[],\"rows\":[],\"rows_affected\":1},"
 			 "{\"columns\":[\"id\",\"name\"],"
 			 "\"rows\":[[7,\"hall \\\"a\\\"\"]],"
 			 "\"rows_affected\":0}");
-	ck_assert_str_eq(told->last_row[0], "1:2");
-	ck_assert_ptr_null(told->last_row[1]);
+	ck_assert_str_eq(event->last_row[0], "1:2");
+	ck_assert_ptr_null(event->last_row[1]);
 }
 END_TEST
 
@@ -66,14 +66,14 @@
 		KEPT("SELECT i, f, t, b, n, o FROM v"),
 	};
 	JsonParser *parser = json_parser_new();
-	const struct told *told;
+	const struct pg_event *event;
 	JsonArray *row;
 
 	pg_rig_open(1);
 	run(1, steps, G_N_ELEMENTS(steps));
-	told = pg_rig_wait_next();
-	ck_assert_msg(!told->err.code, "%s", told->err.message);
-	ck_assert(json_parser_load_from_data(parser, told->results, -1, NULL));
+	event = pg_rig_wait_next();
+	ck_assert_msg(!event->err.code, "%s", event->err.message);
+	ck_assert(json_parser_load_from_data(parser, event->results, -1, NULL));
 	row = json_array_get_array_element(
 		json_object_get_array_member(
 			json_node_get_object(json_parser_get_root(parser)),
@@ -94,47 +94,50 @@
 
 START_TEST(rows_are_listed_in_order_and_an_empty_list_has_columns)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
-	told = pg_rig_query(1, "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL "
-			       "SELECT i + 1 FROM n WHERE i < 4) "
-			       "SELECT i FROM n");
-	ck_assert_str_eq(told->results, "{\"columns\":[\"i\"],\"rows\":"
-					"[[1],[2],[3],[4]],"
-					"\"rows_affected\":0}");
-	told = pg_rig_query(1, "SELECT 1 AS one WHERE 0");
-	ck_assert_str_eq(told->results, "{\"columns\":[\"one\"],\"rows\":[],"
-					"\"rows_affected\":0}");
-	ck_assert_ptr_null(told->last_row);
+	event = pg_rig_query(1, "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL "
+				"SELECT i + 1 FROM n WHERE i < 4) "
+				"SELECT i FROM n");
+	ck_assert_str_eq(event->results, "{\"columns\":[\"i\"],\"rows\":"
+					 "[[1],[2],[3],[4]],"
+					 "\"rows_affected\":0}");
+	event = pg_rig_query(1, "SELECT 1 AS one WHERE 0");
+	ck_assert_str_eq(event->results, "{\"columns\":[\"one\"],\"rows\":[],"
+					 "\"rows_affected\":0}");
+	ck_assert_ptr_null(event->last_row);
 }
 END_TEST
 
-/* A small limit has libpq gather the rows; the text must be the same. */
+/*
+ * With a small limit libpq buffers all rows of a step, without one it returns
+ * them singly. The JSON text must be the same.
+ */
 START_TEST(rows_are_the_same_with_a_limit_and_without)
 {
 	const struct upstream_step step =
 		KEPT("WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 "
 		     "FROM n WHERE i < 5000) SELECT i, 'x' || i AS t FROM n");
-	const struct told *gathered;
-	const struct told *single;
+	const struct pg_event *buffered;
+	const struct pg_event *single;
 
 	pg_rig_open(1);
-	pg_rig_run(1, &step, 1, LIMIT, PG_TIMEOUT_US);
-	gathered = pg_rig_wait_next();
+	pg_rig_run(1, &step, 1, MAX_BYTES, PG_TIMEOUT_US);
+	buffered = pg_rig_wait_next();
 	pg_rig_run(1, &step, 1, 0, PG_TIMEOUT_US);
 	single = pg_rig_wait_next();
-	ck_assert_int_eq(gathered->err.code, 0);
-	ck_assert_str_eq(gathered->results, single->results);
-	ck_assert_str_eq(gathered->last_row[1], "x1");
+	ck_assert_int_eq(buffered->err.code, 0);
+	ck_assert_str_eq(buffered->results, single->results);
+	ck_assert_str_eq(buffered->last_row[1], "x1");
 	ck_assert_str_eq(single->last_row[1], "x1");
 }
 END_TEST
 
 /*
- * An installer submits a code that exists. The second statement fails; the
- * rest must not run, and the connection must serve the next caller with
- * nothing of the failed transaction left.
+ * A transaction's third step, its second INSERT, violates a primary key. The
+ * remaining steps must not run, and the connection must serve the next caller
+ * with nothing left of the failed transaction.
  */
 START_TEST(after_a_failed_step_the_rest_is_skipped)
 {
@@ -145,44 +148,44 @@
 		KEPT("INSERT INTO code VALUES (3)"),
 		UNKEPT("COMMIT"),
 	};
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	pg_rig_query(1, "CREATE TABLE code (id INTEGER PRIMARY KEY)");
 	pg_rig_query(1, "INSERT INTO code VALUES (1)");
 	run(1, steps, G_N_ELEMENTS(steps));
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->err.code, ERR_STATEMENT_FAILED);
-	ck_assert_str_eq(told->sqlstate, "23505");
-	ck_assert_uint_eq(told->steps_done, 2);
-	ck_assert_uint_eq(told->n_kept, 1);
-	ck_assert(told->conn_usable);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->err.code, ERR_STATEMENT_FAILED);
+	ck_assert_str_eq(event->sqlstate, "23505");
+	ck_assert_uint_eq(event->steps_done, 2);
+	ck_assert_uint_eq(event->n_kept, 1);
+	ck_assert(event->conn_usable);
 	pg_rig_query(1, "ROLLBACK");
-	told = pg_rig_query(1, "SELECT id FROM code");
-	ck_assert_str_eq(told->results, "{\"columns\":[\"id\"],\"rows\":[[1]],"
-					"\"rows_affected\":0}");
+	event = pg_rig_query(1, "SELECT id FROM code");
+	ck_assert_str_eq(event->results, "{\"columns\":[\"id\"],\"rows\":[[1]],"
+					 "\"rows_affected\":0}");
 }
 END_TEST
 
 /*
- * A read profile is used for a statement that writes, in a transaction of two
- * requests. The caller must learn that the profile is wrong, not that the
- * server is.
+ * A caller uses a read profile for a statement that writes, in a transaction of
+ * two requests. The error must be READ_ONLY, which names the caller's profile
+ * as the cause and not the server.
  */
 START_TEST(a_write_in_a_read_only_transaction_is_the_callers_mistake)
 {
 	const struct upstream_step begin[] = { UNKEPT("BEGIN READ ONLY") };
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	run(1, begin, 1);
 	pg_rig_wait_next();
-	told = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
-	ck_assert_int_eq(told->err.code, ERR_READ_ONLY);
-	ck_assert_str_eq(told->sqlstate, "25006");
+	event = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
+	ck_assert_int_eq(event->err.code, ERR_READ_ONLY);
+	ck_assert_str_eq(event->sqlstate, "25006");
 	pg_rig_query(1, "ROLLBACK");
-	told = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
-	ck_assert_int_eq(told->err.code, 0);
+	event = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
+	ck_assert_int_eq(event->err.code, 0);
 }
 END_TEST
 
@@ -192,33 +195,33 @@
 		(const char *const[]){ "celeryquay-standin-server", "--name",
 				       "s2", "--exit-with-stdin", NULL },
 		NULL);
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open_at(1, "127.0.0.1", child_port(replica, "port"),
 		       PG_TIMEOUT_US);
 	pg_rig_wait_next();
-	told = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
-	ck_assert_int_eq(told->err.code, ERR_STATEMENT_FAILED);
-	ck_assert_str_eq(told->sqlstate, "25006");
+	event = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
+	ck_assert_int_eq(event->err.code, ERR_STATEMENT_FAILED);
+	ck_assert_str_eq(event->sqlstate, "25006");
 	child_stop(replica);
 }
 END_TEST
 
 START_TEST(no_steps_are_a_round_trip)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	run(1, NULL, 0);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->err.code, 0);
-	ck_assert(told->conn_usable);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->err.code, 0);
+	ck_assert(event->conn_usable);
 }
 END_TEST
 
 /*
- * A caller's SQL holds a NUL. libpq would send the part before it: another
- * statement than the caller's would run.
+ * A caller's SQL or parameter contains a NUL. libpq would send only the part
+ * before it, so another statement than the caller's would run.
  */
 START_TEST(a_nul_in_a_string_is_refused_before_anything_is_sent)
 {
@@ -230,18 +233,18 @@
 	const struct upstream_step with_value = { .sql = STR("SELECT $1"),
 						  .n_params = 1,
 						  .params = &value };
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	run(1, steps, 2);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->err.code, ERR_BAD_FIELD);
-	ck_assert_uint_eq(told->steps_done, 0);
-	ck_assert(told->conn_usable);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->err.code, ERR_BAD_FIELD);
+	ck_assert_uint_eq(event->steps_done, 0);
+	ck_assert(event->conn_usable);
 	run(1, &with_value, 1);
 	ck_assert_int_eq(pg_rig_wait_next()->err.code, ERR_BAD_FIELD);
-	told = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
-	ck_assert_int_eq(told->err.code, 0);
+	event = pg_rig_query(1, "CREATE TABLE t (id INTEGER)");
+	ck_assert_int_eq(event->err.code, 0);
 }
 END_TEST
 
@@ -256,13 +259,13 @@
 END_TEST
 
 /*
- * Two agents ask at once, and the first one's answer is ready last. Each must
- * get its own list.
+ * Two callers run statements at the same time, and the first one's result is
+ * ready last. Each must get its own result.
  */
 START_TEST(answers_on_two_connections_do_not_cross)
 {
-	const struct told *slow;
-	const struct told *quick;
+	const struct pg_event *slow;
+	const struct pg_event *quick;
 
 	pg_rig_open(1);
 	pg_rig_open(2);
@@ -273,15 +276,16 @@
 	ck_assert_ptr_nonnull(strstr(quick->results, "quick"));
 	pg_rig_query(2, "CREATE TABLE t (id INTEGER)");
 	pg_rig_wait(5);
-	slow = pg_rig_told(pg_rig_told(3)->id == 1 ? 3 : 4);
+	slow = pg_rig_event(pg_rig_event(3)->id == 1 ? 3 : 4);
 	ck_assert_uint_eq(slow->id, 1);
 	ck_assert_ptr_nonnull(strstr(slow->results, "primary"));
 }
 END_TEST
 
 /*
- * A request is larger than all buffers on the way, and the server says nothing
- * before it has all of it: only room in the socket can make us go on.
+ * A request is larger than all buffers on the path, and the server sends
+ * nothing before it has received all of it. Sending must continue whenever the
+ * socket becomes writable.
  */
 START_TEST(a_large_parameter_is_sent_as_the_socket_takes_it)
 {
@@ -292,17 +296,17 @@
 					    .n_params = 1,
 					    .params = &value,
 					    .keep_rows = true };
-	const struct told *told;
+	const struct pg_event *event;
 
-	g_string_set_size(large, LARGE);
+	g_string_set_size(large, LARGE_PARAM_BYTES);
 	memset(large->str, 'x', large->len);
 	value.u.s = str_from_gstring(large);
 	pg_rig_open(1);
 	run(1, &step, 1);
-	told = pg_rig_wait_next();
-	ck_assert_msg(!told->err.code, "%s", told->err.message);
+	event = pg_rig_wait_next();
+	ck_assert_msg(!event->err.code, "%s", event->err.message);
 	ck_assert(g_str_has_prefix(
-		told->results, "{\"columns\":[\"n\"],\"rows\":[[50331648]]"));
+		event->results, "{\"columns\":[\"n\"],\"rows\":[[50331648]]"));
 	g_string_free(large, TRUE);
 }
 END_TEST
--- a/packages/transport/tests/test_pg_fault.c
+++ b/packages/transport/tests/test_pg_fault.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 #define MB ((uint64_t)1024 * 1024)
-/* Short, as the test waits for it to pass; nothing is measured by it. */
+/* A timeout that has to expire during a test, so it is short. */
 #define SHORT_US (200 * USEC_PER_MSEC)
 
 static const char forever[] = "SELECT cq_wait(1, 1, 1, 1, 600000)";
@@ -27,7 +27,7 @@
 	pg_rig_run(id, &step, 1, max_bytes, timeout_us);
 }
 
-/* A port of the kernel's choice that nobody listens on. */
+/* Returns a port, chosen by the kernel, that nothing listens on. */
 static unsigned closed_port(void)
 {
 	struct sockaddr_in address = { .sin_family = AF_INET };
@@ -43,14 +43,14 @@
 
 static void check_open_fails(const char *host, unsigned port, const char *text)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open_at(1, host, port, PG_TIMEOUT_US);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->kind, TOLD_OPENED);
-	ck_assert_int_eq(told->err.code, ERR_CONNECT_FAILED);
-	ck_assert_msg(strstr(told->err.message, text) != NULL, "%s",
-		      told->err.message);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->kind, PG_EVENT_OPENED);
+	ck_assert_int_eq(event->err.code, ERR_CONNECT_FAILED);
+	ck_assert_msg(strstr(event->err.message, text) != NULL, "%s",
+		      event->err.message);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 }
 
@@ -60,14 +60,18 @@
 }
 END_TEST
 
-/* A name would be looked up, and the whole loop would wait for that. */
+/* Resolving a name would block the whole loop, so only addresses are accepted.
+ */
 START_TEST(a_host_that_is_no_address_is_not_looked_up)
 {
 	check_open_fails("localhost", 5432, "localhost");
 }
 END_TEST
 
-/* libpq reads its environment, which is not part of our settings. */
+/*
+ * libpq takes missing parameters from the environment, which is not part of the
+ * settings and must not change the target.
+ */
 START_TEST(the_environment_does_not_redirect_connections)
 {
 	g_setenv("PGHOST", "one,two", TRUE);
@@ -81,7 +85,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_is_full_says_so)
+START_TEST(a_server_at_its_connection_limit_is_reported)
 {
 	struct child *full = child_start(
 		(const char *const[]){ "celeryquay-standin-server", "--name",
@@ -98,7 +102,7 @@
 }
 END_TEST
 
-START_TEST(a_server_that_does_not_answer_is_given_up_on)
+START_TEST(opening_times_out_when_the_server_does_not_answer)
 {
 	pg_rig_fault("/blackhole", "{}");
 	pg_rig_open_at(1, "127.0.0.1", pg_rig.proxy_port, SHORT_US);
@@ -107,20 +111,20 @@
 }
 END_TEST
 
-static bool is_waiting(void *ctx)
+static bool statement_is_running(void *ctx)
 {
 	JsonObject *state = child_control(pg_rig.server, "/state", NULL);
 	JsonObject *counts = json_object_get_object_member(state, "counts");
-	bool waits = json_object_get_int_member(counts, "controls") == 1;
+	bool running = json_object_get_int_member(counts, "controls") == 1;
 
 	(void)ctx;
 	json_object_unref(state);
-	return waits;
+	return running;
 }
 
 /*
- * The server dies while the second of three statements runs. The request must
- * end at once as lost, and say how far it got.
+ * The server dies while the second of three statements runs. The run must end
+ * at once with CONNECTION_LOST and the number of steps that succeeded.
  */
 START_TEST(the_connection_dies_in_mid_pipeline)
 {
@@ -129,83 +133,83 @@
 		UNKEPT("SELECT cq_wait(1, 1, 1, 1, 600000)"),
 		UNKEPT("COMMIT"),
 	};
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	pg_rig_run(1, steps, 3, 0, 0);
-	loop_until(&pg_rig.loop, is_waiting, NULL);
+	loop_until(&pg_rig.loop, statement_is_running, NULL);
 	child_kill(pg_rig.server);
 	pg_rig.server = NULL;
-	told = pg_rig_wait_next();
-	ck_assert_uint_eq(told->id, 1);
-	ck_assert_int_eq(told->err.code, ERR_CONNECTION_LOST);
-	ck_assert_uint_le(told->steps_done, 1);
-	ck_assert(!told->conn_usable);
+	event = pg_rig_wait_next();
+	ck_assert_uint_eq(event->id, 1);
+	ck_assert_int_eq(event->err.code, ERR_CONNECTION_LOST);
+	ck_assert_uint_le(event->steps_done, 1);
+	ck_assert(!event->conn_usable);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 }
 END_TEST
 
-START_TEST(an_idle_connection_that_breaks_is_told)
+START_TEST(an_idle_connection_that_breaks_is_reported)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open_faulty(1);
 	pg_rig_fault("/cut", "{}");
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->kind, TOLD_LOST);
-	ck_assert_int_eq(told->err.code, ERR_CONNECTION_LOST);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->kind, PG_EVENT_LOST);
+	ck_assert_int_eq(event->err.code, ERR_CONNECTION_LOST);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 }
 END_TEST
 
 START_TEST(a_run_on_a_connection_that_is_gone_is_answered)
 {
-	const struct told *told = pg_rig_query(9, "SELECT 1");
+	const struct pg_event *event = pg_rig_query(9, "SELECT 1");
 
-	ck_assert_int_eq(told->err.code, ERR_CONNECTION_LOST);
-	ck_assert(!told->conn_usable);
+	ck_assert_int_eq(event->err.code, ERR_CONNECTION_LOST);
+	ck_assert(!event->conn_usable);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 }
 END_TEST
 
 /*
- * Something between the two ends forgets an open connection: it goes silent
- * for good while new ones work. The request must end at its timeout, the
- * connection must not be used again, and a new one must serve.
+ * A device on the path drops an open connection from its table: the connection
+ * goes silent for good while new ones work. The request must end at its
+ * timeout, the connection must not be used again, and a new one must work.
  */
 START_TEST(a_connection_that_goes_silent_is_closed_at_the_timeout)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open_faulty(1);
 	pg_rig_fault("/blackhole", "{\"new\": false}");
 	run_one(1, "SELECT 1", 0, SHORT_US);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->err.code, ERR_TIMED_OUT);
-	ck_assert(!told->conn_usable);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->err.code, ERR_TIMED_OUT);
+	ck_assert(!event->conn_usable);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 	pg_rig_open_faulty(2);
 	ck_assert_int_eq(pg_rig_query(2, "SELECT 1")->err.code, 0);
 }
 END_TEST
 
-static bool nobody_waits(void *ctx)
+static bool one_session_is_left(void *ctx)
 {
 	JsonObject *state = child_control(pg_rig.server, "/state", NULL);
 	JsonObject *counts = json_object_get_object_member(state, "counts");
-	bool gone = json_object_get_int_member(counts, "sessions") == 1;
+	bool one_left = json_object_get_int_member(counts, "sessions") == 1;
 
 	(void)ctx;
 	json_object_unref(state);
-	return gone;
+	return one_left;
 }
 
 /*
- * A caller's request is given up on and its connection closed while the
- * server still works on it. The answer comes later; nobody may get it, the
- * next user of the number least of all.
+ * A connection is closed while the server still executes its request, and the
+ * answer arrives later. It must not be reported, in particular not as a result
+ * of the next connection with the same id.
  */
-START_TEST(a_late_answer_after_close_is_never_told)
+START_TEST(a_late_answer_after_close_is_never_reported)
 {
 	pg_rig_open_faulty(1);
 	pg_rig_fault("/pause", "{}");
@@ -214,8 +218,8 @@
 	pg_ops.close(pg_rig.upstream, 1);
 	pg_rig_open(1);
 	pg_rig_fault("/heal", "{}");
-	loop_until(&pg_rig.loop, nobody_waits, NULL);
-	ck_assert_uint_eq(pg_rig.told->len, 2);
+	loop_until(&pg_rig.loop, one_session_is_left, NULL);
+	ck_assert_uint_eq(pg_rig.recorded->len, 2);
 	ck_assert_ptr_nonnull(
 		strstr(pg_rig_query(1, "SELECT 'own'")->results, "own"));
 }
@@ -237,11 +241,11 @@
 	pg_ops.close(pg_rig.upstream, 4);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 	pg_rig_open(5);
-	ck_assert_uint_eq(pg_rig.told->len, 3);
+	ck_assert_uint_eq(pg_rig.recorded->len, 3);
 }
 END_TEST
 
-START_TEST(destroy_works_while_all_is_under_way)
+START_TEST(destroy_works_in_every_state)
 {
 	pg_rig_open(1);
 	pg_rig_start(1, forever);
@@ -261,15 +265,16 @@
 }
 
 /*
- * An adviser's export of 20 MB runs beside small requests. The loop must turn
- * often meanwhile, so that the others' answers go out; also when a large row
- * has made libpq's buffer so large that all the rest fits into it.
+ * A result of 20 MB is read while other connections have small requests. It
+ * must be spread over many iterations of the loop, so that the others are
+ * served in between; also when an earlier large row has grown libpq's buffer so
+ * much that the whole result fits into it.
  */
 START_TEST(a_large_answer_comes_in_many_turns_of_the_loop)
 {
 	unsigned turns = 0;
 	uv_prepare_t prepare;
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	pg_rig_query(1, one_row);
@@ -277,25 +282,25 @@
 	uv_prepare_init(&pg_rig.loop, &prepare);
 	prepare.data = &turns;
 	uv_prepare_start(&prepare, count_turn);
-	told = pg_rig_wait_next();
+	event = pg_rig_wait_next();
 	uv_close((uv_handle_t *)&prepare, NULL);
 	uv_run(&pg_rig.loop, UV_RUN_NOWAIT);
-	ck_assert_msg(!told->err.code, "%s", told->err.message);
-	ck_assert_uint_gt(strlen(told->results), 20 * MB);
+	ck_assert_msg(!event->err.code, "%s", event->err.message);
+	ck_assert_uint_gt(strlen(event->results), 20 * MB);
 	ck_assert_uint_gt(turns, 20 * MB / (MB / 2));
 }
 END_TEST
 
 static void check_too_large(const char *sql, uint64_t limit, const char *text)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open_faulty(1);
 	run_one(1, sql, limit, PG_TIMEOUT_US);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->err.code, ERR_ANSWER_TOO_LARGE);
-	ck_assert_ptr_nonnull(strstr(told->err.message, text));
-	ck_assert(!told->conn_usable);
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->err.code, ERR_ANSWER_TOO_LARGE);
+	ck_assert_ptr_nonnull(strstr(event->err.message, text));
+	ck_assert(!event->conn_usable);
 	ck_assert_uint_eq(pg_open_connections(pg_rig.upstream), 0);
 }
 
@@ -305,23 +310,24 @@
 }
 END_TEST
 
-/* With a small limit rows are gathered first; they must not be without end. */
-START_TEST(gathered_rows_above_the_limit_end_the_run)
+/* With a small limit libpq buffers the rows; the buffer must be bounded too. */
+START_TEST(buffered_rows_above_the_limit_end_the_run)
 {
 	check_too_large(many_rows, MB, "the answer grows larger");
 }
 END_TEST
 
-START_TEST(gathered_rows_just_above_the_limit_end_the_run)
+START_TEST(buffered_rows_just_above_the_limit_end_the_run)
 {
 	check_too_large("SELECT 'ab' AS a", 25, "the answer is larger");
 }
 END_TEST
 
 /*
- * libpq keeps a row until it is whole: one row can take all the memory. It is
- * refused as it grows, or as a whole if a busy machine lets all of it come
- * between two turns of the loop; either names the limit.
+ * libpq buffers a row until it is complete, so one row can take all the memory.
+ * It is refused while it grows, or when it is complete if on a busy machine all
+ * of it arrives between two iterations of the loop. Both errors name the
+ * limit.
  */
 START_TEST(a_single_row_above_the_limit_ends_the_run)
 {
@@ -329,28 +335,28 @@
 }
 END_TEST
 
-/* Bytes take more on the wire than in JSON; the limit is for JSON. */
+/* Bytes take more on the wire than in JSON; the limit applies to the JSON. */
 START_TEST(bytes_within_the_limit_are_not_refused)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	run_one(1, "SELECT zeroblob(9437184) AS b", 13 * MB, PG_TIMEOUT_US);
-	told = pg_rig_wait_next();
-	ck_assert_msg(!told->err.code, "%s", told->err.message);
-	ck_assert_uint_gt(strlen(told->results), 12 * MB);
+	event = pg_rig_wait_next();
+	ck_assert_msg(!event->err.code, "%s", event->err.message);
+	ck_assert_uint_gt(strlen(event->results), 12 * MB);
 }
 END_TEST
 
 START_TEST(an_answer_within_the_limit_is_whole)
 {
-	const struct told *told;
+	const struct pg_event *event;
 
 	pg_rig_open(1);
 	run_one(1, many_rows, 40 * MB, PG_TIMEOUT_US);
-	told = pg_rig_wait_next();
-	ck_assert_int_eq(told->err.code, 0);
-	ck_assert(g_str_has_suffix(told->results, "\"rows_affected\":0}"));
+	event = pg_rig_wait_next();
+	ck_assert_int_eq(event->err.code, 0);
+	ck_assert(g_str_has_suffix(event->results, "\"rows_affected\":0}"));
 }
 END_TEST
 
@@ -362,20 +368,20 @@
 	tcase_add_test(t, a_server_that_is_down_refuses);
 	tcase_add_test(t, a_host_that_is_no_address_is_not_looked_up);
 	tcase_add_test(t, the_environment_does_not_redirect_connections);
-	tcase_add_test(t, a_server_that_is_full_says_so);
-	tcase_add_test(t, a_server_that_does_not_answer_is_given_up_on);
+	tcase_add_test(t, a_server_at_its_connection_limit_is_reported);
+	tcase_add_test(t, opening_times_out_when_the_server_does_not_answer);
 	tcase_add_test(t, the_connection_dies_in_mid_pipeline);
-	tcase_add_test(t, an_idle_connection_that_breaks_is_told);
+	tcase_add_test(t, an_idle_connection_that_breaks_is_reported);
 	tcase_add_test(t, a_run_on_a_connection_that_is_gone_is_answered);
 	tcase_add_test(t,
 		       a_connection_that_goes_silent_is_closed_at_the_timeout);
-	tcase_add_test(t, a_late_answer_after_close_is_never_told);
+	tcase_add_test(t, a_late_answer_after_close_is_never_reported);
 	tcase_add_test(t, close_works_in_every_state);
-	tcase_add_test(t, destroy_works_while_all_is_under_way);
+	tcase_add_test(t, destroy_works_in_every_state);
 	tcase_add_test(t, a_large_answer_comes_in_many_turns_of_the_loop);
 	tcase_add_test(t, an_answer_above_the_limit_ends_the_run);
-	tcase_add_test(t, gathered_rows_above_the_limit_end_the_run);
-	tcase_add_test(t, gathered_rows_just_above_the_limit_end_the_run);
+	tcase_add_test(t, buffered_rows_above_the_limit_end_the_run);
+	tcase_add_test(t, buffered_rows_just_above_the_limit_end_the_run);
 	tcase_add_test(t, bytes_within_the_limit_are_not_refused);
 	tcase_add_test(t, a_single_row_above_the_limit_ends_the_run);
 	tcase_add_test(t, an_answer_within_the_limit_is_whole);
--- a/packages/transport/tests/test_pg_json.c
+++ b/packages/transport/tests/test_pg_json.c
@@ -27,7 +27,7 @@
 }
 END_TEST
 
-START_TEST(what_json_has_no_number_for_is_a_string)
+START_TEST(values_that_are_no_json_numbers_become_strings)
 {
 	check_value(PG_OID_FLOAT8, STR("NaN"), "\"NaN\"");
 	check_value(PG_OID_FLOAT8, STR("-Infinity"), "\"-Infinity\"");
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-START_TEST(an_escape_is_found_at_every_place)
+START_TEST(an_escape_is_found_at_every_position)
 {
 	char text[33];
 	unsigned len;
@@ -109,8 +109,9 @@
 END_TEST
 
 /*
- * A table holds bytes that are no UTF-8, put there by another program. The
- * caller could not read any of its answer: JSON must be UTF-8.
+ * Another program has stored bytes in a table that are not valid UTF-8. JSON
+ * must be UTF-8, so without a replacement the caller could not parse any of its
+ * answer.
  */
 START_TEST(bytes_that_are_not_utf8_do_not_spoil_the_answer)
 {
@@ -153,12 +154,12 @@
 	TCase *t = tcase_create("values");
 
 	tcase_add_test(t, numbers_are_json_numbers);
-	tcase_add_test(t, what_json_has_no_number_for_is_a_string);
+	tcase_add_test(t, values_that_are_no_json_numbers_become_strings);
 	tcase_add_test(t, booleans);
 	tcase_add_test(t, bytes_in_both_formats);
 	tcase_add_test(t, long_bytes_are_one_base64_text);
 	tcase_add_test(t, strings_are_escaped);
-	tcase_add_test(t, an_escape_is_found_at_every_place);
+	tcase_add_test(t, an_escape_is_found_at_every_position);
 	tcase_add_test(t, bytes_that_are_not_utf8_do_not_spoil_the_answer);
 	tcase_add_test(t, parameters_become_text_with_types);
 	return t;
