--- a/packages/transport/src/peer.c
+++ b/packages/transport/src/peer.c
@@ -17,7 +17,7 @@
  * Maximum number of messages delivered in one iteration of the loop. The rest
  * follows in the next one, so that other sockets are served in between.
  */
-#define MESSAGES_PER_TURN_MAX 128
+#define MESSAGES_PER_ITERATION_MAX 128
 /* Frames of a message: id of the connection, header, body. */
 #define FRAMES 3
 /* Message property with the sender's key, as set by the ZAP handler. */
@@ -108,7 +108,7 @@
 	struct peer *p = data;
 	unsigned n;
 
-	for (n = 0; n < MESSAGES_PER_TURN_MAX; n++) {
+	for (n = 0; n < MESSAGES_PER_ITERATION_MAX; n++) {
 		struct received r;
 		bool got = receive(p->router, &r);
 
--- a/packages/transport/src/peer_link.c
+++ b/packages/transport/src/peer_link.c
@@ -90,10 +90,10 @@
 	uv_timer_t *sweep;
 };
 
-static void byte_counter_unref(struct byte_counter *a)
+static void byte_counter_unref(struct byte_counter *counter)
 {
-	if (atomic_fetch_sub(&a->refs, 1) == 1)
-		g_free(a);
+	if (atomic_fetch_sub(&counter->refs, 1) == 1)
+		g_free(counter);
 }
 
 /* A body that is sent without a copy, until ZeroMQ releases it. */
@@ -114,7 +114,7 @@
 	g_free(h);
 }
 
-static void init_shared(zmq_msg_t *msg, struct byte_counter *byte_counter,
+static void init_shared(zmq_msg_t *msg, struct byte_counter *counter,
 			GBytes *bytes)
 {
 	struct shared_body *h = g_new(struct shared_body, 1);
@@ -123,9 +123,9 @@
 	void *data = (void *)g_bytes_get_data(bytes, &len);
 
 	h->bytes = g_bytes_ref(bytes);
-	h->unsent = byte_counter;
-	atomic_fetch_add(&byte_counter->refs, 1);
-	atomic_fetch_add(&byte_counter->bytes, (long)len);
+	h->unsent = counter;
+	atomic_fetch_add(&counter->refs, 1);
+	atomic_fetch_add(&counter->bytes, (long)len);
 	zmq_msg_init_data(msg, data, len, release_body, h);
 }
 
--- a/packages/transport/src/pg_run.c
+++ b/packages/transport/src/pg_run.c
@@ -14,8 +14,8 @@
  * Limits of the work done in one iteration of the loop, so that other
  * connections are not delayed: bytes of JSON produced, and time taken.
  */
-#define TURN_BYTES_MAX ((size_t)256 * 1024)
-#define TURN_USEC_MAX 1000
+#define ITERATION_BYTES_MAX ((size_t)256 * 1024)
+#define ITERATION_USEC_MAX 1000
 /* Number of rows converted between two reads of the clock. */
 #define ROWS_PER_CLOCK_READ 32
 /*
@@ -50,9 +50,9 @@
 };
 
 /* The work done so far in one iteration of the loop. */
-struct turn {
-	size_t start; /* length of the results before this iteration */
-	unsigned rows; /* calls of turn_is_over(), about one per row */
+struct iteration {
+	size_t start; /* length of the results at its start */
+	unsigned rows; /* calls of iteration_is_over(), about one per row */
 	gint64 began_at_us; /* first read of the clock; 0: not read yet */
 };
 
@@ -284,29 +284,29 @@
 	return check_size(run);
 }
 
-static bool turn_is_over(struct turn *turn, const struct pg_run *run)
+static bool iteration_is_over(struct iteration *it, const struct pg_run *run)
 {
 	gint64 now;
 
-	if (run->rows.out->len - turn->start > TURN_BYTES_MAX)
+	if (run->rows.out->len - it->start > ITERATION_BYTES_MAX)
 		return true;
-	if (++turn->rows % ROWS_PER_CLOCK_READ)
+	if (++it->rows % ROWS_PER_CLOCK_READ)
 		return false;
 	now = g_get_monotonic_time();
-	if (!turn->began_at_us)
-		turn->began_at_us = now;
-	return now - turn->began_at_us > TURN_USEC_MAX;
+	if (!it->began_at_us)
+		it->began_at_us = now;
+	return now - it->began_at_us > ITERATION_USEC_MAX;
 }
 
-/* Converts rows that libpq has buffered, within this iteration's limits. */
-static enum pg_run_state take_buffered(struct pg_run *run, struct turn *turn)
+/* Converts rows that libpq has buffered, within the iteration's limits. */
+static enum pg_run_state take_buffered(struct pg_run *run, struct iteration *it)
 {
 	PGresult *res = run->buffered_rows;
 	int n = keeps_rows(run) ? PQntuples(res) : MIN(PQntuples(res), 1);
 	enum pg_run_state state = PG_RUN_AGAIN;
 
 	while (run->next_row < n && state == PG_RUN_AGAIN) {
-		if (run->next_row && turn_is_over(turn, run))
+		if (run->next_row && iteration_is_over(it, run))
 			return PG_RUN_AGAIN;
 		take_row(run, res, run->next_row++);
 		state = check_size(run);
@@ -476,16 +476,16 @@
  */
 enum pg_run_state pg_run_read(struct pg_run *run, PGconn *pq)
 {
-	struct turn turn = { .start = run->rows.out->len };
+	struct iteration it = { .start = run->rows.out->len };
 	enum pg_run_state state;
 
 	do {
 		if (run->buffered_rows)
-			state = take_buffered(run, &turn);
+			state = take_buffered(run, &it);
 		else if (PQisBusy(pq))
 			return wait_for_more(run, pq);
 		else
 			state = take_next(run, pq);
-	} while (state == PG_RUN_AGAIN && !turn_is_over(&turn, run));
+	} while (state == PG_RUN_AGAIN && !iteration_is_over(&it, run));
 	return state;
 }
--- a/packages/transport/tests/test_peer.c
+++ b/packages/transport/tests/test_peer.c
@@ -220,8 +220,7 @@
 }
 END_TEST
 
-/* Nothing listens at the peer: sending must fail instead of queueing forever.
- */
+/* Nothing listens at the peer: sending must fail, not queue forever. */
 START_TEST(queue_to_an_unreachable_peer_is_bounded)
 {
 	struct node a;
--- a/packages/transport/tests/test_pg_fault.c
+++ b/packages/transport/tests/test_pg_fault.c
@@ -60,8 +60,7 @@
 }
 END_TEST
 
-/* Resolving a name would block the whole loop, so only addresses are accepted.
- */
+/* Resolving a name would block the loop, so only addresses are accepted. */
 START_TEST(a_host_that_is_no_address_is_not_looked_up)
 {
 	check_open_fails("localhost", 5432, "localhost");
@@ -257,11 +256,11 @@
 }
 END_TEST
 
-static void count_turn(uv_prepare_t *prepare)
+static void count_iteration(uv_prepare_t *prepare)
 {
-	unsigned *turns = prepare->data;
+	unsigned *n_iterations = prepare->data;
 
-	(*turns)++;
+	(*n_iterations)++;
 }
 
 /*
@@ -270,9 +269,9 @@
  * served in between; also when an earlier large row has grown libpq's buffer so
  * much that the whole result fits into it.
  */
-START_TEST(a_large_answer_comes_in_many_turns_of_the_loop)
+START_TEST(a_large_answer_takes_many_iterations_of_the_loop)
 {
-	unsigned turns = 0;
+	unsigned n_iterations = 0;
 	uv_prepare_t prepare;
 	const struct pg_event *event;
 
@@ -280,14 +279,14 @@
 	pg_rig_query(1, one_row);
 	pg_rig_start(1, many_rows);
 	uv_prepare_init(&pg_rig.loop, &prepare);
-	prepare.data = &turns;
-	uv_prepare_start(&prepare, count_turn);
+	prepare.data = &n_iterations;
+	uv_prepare_start(&prepare, count_iteration);
 	event = pg_rig_wait_next();
 	uv_close((uv_handle_t *)&prepare, NULL);
 	uv_run(&pg_rig.loop, UV_RUN_NOWAIT);
 	ck_assert_msg(!event->err.code, "%s", event->err.message);
 	ck_assert_uint_gt(strlen(event->results), 20 * MB);
-	ck_assert_uint_gt(turns, 20 * MB / (MB / 2));
+	ck_assert_uint_gt(n_iterations, 20 * MB / (MB / 2));
 }
 END_TEST
 
@@ -378,7 +377,7 @@
 	tcase_add_test(t, a_late_answer_after_close_is_never_reported);
 	tcase_add_test(t, close_works_in_every_state);
 	tcase_add_test(t, destroy_works_in_every_state);
-	tcase_add_test(t, a_large_answer_comes_in_many_turns_of_the_loop);
+	tcase_add_test(t, a_large_answer_takes_many_iterations_of_the_loop);
 	tcase_add_test(t, an_answer_above_the_limit_ends_the_run);
 	tcase_add_test(t, buffered_rows_above_the_limit_end_the_run);
 	tcase_add_test(t, buffered_rows_just_above_the_limit_end_the_run);
