--- a/packages/transport/src/peer_link.c
+++ b/packages/transport/src/peer_link.c
@@ -90,10 +90,10 @@
 	uv_timer_t *sweep;
 };
 
-static void byte_counter_unref(struct byte_counter *counter)
+static void byte_counter_unref(struct byte_counter *c)
 {
-	if (atomic_fetch_sub(&counter->refs, 1) == 1)
-		g_free(counter);
+	if (atomic_fetch_sub(&c->refs, 1) == 1)
+		g_free(c);
 }
 
 /* A body that is sent without a copy, until ZeroMQ releases it. */
