--- a/packages/transport/include/celeryquay/transport/peer.h
+++ b/packages/transport/include/celeryquay/transport/peer.h
@@ -28,7 +28,7 @@
 	const char *host; /* numeric address to bind */
 	uint16_t port; /* port to bind; 0: chosen by the kernel */
 	const char *name; /* this node's name */
-	uint64_t incarnation; /* this process's; differs after a restart */
+	uint64_t incarnation; /* of this process; changes with a restart */
 	/* Z85 keys of 40 characters; all NULL: no encryption. */
 	const char *curve_secret;
 	const char *curve_public;
--- a/packages/transport/src/peer_link.c
+++ b/packages/transport/src/peer_link.c
@@ -77,10 +77,10 @@
 	void *socket;
 	struct peer_watch *watch;
 	GQueue waiting; /* struct waiting, oldest first */
-	size_t waiting_bytes; /* bytes of their bodies */
+	size_t waiting_bytes; /* total size of their bodies */
 	uint64_t created_at_ms;
-	uint64_t used_at_ms; /* of the last attempt to send */
-	uint64_t down_since_ms; /* first failed send; 0: last one succeeded */
+	uint64_t used_at_ms; /* time of the last attempt to send */
+	uint64_t down_since_ms; /* time of first failed send; 0: none */
 	struct byte_counter *unsent; /* bytes that ZeroMQ has not sent yet */
 };
 
--- a/packages/transport/src/peer_private.h
+++ b/packages/transport/src/peer_private.h
@@ -46,7 +46,7 @@
 	void *ctx;
 	char name[PEER_NAME_SIZE];
 	uint64_t incarnation;
-	uint16_t port; /* that the router is bound to */
+	uint16_t port; /* port that the router is bound to */
 	bool encrypted;
 	struct peer_keys keys;
 	/* Bytes of headers and bodies, by kind of message. */
@@ -56,8 +56,8 @@
 
 struct peer_header {
 	enum peer_kind kind;
-	char from[PEER_NAME_SIZE]; /* sender's name */
-	uint64_t incarnation; /* sender's */
+	char from[PEER_NAME_SIZE]; /* the sender's name */
+	uint64_t incarnation; /* the sender's incarnation */
 	uint64_t correlation;
 };
 
--- a/packages/transport/src/pg_conn.c
+++ b/packages/transport/src/pg_conn.c
@@ -33,8 +33,8 @@
 	int poll_events; /* events being watched for; 0: stopped */
 	uv_timer_t timer;
 	uint64_t timer_due_at_us; /* when the timer fires; 0: stopped */
-	uint64_t deadline_at_us; /* of the opening or the run; 0: none */
-	uint64_t timeout_us; /* that the deadline was set from; for messages */
+	uint64_t deadline_at_us; /* end of the timeout; 0: none */
+	uint64_t timeout_us; /* timeout behind the deadline; for messages */
 	struct pg_run *run; /* the run in progress; NULL: none */
 	bool read_only; /* a READ ONLY transaction is open */
 	GList link; /* in the table's queue of deferred connections */
@@ -263,9 +263,7 @@
 {
 	bool watched;
 
-	/*
-	 * libpq may close the socket and open one with the same descriptor.
-	 */
+	/* libpq may close the socket and reuse its descriptor number. */
 	stop_poll(c);
 	switch (PQconnectPoll(c->pq)) {
 	case PGRES_POLLING_OK:
@@ -290,7 +288,7 @@
 	struct pg_conn *c = poll->data;
 
 	if (status < 0) {
-		/* libuv has stopped the handle; reading gives the error. */
+		/* libuv has stopped the handle; libpq will find the error. */
 		c->poll_events = 0;
 		events = UV_READABLE;
 	}
--- a/packages/transport/tests/test_peer.c
+++ b/packages/transport/tests/test_peer.c
@@ -18,8 +18,8 @@
 struct node {
 	struct peer *peer;
 	struct member_info info;
-	unsigned messages; /* number received */
-	size_t bytes; /* of their bodies */
+	unsigned messages; /* number of messages received */
+	size_t bytes; /* total size of their bodies */
 	enum peer_kind kind; /* this and the rest: of the last message */
 	char from[64];
 	uint64_t correlation;
