--- a/packages/daemon/src/main.c
+++ b/packages/daemon/src/main.c
@@ -13,11 +13,12 @@
 #include <unistd.h>
 
 #define EXIT_USAGE 2
-#define CLOSE_LIMIT_MS 2000
+/* How long the loop runs at exit before open handles are closed by force. */
+#define CLOSE_TIMEOUT_MS 2000
 
 struct options {
-	char *settings;
-	gboolean check;
+	char *settings; /* path of the settings file */
+	gboolean check; /* only check the settings file */
 	gboolean version;
 };
 
@@ -36,23 +37,24 @@
 		uv_close(handle, NULL);
 }
 
-static void on_limit(uv_timer_t *timer)
+static void on_close_timeout(uv_timer_t *timer)
 {
 	uv_stop(timer->loop);
 }
 
 /*
- * The parts close what they own in turns of the loop after their destruction;
- * what is still open after a while is closed here. The limit's timer alone
- * keeps no loop alive.
+ * The destroyed components close their handles asynchronously, so the loop runs
+ * until all are closed. Handles that are still open after CLOSE_TIMEOUT_MS are
+ * closed here. The timeout's timer is unreferenced, so that it does not keep
+ * the loop alive by itself.
  */
 static void close_loop(uv_loop_t *loop)
 {
-	uv_timer_t limit;
+	uv_timer_t timeout;
 
-	uv_timer_init(loop, &limit);
-	uv_timer_start(&limit, on_limit, CLOSE_LIMIT_MS, 0);
-	uv_unref((uv_handle_t *)&limit);
+	uv_timer_init(loop, &timeout);
+	uv_timer_start(&timeout, on_close_timeout, CLOSE_TIMEOUT_MS, 0);
+	uv_unref((uv_handle_t *)&timeout);
 	uv_run(loop, UV_RUN_DEFAULT);
 	uv_walk(loop, on_walk, NULL);
 	uv_run(loop, UV_RUN_DEFAULT);
@@ -67,7 +69,7 @@
 	uv_signal_start(handle, on_signal, number);
 }
 
-/* Runs one proxy until it has stopped; the exit code of the process. */
+/* Runs one proxy until it has stopped; returns the exit code. */
 static int run(const struct node_settings *settings)
 {
 	uv_signal_t on_term, on_int;
@@ -119,8 +121,9 @@
 }
 
 /*
- * Exit codes: 0 a planned stop or good settings, 1 settings or ports that
- * can't be used, 2 a wrong command line.
+ * Exit codes: 0 after a planned stop or if --check found the settings valid,
+ * 1 if the settings are invalid or a port can't be opened, 2 for an invalid
+ * command line.
  */
 int main(int argc, char **argv)
 {
@@ -136,10 +139,10 @@
 		return EXIT_SUCCESS;
 	}
 	if (!options.settings) {
-		fprintf(stderr, "celeryquayd: --settings FILE is wanted\n");
+		fprintf(stderr, "celeryquayd: --settings FILE is required\n");
 		return EXIT_USAGE;
 	}
-	if (relay_node_wanted(options.settings)) {
+	if (relay_node_is_configured(options.settings)) {
 		code = relay_node_run(options.settings, options.check);
 		g_free(options.settings);
 		return code;
@@ -152,7 +155,8 @@
 		node_settings_destroy(settings);
 		return EXIT_FAILURE;
 	}
-	/* A caller that hangs up must not end the process. */
+	/* Writing to a connection closed by a caller must not end the process.
+	 */
 	signal(SIGPIPE, SIG_IGN);
 	log_init(settings->name, settings->log_level, settings->log_decisions);
 	if (!options.check)
--- a/packages/daemon/src/relay_node.c
+++ b/packages/daemon/src/relay_node.c
@@ -11,20 +11,25 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-/* A stop ends at the latest this long after drain_us. */
-#define STOP_LIMIT_MS 1500
-/* A proxy's share of a log pipeline; 64 KiB/s are 5.5 GB a day. */
-#define GONE_MARGIN_US (2 * USEC_PER_SEC)
-#define LOG_LINES_PER_S 200
-#define LOG_BYTES_PER_S 65536
-#define LOG_LIMIT 1000000000
-#define END_TURNS 16 /* of the loop; handles need two or three */
+/* A planned stop ends at most this long after drain_us. */
+#define STOP_GRACE_MS 1500
+/* Minimum of gone_after_us - authority_us, see check_times(). */
+#define GONE_AFTER_MARGIN_US (2 * USEC_PER_SEC)
+/*
+ * Default limits of a proxy's log rate, its share of a log pipeline. 64 KiB/s
+ * are 5.5 GB a day.
+ */
+#define DEFAULT_LOG_LINES_PER_S 200
+#define DEFAULT_LOG_BYTES_PER_S 65536
+#define LOG_SETTING_MAX 1000000000 /* upper bound of the log settings */
+/* Loop iterations for closing handles at exit, which takes two or three. */
+#define CLOSE_ITERATIONS_MAX 16
 
 struct relay_node {
 	uv_loop_t loop;
 	char *driver_name;
 	char *name;
-	char *zone;
+	char *zone; /* data centre */
 	char *log_level;
 	bool log_decisions;
 	struct log_budget log_budget;
@@ -35,19 +40,19 @@
 	const struct relay_driver *driver;
 	struct relay_driver_state *state;
 	uv_timer_t tick;
-	uint64_t armed_us;
+	uint64_t tick_due_at_us; /* when the armed tick is due */
 	uv_signal_t on_term, on_int, on_hup;
 	bool stopping;
-	uint64_t stop_us;
+	uint64_t stop_begun_at_us; /* when the stop signal came */
 };
 
-/* The loop that all of the node runs on. */
+/* The event loop on which the whole node runs. */
 uv_loop_t *relay_node_loop(struct relay_node *n)
 {
 	return &n->loop;
 }
 
-/* The node's relay; it lives as long as the driver. */
+/* The node's relay; NULL until the driver is created, then it outlives it. */
 struct relay *relay_node_relay(struct relay_node *n)
 {
 	return n->relay;
@@ -59,25 +64,25 @@
 	return n->counters;
 }
 
-/* The node's name, as its settings have it. */
+/* The node's name from its settings. */
 const char *relay_node_name(const struct relay_node *n)
 {
 	return n->name;
 }
 
-/* Its data centre, as its settings have it. */
+/* The node's data centre from its settings. */
 const char *relay_node_zone(const struct relay_node *n)
 {
 	return n->zone;
 }
 
-/* What all that the relay is told is timed by. */
+/* The clock of all times that are passed to the relay. */
 uint64_t relay_node_now_us(void)
 {
 	return clock_boot_us();
 }
 
-/* The relay's settings, which a driver may add to until it is created. */
+/* The relay's settings; a driver may change them until it is created. */
 struct relay_settings *relay_node_settings(struct relay_node *n)
 {
 	return &n->settings;
@@ -85,7 +90,10 @@
 
 static void on_tick(uv_timer_t *timer);
 
-/* Arms the tick; a driver calls it after each event. */
+/*
+ * Re-arms the timer if the relay's next tick is due earlier than the armed one.
+ * A driver calls it after each event.
+ */
 void relay_node_wake(struct relay_node *n)
 {
 	uint64_t now_us, next_us;
@@ -93,9 +101,10 @@
 	if (uv_is_closing((uv_handle_t *)&n->tick))
 		return;
 	next_us = relay_next_tick_us(n->relay);
-	if (uv_is_active((uv_handle_t *)&n->tick) && next_us >= n->armed_us)
+	if (uv_is_active((uv_handle_t *)&n->tick) &&
+	    next_us >= n->tick_due_at_us)
 		return;
-	n->armed_us = next_us;
+	n->tick_due_at_us = next_us;
 	now_us = relay_node_now_us();
 	uv_timer_start(&n->tick, on_tick,
 		       next_us > now_us ? (next_us - now_us) / 1000 + 1 : 0, 0);
@@ -104,12 +113,12 @@
 static bool stop_is_over(const struct relay_node *n, uint64_t now_us)
 {
 	uint64_t limit_us =
-		n->settings.drain_us + STOP_LIMIT_MS * USEC_PER_MSEC;
+		n->settings.drain_us + STOP_GRACE_MS * USEC_PER_MSEC;
 
-	if (now_us > n->stop_us + limit_us)
+	if (now_us > n->stop_begun_at_us + limit_us)
 		return true;
 	return relay_is_idle(n->relay) &&
-	       now_us > n->stop_us + n->settings.drain_us;
+	       now_us > n->stop_begun_at_us + n->settings.drain_us;
 }
 
 static void on_tick(uv_timer_t *timer)
@@ -147,8 +156,8 @@
 	}
 	log_signal("stopping", number);
 	n->stopping = true;
-	n->stop_us = relay_node_now_us();
-	relay_stop(n->relay, n->stop_us);
+	n->stop_begun_at_us = relay_node_now_us();
+	relay_stop(n->relay, n->stop_begun_at_us);
 	n->driver->stop(n->state);
 }
 
@@ -197,7 +206,8 @@
 {
 	int64_t n;
 
-	if (!settings_int(s, key, 1, LOG_LIMIT, (int64_t)fallback, &n, err))
+	if (!settings_int(s, key, 1, LOG_SETTING_MAX, (int64_t)fallback, &n,
+			  err))
 		return false;
 	*out = (uint64_t)n;
 	return true;
@@ -210,12 +220,12 @@
 
 	if (!settings_str(s, "log_level", "info", &n->log_level, err) ||
 	    !settings_bool(s, "log_decisions", true, &n->log_decisions, err) ||
-	    !settings_int(s, "log_sample", 0, LOG_LIMIT, n->settings.log_sample,
-			  &sample, err) ||
-	    !read_number(s, "log_lines_per_s", &b->lines_per_s, LOG_LINES_PER_S,
-			 err) ||
-	    !read_number(s, "log_bytes_per_s", &b->bytes_per_s, LOG_BYTES_PER_S,
-			 err))
+	    !settings_int(s, "log_sample", 0, LOG_SETTING_MAX,
+			  n->settings.log_sample, &sample, err) ||
+	    !read_number(s, "log_lines_per_s", &b->lines_per_s,
+			 DEFAULT_LOG_LINES_PER_S, err) ||
+	    !read_number(s, "log_bytes_per_s", &b->bytes_per_s,
+			 DEFAULT_LOG_BYTES_PER_S, err))
 		return false;
 	n->settings.log_sample = (unsigned)sample;
 	n->settings.log_statements = n->log_decisions;
@@ -238,17 +248,17 @@
 }
 
 /*
- * A lease must be over, with the margins that primary.c leaves, before others
- * give a server up.
+ * A primary's lease must have expired, with the margins of primary.c, before
+ * other proxies remove a server that left the list.
  */
 static bool check_times(struct settings *s, const struct relay_settings *set,
 			struct err *err)
 {
-	if (set->gone_after_us >= set->authority_us + GONE_MARGIN_US)
+	if (set->gone_after_us >= set->authority_us + GONE_AFTER_MARGIN_US)
 		return true;
 	return settings_fail(s, "gone_after_ms", err,
-			     "is less than %u above authority_ms",
-			     (unsigned)(GONE_MARGIN_US / USEC_PER_MSEC));
+			     "must be at least %u ms above authority_ms",
+			     (unsigned)(GONE_AFTER_MARGIN_US / USEC_PER_MSEC));
 }
 
 static bool read_relay(struct relay_node *n, struct settings *s,
@@ -282,16 +292,17 @@
 	n->driver = find_driver(n->driver_name);
 	if (!n->driver)
 		return settings_fail(relay, "driver", err,
-				     "no driver is called \"%s\"",
+				     "this build has no driver \"%s\"",
 				     n->driver_name);
 	if (!log_level_parse(n->log_level, level))
 		return settings_fail(relay, "log_level", err,
-				     "no level is called \"%s\"", n->log_level);
+				     "'%s' is not one of err, warn, info, dbg",
+				     n->log_level);
 	return true;
 }
 
-/* A process begins or ends, and by which settings. */
-static void log_life(const char *event, const struct relay_node *n)
+/* Logs the start or end of the process, with its main settings. */
+static void log_lifecycle(const char *event, const struct relay_node *n)
 {
 	const struct relay_settings *set = &n->settings;
 	struct log_line *l = log_event(LOG_STATE, event);
@@ -318,7 +329,7 @@
 	n->tick.data = n;
 }
 
-/* The relay's ctx is the driver's state, which needs the relay: it is last. */
+/* The relay is created after the driver, whose state is the ctx of its ops. */
 static bool start(struct relay_node *n, struct settings *driver,
 		  struct err *err)
 {
@@ -331,7 +342,7 @@
 	watch_signal(n, &n->on_term, on_stop_signal, SIGTERM);
 	watch_signal(n, &n->on_int, on_stop_signal, SIGINT);
 	watch_signal(n, &n->on_hup, on_reload_signal, SIGHUP);
-	log_life("started", n);
+	log_lifecycle("started", n);
 	relay_node_wake(n);
 	return true;
 }
@@ -343,8 +354,8 @@
 }
 
 /*
- * Ends the driver and the node's own handles. What closes does so within a few
- * turns; the process ends even if something does not.
+ * Destroys the driver and closes the node's own handles. They close within a
+ * few iterations of the loop; the process ends even if one stays open.
  */
 static void end_loop(struct relay_node *n)
 {
@@ -356,10 +367,11 @@
 	close_handle((uv_handle_t *)&n->on_term);
 	close_handle((uv_handle_t *)&n->on_int);
 	close_handle((uv_handle_t *)&n->on_hup);
-	for (i = 0; i < END_TURNS && uv_run(&n->loop, UV_RUN_NOWAIT); i++)
+	for (i = 0; i < CLOSE_ITERATIONS_MAX && uv_run(&n->loop, UV_RUN_NOWAIT);
+	     i++)
 		;
 	if (uv_loop_close(&n->loop))
-		LOG_DBG("handles are left at the end");
+		LOG_DBG("event loop handles are still open at exit");
 }
 
 static void destroy(struct relay_node *n)
@@ -378,15 +390,15 @@
 	g_free(n);
 }
 
-/* True when the settings file asks for a relay. */
-bool relay_node_wanted(const char *settings_path)
+/* Whether the settings file has a "relay" section. */
+bool relay_node_is_configured(const char *settings_path)
 {
 	struct err err = { 0 };
 	struct settings *s = settings_from_file(settings_path, &err);
-	bool wanted = s && settings_has(s, "relay");
+	bool has_relay = s && settings_has(s, "relay");
 
 	settings_destroy(s);
-	return wanted;
+	return has_relay;
 }
 
 static bool load(struct relay_node *n, const char *path, bool check_only,
@@ -417,7 +429,7 @@
 	return ok;
 }
 
-/* Runs one relay until it has stopped; the exit code of the process. */
+/* Runs one relay until it has stopped; returns the exit code. */
 int relay_node_run(const char *settings_path, bool check_only)
 {
 	struct relay_node *n = g_new0(struct relay_node, 1);
@@ -437,7 +449,7 @@
 	}
 	uv_run(&n->loop, UV_RUN_DEFAULT);
 	relay_end(n->relay, relay_node_now_us());
-	log_life("stopped", n);
+	log_lifecycle("stopped", n);
 	end_loop(n);
 	log_flush();
 	destroy(n);
