--- a/packages/daemon/src/node.c
+++ b/packages/daemon/src/node.c
@@ -16,22 +16,23 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TICK_MS 5
-#define SWEEP_US (20 * USEC_PER_MSEC)
+/* Periods of the timer, and of the checks that need not run at each tick. */
+#define TICK_PERIOD_MS 5
+#define SWEEP_PERIOD_US (20 * USEC_PER_MSEC)
 
-/* A clock that never goes back, in microseconds. */
+/* Monotonic clock, in microseconds. */
 uint64_t node_now_us(void)
 {
 	return uv_hrtime() / 1000;
 }
 
-/* Milliseconds since 1970, for what outlives the process. */
+/* Wall clock in ms since 1970, for values that outlive the process. */
 uint64_t node_wall_ms(void)
 {
 	return (uint64_t)g_get_real_time() / USEC_PER_MSEC;
 }
 
-/* Whether a member of the table is this node. */
+/* Whether the member is this node, by name. */
 bool node_is_self(const struct node *node, const struct member_info *member)
 {
 	return !strcmp(member->name, node->settings->name);
@@ -84,7 +85,8 @@
 	bool gone = member->state == MEMBER_DEAD ||
 		    member->state == MEMBER_LEFT;
 
-	LOG_INFO("member %s is in state %d", member->name, (int)member->state);
+	LOG_INFO("member %s is now in state %d", member->name,
+		 (int)member->state);
 	if (node->databases)
 		databases_touch(node->databases);
 	if (gone)
@@ -132,11 +134,12 @@
 {
 	struct node *node = ctx;
 
-	LOG_WARN("%s at revision %" PRIu64 " rejected: %s", key, revision,
-		 err->message);
+	LOG_WARN("item %s at revision %" PRIu64
+		 " rejected, the last valid value stays in force: %s",
+		 key, revision, err->message);
 	counter_add(counter_get(node->counters, COUNTER_COUNT,
 				"celeryquay_config_rejected_total", NULL,
-				"Bad items that were not put in force."),
+				"Configuration items rejected as invalid."),
 		    1);
 }
 
@@ -240,8 +243,8 @@
 	confsync_tick(node->confsync, now);
 	store_sync_tick(node->store_sync, now);
 	databases_tick(node->databases, now);
-	if (now - node->swept_us >= SWEEP_US) {
-		node->swept_us = now;
+	if (now - node->swept_at_us >= SWEEP_PERIOD_US) {
+		node->swept_at_us = now;
 		remote_tick(node->remote, now);
 		entry_sweep(node->entry, now);
 		survey_tick(node->survey, now);
@@ -255,10 +258,10 @@
 {
 	uv_timer_init(node->loop, &node->tick);
 	node->tick.data = node;
-	uv_timer_start(&node->tick, on_tick, 0, TICK_MS);
+	uv_timer_start(&node->tick, on_tick, 0, TICK_PERIOD_MS);
 }
 
-static void create_parts(struct node *node)
+static void create_components(struct node *node)
 {
 	node->databases = databases_create(node);
 	node->entry = entry_create(node);
@@ -267,7 +270,7 @@
 	node->stop = planned_stop_create(node);
 }
 
-static void name_holder(struct node *node)
+static void set_identity(struct node *node)
 {
 	node->incarnation = node_wall_ms();
 	g_snprintf(node->holder, sizeof(node->holder), "%s/%" PRIu64,
@@ -275,8 +278,9 @@
 }
 
 /*
- * Creates a proxy whose listeners are open; the loop is the caller's to run.
- * The settings must outlive it. SYSTEM when a port can't be had.
+ * Creates a proxy and opens its listeners; the calling function runs the loop.
+ * The settings must outlive the proxy. Returns NULL with ERR_SYSTEM if a port
+ * can't be opened.
  */
 struct node *node_create(uv_loop_t *loop, const struct node_settings *settings,
 			 struct err *err)
@@ -286,7 +290,7 @@
 	node->loop = loop;
 	node->settings = settings;
 	node->rng = g_rand_new();
-	name_holder(node);
+	set_identity(node);
 	node->counters = counter_set_create();
 	node->model = model_create();
 	node->remote = remote_create(node);
@@ -299,7 +303,7 @@
 	node->store = store_create(loop,
 				   (const char *const *)settings->store_urls,
 				   settings->store_timeout_us);
-	create_parts(node);
+	create_components(node);
 	if (!create_front(node, err))
 		goto err;
 	start_tick(node);
@@ -309,7 +313,10 @@
 	return NULL;
 }
 
-/* Closes everything in the reverse order; waiting callers get nothing more. */
+/*
+ * Destroys the components, in about the reverse order of their creation.
+ * Callers whose requests are still open get no reply.
+ */
 void node_destroy(struct node *node)
 {
 	if (!node)
@@ -337,7 +344,7 @@
 	g_free(node);
 }
 
-/* One JSON line for whoever started the process: where it listens. */
+/* Prints one JSON line on stdout with the process id and the open ports. */
 void node_print_ready(const struct node *node)
 {
 	printf("{\"ready\":true,\"name\":\"%s\",\"pid\":%d,\"http\":%u,"
--- a/packages/daemon/src/node.h
+++ b/packages/daemon/src/node.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_DAEMON_NODE_H
 
 /*
- * One proxy: owns the loop's handles, the tables of decisions and the
- * transports, and ties them together. Each part has a file of its own and
- * reaches the others through struct node.
+ * One proxy: owns the event loop's handles, the cluster state (members,
+ * configuration, databases) and the transports, and connects them. Each
+ * component has its own file and reaches the others through struct node.
  */
 
 #include "node_settings.h"
@@ -20,15 +20,17 @@
 #include <celeryquay/transport/store.h>
 #include <uv.h>
 
+/* Versions of the protocol between proxies that this one speaks. */
 #define PEER_VERSION_MIN 1
 #define PEER_VERSION_MAX 1
 
 /*
- * Who waits for the answer to an exchange of the front: the first member of
- * what is attached to it, since callers' and operators' exchanges differ.
+ * Common head of the user data attached to an HTTP exchange of the front. It
+ * must be the first member of that data, because the rest differs between
+ * exchanges of callers and of operators.
  */
 struct node_waiter {
-	/* The other side hung up; the exchange is void. */
+	/* Called when the client closed the connection; nobody gets a reply. */
 	void (*gone)(struct node_waiter *w);
 };
 
@@ -36,8 +38,8 @@
 	const struct node_settings *settings;
 	uv_loop_t *loop;
 	GRand *rng;
-	uint64_t incarnation; /* ms since 1970 at the start */
-	char holder[96]; /* name and incarnation, unique for this life */
+	uint64_t incarnation; /* start time, ms since 1970 */
+	char holder[96]; /* "NAME/INCARNATION", unique for each start */
 	struct counter_set *counters;
 	struct model *model;
 	struct members *members;
@@ -55,17 +57,19 @@
 	struct admin *admin;
 	struct planned_stop *stop;
 	uv_timer_t tick;
-	uint64_t swept_us;
+	uint64_t swept_at_us; /* time of the last sweep, see on_tick() */
 };
 
 struct node *node_create(uv_loop_t *loop, const struct node_settings *settings,
 			 struct err *err);
 void node_destroy(struct node *node);
+/* Monotonic clock, in us. */
 uint64_t node_now_us(void);
+/* Wall clock, in ms since 1970. */
 uint64_t node_wall_ms(void);
-/* One JSON line for whoever started the process. */
+/* Prints one JSON line on stdout with the process id and the open ports. */
 void node_print_ready(const struct node *node);
-/* True when a host part of this node's own, for the table of members. */
+/* Whether the member is this node. */
 bool node_is_self(const struct node *node, const struct member_info *member);
 
 #endif
