--- a/packages/daemon/src/node_settings.c
+++ b/packages/daemon/src/node_settings.c
@@ -10,18 +10,24 @@
 #include <unistd.h>
 
 #define CURVE_KEY_LENGTH 40
-/* Of Z85, in which ZeroMQ writes its keys. */
-#define CURVE_KEY_CHARACTERS                                             \
+/* The alphabet of Z85, the encoding of ZeroMQ's keys. */
+#define Z85_ALPHABET                                                     \
 	"0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" \
 	".-:+=^!/*?&<>()[]{}@%$#"
 #define SHA256_HEX_LENGTH 64
 #define MAX_NAME_LENGTH 63
-/* A node answers thousands of requests a second, most of which go well. */
-#define LOG_LINES_PER_S 2000
-#define LOG_BYTES_PER_S 1048576
-#define LOG_LIMIT 1000000000
+/*
+ * Default limits of the log's rate. A node answers thousands of requests a
+ * second, most of them without an error.
+ */
+#define DEFAULT_LOG_LINES_PER_S 2000
+#define DEFAULT_LOG_BYTES_PER_S 1048576
+#define LOG_RATE_MAX 1000000000 /* upper bound of both settings */
 
-/* Listeners and peers are met by number: a name would need a resolver. */
+/*
+ * Reads an IP address. Host names are refused, since they would need a
+ * resolver.
+ */
 static bool read_address(struct settings *s, const char *key, char **out,
 			 struct err *err)
 {
@@ -74,7 +80,8 @@
 		goto err;
 	if (!out->tls_certificate != !out->tls_key) {
 		settings_fail(s, "tls_key", err,
-			      "tls_certificate and tls_key go together");
+			      "tls_certificate and tls_key go together: "
+			      "set both or none");
 		goto err;
 	}
 	ok = settings_done(s, err);
@@ -83,9 +90,9 @@
 	return ok;
 }
 
-/* "number:port"; the last colon parts them. */
+/* Parses "ADDRESS:PORT"; the last colon separates the two. */
 static bool split_address(struct settings *s, const char *key, const char *text,
-			  char **host, uint16_t *number, struct err *err)
+			  char **host, uint16_t *out_port, struct err *err)
 {
 	unsigned char buf[sizeof(struct in6_addr)];
 	const char *colon = strrchr(text, ':');
@@ -97,7 +104,7 @@
 				     "'%s' is not of the form number:port",
 				     text);
 	*host = g_strndup(text, (gsize)(colon - text));
-	*number = (uint16_t)port;
+	*out_port = (uint16_t)port;
 	if (inet_pton(AF_INET, *host, buf) != 1 &&
 	    inet_pton(AF_INET6, *host, buf) != 1)
 		return settings_fail(s, key, err, "'%s' is not an IP number",
@@ -128,9 +135,10 @@
 			    const char *value, struct err *err)
 {
 	if (!value || (strlen(value) == CURVE_KEY_LENGTH &&
-		       strspn(value, CURVE_KEY_CHARACTERS) == CURVE_KEY_LENGTH))
+		       strspn(value, Z85_ALPHABET) == CURVE_KEY_LENGTH))
 		return true;
-	return settings_fail(s, key, err, "a key is %d characters of Z85",
+	return settings_fail(s, key, err,
+			     "expected a key of %d characters of Z85",
 			     CURVE_KEY_LENGTH);
 }
 
@@ -146,8 +154,11 @@
 	if (!out->curve_secret != !out->curve_public)
 		return settings_fail(s, "curve_secret", err,
 				     "curve_secret and curve_public go "
-				     "together");
-	/* Whoever lists keys believes that others are kept out. */
+				     "together: set both or none");
+	/*
+	 * Without encryption the list would have no effect, though it looks as
+	 * if only these keys were admitted.
+	 */
 	if (out->curve_allowed[0] && !out->curve_secret)
 		return settings_fail(s, "curve_allowed", err,
 				     "without curve_secret nothing is "
@@ -161,7 +172,7 @@
 	       check_curve_key(s, "curve_public", out->curve_public, err);
 }
 
-/* A proxy behind a translated address tells the others where to reach it. */
+/* A proxy behind NAT announces the address at which others reach it. */
 static bool read_announce(struct settings *s, struct node_settings *out,
 			  struct err *err)
 {
@@ -195,12 +206,15 @@
 static bool check_urls(struct settings *s, char **urls, struct err *err)
 {
 	if (!urls[0])
-		return settings_fail(s, "urls", err, "at least one is wanted");
+		return settings_fail(s, "urls", err,
+				     "at least one URL is required");
 	for (; *urls; urls++) {
 		if (!g_str_has_prefix(*urls, "http://") &&
 		    !g_str_has_prefix(*urls, "https://"))
 			return settings_fail(s, "urls", err,
-					     "'%s' is not an HTTP URL", *urls);
+					     "'%s' is not an HTTP URL "
+					     "(http:// or https://)",
+					     *urls);
 	}
 	return true;
 }
@@ -222,12 +236,12 @@
 	return ok;
 }
 
-static bool read_log_limit(struct settings *s, const char *key, uint64_t *out,
-			   struct err *err)
+static bool read_log_rate(struct settings *s, const char *key, uint64_t *out,
+			  struct err *err)
 {
 	int64_t n;
 
-	if (!settings_int(s, key, 1, LOG_LIMIT, (int64_t)*out, &n, err))
+	if (!settings_int(s, key, 1, LOG_RATE_MAX, (int64_t)*out, &n, err))
 		return false;
 	*out = (uint64_t)n;
 	return true;
@@ -242,8 +256,8 @@
 
 	out->log_level = LOG_LEVEL_INFO;
 	out->log_decisions = true;
-	out->log_budget.lines_per_s = LOG_LINES_PER_S;
-	out->log_budget.bytes_per_s = LOG_BYTES_PER_S;
+	out->log_budget.lines_per_s = DEFAULT_LOG_LINES_PER_S;
+	out->log_budget.bytes_per_s = DEFAULT_LOG_BYTES_PER_S;
 	if (!settings_has(top, "log"))
 		return true;
 	s = settings_child(top, "log", err);
@@ -251,10 +265,9 @@
 		return false;
 	if (!settings_str(s, "level", "info", &level, err) ||
 	    !settings_bool(s, "decisions", true, &out->log_decisions, err) ||
-	    !read_log_limit(s, "lines_per_s", &out->log_budget.lines_per_s,
-			    err) ||
-	    !read_log_limit(s, "bytes_per_s", &out->log_budget.bytes_per_s,
-			    err))
+	    !read_log_rate(s, "lines_per_s", &out->log_budget.lines_per_s,
+			   err) ||
+	    !read_log_rate(s, "bytes_per_s", &out->log_budget.bytes_per_s, err))
 		goto err;
 	if (!log_level_parse(level, &out->log_level)) {
 		settings_fail(s, "level", err,
@@ -268,7 +281,7 @@
 	return ok;
 }
 
-/* An object that may be absent reads as an empty one. */
+/* Reads an optional object; if it is absent, an empty one. */
 static struct settings *optional_child(struct settings *top, const char *key,
 				       struct err *err)
 {
@@ -340,12 +353,15 @@
 					     "and '.' are allowed");
 	}
 	if (c == *out || c - *out > MAX_NAME_LENGTH)
-		return settings_fail(s, key, err, "1 to %d characters",
+		return settings_fail(s, key, err, "expected 1 to %d characters",
 				     MAX_NAME_LENGTH);
 	return true;
 }
 
-/* Two listeners on one port: the second would fail only after a start. */
+/*
+ * Refuses two listeners on one port; otherwise opening the second one would
+ * fail only after the start.
+ */
 static bool check_ports(struct settings *top, const struct node_settings *s,
 			struct err *err)
 {
@@ -353,15 +369,19 @@
 
 	if (a && a == b && !strcmp(s->callers.host, s->operators.host))
 		return settings_fail(top, "operators", err,
-				     "port %u is the callers' already", a);
+				     "port %u is already used for callers", a);
 	if (c && ((c == a && !strcmp(s->peer_host, s->callers.host)) ||
 		  (c == b && !strcmp(s->peer_host, s->operators.host))))
 		return settings_fail(top, "peers", err,
-				     "port %u is a listener's already", c);
+				     "port %u is already used by a listener",
+				     c);
 	return true;
 }
 
-/* A hash that can't match would lock its operator out without a word. */
+/*
+ * Reads the hashes of operators' tokens. A hash that no token can match is
+ * refused, since it would lock its operator out without an error message.
+ */
 static bool read_operators(struct settings *top, struct node_settings *out,
 			   struct err *err)
 {
@@ -373,10 +393,11 @@
 	for (hash = out->operator_tokens_sha256; *hash; hash++) {
 		if (strlen(*hash) != SHA256_HEX_LENGTH ||
 		    strspn(*hash, "0123456789abcdef") != SHA256_HEX_LENGTH)
-			return settings_fail(top, "operator_tokens_sha256", err,
-					     "a hash is %d digits and letters "
-					     "from a to f",
-					     SHA256_HEX_LENGTH);
+			return settings_fail(
+				top, "operator_tokens_sha256", err,
+				"expected a SHA-256 hash of %d digits, "
+				"lower-case hexadecimal",
+				SHA256_HEX_LENGTH);
 	}
 	return true;
 }
@@ -399,8 +420,8 @@
 }
 
 /*
- * Reads and checks a settings file. NULL with BAD_SETTINGS that names file,
- * key and reason; nothing has been started by then.
+ * Reads and checks a settings file. Returns NULL with ERR_BAD_SETTINGS, whose
+ * message names the file, the key and the reason. Nothing is started here.
  */
 struct node_settings *node_settings_load(const char *path, struct err *err)
 {
@@ -428,7 +449,7 @@
 	return false;
 }
 
-/* Whether the files that the settings name can be read on this machine. */
+/* Whether the TLS files named in the settings exist and are readable. */
 bool node_settings_check_files(const struct node_settings *s, const char *path,
 			       struct err *err)
 {
@@ -448,7 +469,7 @@
 	g_free(l->tls_key);
 }
 
-/* Frees the settings, also those that were read only in part. */
+/* Frees the settings, also if reading them failed midway. */
 void node_settings_destroy(struct node_settings *s)
 {
 	unsigned i;
--- a/tests/system/test_settings.c
+++ b/tests/system/test_settings.c
@@ -74,7 +74,7 @@
 	{ "}}", "},\"timing\":{\"stop_limit_ms\":0}}", "timing: stop_limit_ms",
 	  "0 is not from 1" },
 	{ "\"port\":0", "\"port\":7001", "operators",
-	  "port 7001 is the callers' already" },
+	  "port 7001 is already used for callers" },
 };
 
 /* All places of a text, so that one row can say the same port twice. */
