--- a/packages/daemon/src/planned_stop.c
+++ b/packages/daemon/src/planned_stop.c
@@ -7,30 +7,31 @@
 #include <celeryquay/base/log.h>
 
 /*
- * A node that is idle stays this much longer: other entries may still send it
- * requests until they have heard that it leaves.
+ * How long the node must have been idle before it announces its departure.
+ * Other proxies may send it requests until they have learned that it is
+ * leaving.
  */
-#define QUIET_US (1 * USEC_PER_SEC)
-/* The last word to the other members needs this much to be sent. */
-#define FAREWELL_US (50 * USEC_PER_MSEC)
+#define IDLE_BEFORE_DEPARTURE_US (1 * USEC_PER_SEC)
+/* How long the loop runs on so that the departure notice is sent. */
+#define DEPARTURE_SEND_US (50 * USEC_PER_MSEC)
 
 enum stop_state {
-	STOP_NOT,
-	STOP_RED,
-	STOP_DRAINING,
-	STOP_FAREWELL,
+	STOP_NOT_BEGUN,
+	STOP_HEALTH_RED, /* health is red, requests are still accepted */
+	STOP_DRAINING, /* nothing new is accepted */
+	STOP_DEPARTING, /* the departure notice is being sent */
 	STOP_DONE,
 };
 
 struct planned_stop {
 	struct node *node;
 	enum stop_state state;
-	uint64_t begun_us;
-	uint64_t busy_us; /* when something ran last */
-	uint64_t left_us; /* when the others were told */
+	uint64_t begun_at_us; /* time of the first signal */
+	uint64_t last_busy_at_us; /* when something last ran */
+	uint64_t departed_at_us; /* when the departure notice was sent */
 };
 
-/* Not stopping. */
+/* The stop begins with the first signal. */
 struct planned_stop *planned_stop_create(struct node *node)
 {
 	struct planned_stop *s = g_new0(struct planned_stop, 1);
@@ -39,16 +40,15 @@
 	return s;
 }
 
-/* Frees it. */
 void planned_stop_destroy(struct planned_stop *s)
 {
 	g_free(s);
 }
 
-/* Whether the node is on its way out. */
+/* Whether a planned stop has begun. */
 bool planned_stop_begun(const struct planned_stop *s)
 {
-	return s->state != STOP_NOT;
+	return s->state != STOP_NOT_BEGUN;
 }
 
 static void end_loop(struct planned_stop *s, const char *why)
@@ -61,13 +61,13 @@
 /* The first signal begins the stop, the second one ends it at once. */
 void planned_stop_signal(struct planned_stop *s)
 {
-	if (s->state != STOP_NOT) {
+	if (s->state != STOP_NOT_BEGUN) {
 		end_loop(s, "second signal");
 		return;
 	}
-	s->state = STOP_RED;
-	s->begun_us = node_now_us();
-	members_leave(s->node->members, s->begun_us);
+	s->state = STOP_HEALTH_RED;
+	s->begun_at_us = node_now_us();
+	members_leave(s->node->members, s->begun_at_us);
 	databases_touch(s->node->databases);
 	log_decision("stop", "step", "health red", "why", "signal", NULL);
 }
@@ -75,21 +75,22 @@
 static void begin_draining(struct planned_stop *s, uint64_t now_us)
 {
 	s->state = STOP_DRAINING;
-	s->busy_us = now_us;
+	s->last_busy_at_us = now_us;
 	front_stop_accepting(s->node->front);
 	databases_stop(s->node->databases, now_us);
-	log_decision("stop", "step", "draining", "why", "balancer had its time",
-		     NULL);
+	log_decision("stop", "step", "draining", "why",
+		     "stop_health_ms elapsed", NULL);
 }
 
 /*
- * Without a last word the others would go on to probe this node, and suspect
- * it for a second before they take it as gone.
+ * Tells the other members that this node is gone. Without the notice they would
+ * continue to probe it and suspect it for a second before they consider it
+ * dead.
  */
-static void say_farewell(struct planned_stop *s, uint64_t now_us)
+static void announce_departure(struct planned_stop *s, uint64_t now_us)
 {
-	s->state = STOP_FAREWELL;
-	s->left_us = now_us;
+	s->state = STOP_DEPARTING;
+	s->departed_at_us = now_us;
 	members_left(s->node->members, now_us);
 }
 
@@ -103,43 +104,45 @@
 }
 
 /*
- * Guards against a request that is cut: an entry that has not heard the last
- * word yet may still forward one, which runs when the loop would end.
+ * Ends the loop once the departure notice has been sent. Guards against a
+ * request that is cut off: a proxy that has not received the notice yet may
+ * still forward one here, so a node that is busy again returns to draining.
  */
-static void wait_farewell(struct planned_stop *s, uint64_t now_us)
+static void finish_departure(struct planned_stop *s, uint64_t now_us)
 {
 	if (is_busy(s)) {
 		s->state = STOP_DRAINING;
-		s->busy_us = now_us;
+		s->last_busy_at_us = now_us;
 		log_decision("stop", "step", "draining", "why",
-			     "a request came after the last word", NULL);
-	} else if (now_us - s->left_us >= FAREWELL_US) {
+			     "a request arrived after the departure notice",
+			     NULL);
+	} else if (now_us - s->departed_at_us >= DEPARTURE_SEND_US) {
 		end_loop(s, "idle");
 	}
 }
 
-/* Takes the next step when it is due. */
+/* Takes the next step of the stop when it is due. */
 void planned_stop_tick(struct planned_stop *s, uint64_t now_us)
 {
 	const struct node_settings *settings = s->node->settings;
 
-	if (s->state == STOP_NOT || s->state == STOP_DONE)
+	if (s->state == STOP_NOT_BEGUN || s->state == STOP_DONE)
 		return;
-	if (now_us - s->begun_us >= settings->stop_limit_us) {
+	if (now_us - s->begun_at_us >= settings->stop_limit_us) {
 		end_loop(s, "limit reached");
 		return;
 	}
-	if (s->state == STOP_FAREWELL) {
-		wait_farewell(s, now_us);
+	if (s->state == STOP_DEPARTING) {
+		finish_departure(s, now_us);
 		return;
 	}
-	if (s->state == STOP_RED) {
-		if (now_us - s->begun_us >= settings->stop_health_us)
+	if (s->state == STOP_HEALTH_RED) {
+		if (now_us - s->begun_at_us >= settings->stop_health_us)
 			begin_draining(s, now_us);
 		return;
 	}
 	if (is_busy(s))
-		s->busy_us = now_us;
-	else if (now_us - s->busy_us >= QUIET_US)
-		say_farewell(s, now_us);
+		s->last_busy_at_us = now_us;
+	else if (now_us - s->last_busy_at_us >= IDLE_BEFORE_DEPARTURE_US)
+		announce_departure(s, now_us);
 }
