--- a/packages/daemon/src/survey.h
+++ b/packages/daemon/src/survey.h
@@ -10,16 +10,25 @@
 
 struct survey;
 
-/* Gets a JSON list of the members; a silent one has the revision null. */
+/*
+ * Receives a JSON array of the live members and their revisions. A member that
+ * did not answer has the revision null.
+ */
 typedef void (*survey_fn)(void *user, GString *json);
 
 struct survey *survey_create(struct node *node);
 void survey_destroy(struct survey *s);
-/* done() comes when all have answered or time is up, maybe from within. */
+/*
+ * done() is called when all members have answered or after a timeout, possibly
+ * before this function returns.
+ */
 void survey_start(struct survey *s, survey_fn done, void *user);
-/* Whether the word belongs to a survey. */
+/*
+ * Handles a text message from another proxy. False if it does not belong to a
+ * survey.
+ */
 bool survey_on_word(struct survey *s, const struct member_info *from,
-		    uint64_t id, const char *word);
+		    uint64_t id, const char *msg);
 void survey_tick(struct survey *s, uint64_t now_us);
 
 #endif
