--- a/packages/daemon/src/store_sync.c
+++ b/packages/daemon/src/store_sync.c
@@ -8,48 +8,51 @@
 #include <string.h>
 
 /*
- * A watch without events or progress for this long may be silent for good, as
- * when something in between forgot the connection. It is opened anew from the
- * revision where it stood, which costs one call and no list; so a change that
- * it missed is in force everywhere a few seconds later.
+ * A watch without events or progress notices for this long may be dead, for
+ * instance because a NAT or firewall dropped the connection. It is reopened
+ * from the revision it had reached, which costs one call and no list. So a
+ * change that it missed is in force everywhere a few seconds later.
  */
-#define WATCH_SILENT_US (5 * USEC_PER_SEC)
+#define WATCH_SILENCE_MAX_US (5 * USEC_PER_SEC)
+/* Wait before a failed list or watch is retried; it doubles up to the max. */
 #define BACKOFF_MIN_US (200 * USEC_PER_MSEC)
 #define BACKOFF_MAX_US (10 * USEC_PER_SEC)
-/* How often a change whose answer was lost is looked for. */
-#define CHANGE_LOOKUPS 5
-/* A node with seeds asks its peers first before it lists the store. */
-#define PEERS_FIRST_US (500 * USEC_PER_MSEC)
+/* Maximum number of reads to find out whether a change took effect. */
+#define CHANGE_LOOKUPS_MAX 5
+/* A node with seeds waits this long for its peers before it lists the store. */
+#define PEERS_WAIT_US (500 * USEC_PER_MSEC)
 
 enum watch_state { WATCH_IDLE, WATCH_LISTING, WATCH_WATCHING };
 
+/* A new primary that the store does not have yet. */
 struct record {
-	char *key;
+	char *key; /* with MODEL_PREFIX */
 	char *server;
 	char *holder;
 	uint64_t term;
-	uint64_t next_us;
-	bool running;
+	uint64_t next_at_us; /* earliest time of the next attempt */
+	bool running; /* a call to the store is open */
 };
 
 struct store_sync {
 	struct node *node;
 	enum watch_state state;
-	uint64_t next_us; /* earliest time of the next list or watch */
-	uint64_t watched_us; /* when the present watch was opened */
-	uint64_t revision; /* all up to it was handed in; 0: list first */
-	uint64_t backoff_us;
-	uint64_t started_us;
+	uint64_t next_at_us; /* earliest time of the next list or watch */
+	uint64_t watch_opened_at_us; /* when the current watch was opened */
+	uint64_t revision; /* applied up to this one; 0: list first */
+	uint64_t backoff_us; /* next wait, before the jitter */
+	uint64_t started_at_us;
 	GHashTable *records; /* key -> struct record */
 };
 
+/* An operator's change that is being made. */
 struct change {
 	struct store_sync *s;
-	char *key; /* whole, with the prefix */
+	char *key; /* with MODEL_PREFIX */
 	char *value; /* NULL: remove */
-	char *id;
-	uint64_t expected;
-	unsigned lookups;
+	char *id; /* the "change" field of the value */
+	uint64_t expected; /* revision */
+	unsigned lookups; /* reads since an answer was lost */
 	store_sync_done_fn done;
 	void *user;
 };
@@ -64,20 +67,20 @@
 	g_free(r);
 }
 
-/* Nothing is asked of the store before the first tick. */
+/* The store is not called before the first tick. */
 struct store_sync *store_sync_create(struct node *node)
 {
 	struct store_sync *s = g_new0(struct store_sync, 1);
 
 	s->node = node;
 	s->backoff_us = BACKOFF_MIN_US;
-	s->started_us = node_now_us();
+	s->started_at_us = node_now_us();
 	s->records = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					   record_destroy);
 	return s;
 }
 
-/* Frees the tables; the store client must be gone before. */
+/* The store client must be destroyed before. */
 void store_sync_destroy(struct store_sync *s)
 {
 	if (!s)
@@ -86,22 +89,26 @@
 	g_free(s);
 }
 
-/* The next try waits, doubled each time and jittered over the fleet. */
+/*
+ * Schedules a retry. The wait doubles each time, and its jitter spreads the
+ * retries of the fleet.
+ */
 static void back_off(struct store_sync *s)
 {
 	double jitter = g_rand_double_range(s->node->rng, 0.5, 1.5);
 
 	s->state = WATCH_IDLE;
-	s->next_us = node_now_us() + (uint64_t)((double)s->backoff_us * jitter);
+	s->next_at_us =
+		node_now_us() + (uint64_t)((double)s->backoff_us * jitter);
 	s->backoff_us = MIN(s->backoff_us * 2, BACKOFF_MAX_US);
 }
 
-static void advance(struct store_sync *s, uint64_t revision)
+static void advance_revision(struct store_sync *s, uint64_t revision)
 {
 	s->revision = MAX(s->revision, revision);
 }
 
-static void take_in(struct store_sync *s, const struct store_kv *kv)
+static void apply_kv(struct store_sync *s, const struct store_kv *kv)
 {
 	struct err err = { 0 };
 
@@ -111,14 +118,15 @@
 				 kv->key + strlen(MODEL_PREFIX),
 				 kv->mod_revision, kv->removed, kv->value,
 				 node_now_us(), &err))
-		LOG_WARN("%s at %" PRIu64 " rejected: %s", kv->key,
-			 kv->mod_revision, err.message);
+		LOG_WARN("store key %s at revision %" PRIu64
+			 " rejected, the last valid value stays in force: %s",
+			 kv->key, kv->mod_revision, err.message);
 }
 
 static void on_watch_event(void *ctx, const struct store_kv *kv)
 {
-	take_in(ctx, kv);
-	advance(ctx, kv->mod_revision);
+	apply_kv(ctx, kv);
+	advance_revision(ctx, kv->mod_revision);
 }
 
 static void on_watch_progress(void *ctx, uint64_t revision)
@@ -126,7 +134,7 @@
 	struct store_sync *s = ctx;
 
 	confsync_progress(s->node->confsync, revision, node_now_us());
-	advance(s, revision);
+	advance_revision(s, revision);
 }
 
 static void on_watch_ended(void *ctx, const struct err *err)
@@ -134,11 +142,11 @@
 	struct store_sync *s = ctx;
 	uint64_t now = node_now_us();
 
-	LOG_INFO("watch from revision %" PRIu64 " ended: %s", s->revision,
-		 err->message);
+	LOG_INFO("store watch from revision %" PRIu64 " ended, will retry: %s",
+		 s->revision, err->message);
 	if (err->code == ERR_STORE_COMPACTED)
 		s->revision = 0;
-	if (now - s->watched_us < WATCH_SILENT_US) {
+	if (now - s->watch_opened_at_us < WATCH_SILENCE_MAX_US) {
 		back_off(s);
 		return;
 	}
@@ -155,9 +163,9 @@
 static void watch(struct store_sync *s)
 {
 	s->state = WATCH_WATCHING;
-	s->watched_us = node_now_us();
+	s->watch_opened_at_us = node_now_us();
 	store_watch(s->node->store, MODEL_PREFIX, s->revision + 1,
-		    WATCH_SILENT_US, &watch_events, s);
+		    WATCH_SILENCE_MAX_US, &watch_events, s);
 }
 
 static void on_list(void *user, const struct err *err, uint64_t revision,
@@ -167,13 +175,15 @@
 	unsigned i;
 
 	if (err->code) {
-		LOG_WARN("list failed: %s", err->message);
+		LOG_WARN("listing the configuration in the store failed, "
+			 "will retry: %s",
+			 err->message);
 		back_off(s);
 		return;
 	}
 	confsync_list_begin(s->node->confsync);
 	for (i = 0; i < n; i++)
-		take_in(s, &kvs[i]);
+		apply_kv(s, &kvs[i]);
 	confsync_list_done(s->node->confsync, revision, node_now_us());
 	s->backoff_us = BACKOFF_MIN_US;
 	s->revision = revision;
@@ -182,14 +192,17 @@
 		watch(s);
 }
 
-/* A node that has peers takes its configuration from them first. */
-static bool wants_store(struct store_sync *s, uint64_t now_us)
+/*
+ * Whether to list or watch the store now. A node with seeds first tries to get
+ * its configuration from its peers.
+ */
+static bool should_call_store(struct store_sync *s, uint64_t now_us)
 {
 	bool alone = members_count(s->node->members) <= 1;
-	bool patient = s->node->settings->n_seeds && alone &&
-		       now_us - s->started_us < PEERS_FIRST_US;
+	bool waits_for_peers = s->node->settings->n_seeds && alone &&
+			       now_us - s->started_at_us < PEERS_WAIT_US;
 
-	if (s->state != WATCH_IDLE || now_us < s->next_us || patient)
+	if (s->state != WATCH_IDLE || now_us < s->next_at_us || waits_for_peers)
 		return false;
 	return confsync_is_watcher(s->node->confsync) ||
 	       !confsync_ready(s->node->confsync);
@@ -198,16 +211,17 @@
 static void on_record_done(void *user, const struct err *err, bool took_effect,
 			   uint64_t revision, const struct store_kv *current);
 
+/* An open read or compare-and-swap of a record. */
 struct record_call {
 	struct store_sync *s;
 	char *key;
 	uint64_t term;
 };
 
-static void record_again(struct store_sync *s, struct record *r)
+static void retry_record_later(struct store_sync *s, struct record *r)
 {
 	r->running = false;
-	r->next_us = node_now_us() + BACKOFF_MAX_US / 5;
+	r->next_at_us = node_now_us() + BACKOFF_MAX_US / 5;
 	(void)s;
 }
 
@@ -237,7 +251,7 @@
 	if (!r)
 		goto out;
 	if (err->code) {
-		record_again(call->s, r);
+		retry_record_later(call->s, r);
 		goto out;
 	}
 	if (n && recorded_term(&kvs[0]) >= r->term) {
@@ -271,7 +285,7 @@
 	if (r && !err->code && took_effect && r->term == call->term)
 		g_hash_table_remove(call->s->records, call->key);
 	else if (r)
-		record_again(call->s, r);
+		retry_record_later(call->s, r);
 	g_free(call->key);
 	g_free(call);
 }
@@ -286,7 +300,7 @@
 		struct record *r = value;
 		struct record_call *call;
 
-		if (r->running || now_us < r->next_us)
+		if (r->running || now_us < r->next_at_us)
 			continue;
 		r->running = true;
 		call = g_new0(struct record_call, 1);
@@ -296,7 +310,7 @@
 	}
 }
 
-/* Lists or watches when this node should, and retries open records. */
+/* Lists or watches the store if this node should, and retries records. */
 void store_sync_tick(struct store_sync *s, uint64_t now_us)
 {
 	if (s->state == WATCH_WATCHING &&
@@ -304,16 +318,16 @@
 		store_unwatch(s->node->store);
 		s->state = WATCH_IDLE;
 	}
-	if (wants_store(s, now_us) && s->revision) {
+	if (should_call_store(s, now_us) && s->revision) {
 		watch(s);
-	} else if (wants_store(s, now_us)) {
+	} else if (should_call_store(s, now_us)) {
 		s->state = WATCH_LISTING;
 		store_range(s->node->store, MODEL_PREFIX, on_list, s);
 	}
 	run_records(s, now_us);
 }
 
-/* Keeps the newest term for a database until the store has it. */
+/* Keeps the database's newest term until the store has it. */
 void store_sync_record(struct store_sync *s, const char *database,
 		       uint64_t term, const char *server, const char *holder)
 {
@@ -346,8 +360,8 @@
 	g_free(c);
 }
 
-/* Whether the value that stands in the store was written by this change. */
-static bool wrote(const struct change *c, const struct store_kv *kv)
+/* Whether this change wrote the value that is now in the store. */
+static bool was_written_by(const struct change *c, const struct store_kv *kv)
 {
 	JsonParser *parser = json_parser_new();
 	bool same = false;
@@ -373,12 +387,13 @@
 
 	if (current && current->mod_revision)
 		g_snprintf(text, sizeof(text),
-			   "the item is at revision %" PRIu64 ", not %" PRIu64,
+			   "the item is at revision %" PRIu64
+			   ", expected %" PRIu64,
 			   current->mod_revision, c->expected);
 	else
 		g_snprintf(text, sizeof(text),
-			   "the item does not exist, revision %" PRIu64
-			   " was expected",
+			   "the item does not exist, expected "
+			   "revision %" PRIu64,
 			   c->expected);
 	change_finish(c, ERR_CONFLICT, text, 0);
 }
@@ -388,13 +403,13 @@
 				unsigned n);
 
 /*
- * The answer to a change may be lost after it took effect. Without a look at
- * what stands in the store the operator would be told of a failure, repeat
- * the change and meet a conflict with himself.
+ * Reads the item to find out whether a change took effect whose answer was
+ * lost. Otherwise the operator would be told of a failure, repeat the change
+ * and get a conflict with the first attempt.
  */
 static void change_look_up(struct change *c)
 {
-	if (c->lookups++ >= CHANGE_LOOKUPS) {
+	if (c->lookups++ >= CHANGE_LOOKUPS_MAX) {
 		change_finish(c, ERR_STORE_DOWN,
 			      "the store does not answer; the change may have "
 			      "taken effect",
@@ -405,9 +420,10 @@
 }
 
 /*
- * Guards against a false "no such item": the first try of a removal, whose
- * answer was lost, may land between the look at the item and the next try,
- * which then finds nothing to remove. The item is gone, as was wanted.
+ * Whether an earlier attempt of this change removed the item. Guards against a
+ * false "no such item" error: the first attempt of a removal, whose answer was
+ * lost, may take effect between the read of the item and the next attempt,
+ * which then finds nothing to remove although the removal succeeded.
  */
 static bool removed_before(const struct change *c,
 			   const struct store_kv *current)
@@ -425,7 +441,7 @@
 		change_look_up(c);
 	else if (took_effect || removed_before(c, current))
 		change_finish(c, ERR_NONE, "", revision);
-	else if (current && current->mod_revision && wrote(c, current))
+	else if (current && current->mod_revision && was_written_by(c, current))
 		change_finish(c, ERR_NONE, "", current->mod_revision);
 	else if (!c->value && !(current && current->mod_revision))
 		change_finish(c, ERR_NO_SUCH_ITEM, "there is no such item", 0);
@@ -444,7 +460,7 @@
 		change_look_up(c);
 		return;
 	}
-	if (n && c->value && wrote(c, &kvs[0])) {
+	if (n && c->value && was_written_by(c, &kvs[0])) {
 		change_finish(c, ERR_NONE, "", kvs[0].mod_revision);
 		return;
 	}
@@ -457,7 +473,10 @@
 		  c->value ? &view : NULL, on_change_done, c);
 }
 
-/* Makes an operator's change; done() is called once, never from within. */
+/*
+ * Makes an operator's change. done() is called once, and never before this
+ * function has returned.
+ */
 void store_sync_change(struct store_sync *s, const char *key, uint64_t expected,
 		       const struct str *value, const char *change,
 		       store_sync_done_fn done, void *user)
