--- a/packages/daemon/src/node_settings.c
+++ b/packages/daemon/src/node_settings.c
@@ -212,9 +212,7 @@
 		if (!g_str_has_prefix(*urls, "http://") &&
 		    !g_str_has_prefix(*urls, "https://"))
 			return settings_fail(s, "urls", err,
-					     "'%s' is not an HTTP URL "
-					     "(http:// or https://)",
-					     *urls);
+					     "'%s' is not an HTTP URL", *urls);
 	}
 	return true;
 }
--- a/packages/daemon/src/planned_stop.c
+++ b/packages/daemon/src/planned_stop.c
@@ -79,7 +79,7 @@
 	front_stop_accepting(s->node->front);
 	databases_stop(s->node->databases, now_us);
 	log_decision("stop", "step", "draining", "why",
-		     "stop_health_ms elapsed", NULL);
+		     "health was red for the configured time", NULL);
 }
 
 /*
--- a/packages/daemon/src/relay_node.c
+++ b/packages/daemon/src/relay_node.c
@@ -296,8 +296,7 @@
 				     n->driver_name);
 	if (!log_level_parse(n->log_level, level))
 		return settings_fail(relay, "log_level", err,
-				     "'%s' is not one of err, warn, info, dbg",
-				     n->log_level);
+				     "unknown log level \"%s\"", n->log_level);
 	return true;
 }
 
--- a/packages/daemon/src/store_sync.c
+++ b/packages/daemon/src/store_sync.c
@@ -392,8 +392,8 @@
 			   current->mod_revision, c->expected);
 	else
 		g_snprintf(text, sizeof(text),
-			   "the item does not exist, expected "
-			   "revision %" PRIu64,
+			   "the item does not exist, revision %" PRIu64
+			   " was expected",
 			   c->expected);
 	change_finish(c, ERR_CONFLICT, text, 0);
 }
