--- a/packages/daemon/src/relay_node.c
+++ b/packages/daemon/src/relay_node.c
@@ -248,8 +248,9 @@
 }
 
 /*
- * A primary's lease must have expired, with the margins of primary.c, before
- * other proxies remove a server that left the list.
+ * A primary's lease must have expired before other proxies remove a server that
+ * left the list. The margin covers the age of the list on which a lease rests
+ * and its late arrival, see trust.c.
  */
 static bool check_times(struct settings *s, const struct relay_settings *set,
 			struct err *err)
