--- a/packages/daemon/src/planned_stop.c
+++ b/packages/daemon/src/planned_stop.c
@@ -78,8 +78,8 @@
 	s->last_busy_at_us = now_us;
 	front_stop_accepting(s->node->front);
 	databases_stop(s->node->databases, now_us);
-	log_decision("stop", "step", "draining", "why",
-		     "health was red for the configured time", NULL);
+	log_decision("stop", "step", "draining", "why", "balancer had its time",
+		     NULL);
 }
 
 /*
@@ -114,8 +114,7 @@
 		s->state = STOP_DRAINING;
 		s->last_busy_at_us = now_us;
 		log_decision("stop", "step", "draining", "why",
-			     "a request arrived after the departure notice",
-			     NULL);
+			     "a request came after the last word", NULL);
 	} else if (now_us - s->departed_at_us >= DEPARTURE_SEND_US) {
 		end_loop(s, "idle");
 	}
