--- a/packages/cli/src/cli_call.c
+++ b/packages/cli/src/cli_call.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Prints what failed; gives the code back, so that callers can return it. */
+/* Prints the error and returns the code, so that callers can return it. */
 enum cli_exit cli_fail(enum cli_exit code, const char *fmt, ...)
 {
 	va_list args;
@@ -40,7 +40,9 @@
 static enum cli_exit report(const struct http_reply *reply)
 {
 	if (!reply->json)
-		return cli_fail(CLI_FAILED, "the proxy answered %ld: %s",
+		return cli_fail(CLI_FAILED,
+				"the proxy answered with HTTP status %ld and "
+				"not with JSON: %s",
 				reply->status, reply->body->str);
 	return cli_fail(exit_for(reply), "%s (%s %" G_GINT64_FORMAT ")",
 			http_str(reply, "message"), http_str(reply, "name"),
@@ -48,7 +50,7 @@
 								"code", 0));
 }
 
-/* One call to the operators' port; an error is printed here. */
+/* Calls the operators' port; on failure prints the error. */
 enum cli_exit cli_call(struct cli *cli, const char *method, const char *path,
 		       const char *body, struct http_reply *reply)
 {
@@ -62,14 +64,15 @@
 
 	http_call(cli->http, cli->port, path, &call, reply);
 	if (!reply->status)
-		return cli_fail(CLI_NO_ANSWER, "%s:%d does not answer",
-				cli->host, cli->port);
+		return cli_fail(CLI_NO_ANSWER,
+				"no answer from the proxy at %s:%d", cli->host,
+				cli->port);
 	if (reply->status >= 300)
 		return report(reply);
 	return CLI_OK;
 }
 
-/* An object's JSON text, freed with g_free(). */
+/* The JSON text of an object; freed with g_free(). */
 char *cli_json_text(JsonObject *object, bool pretty)
 {
 	JsonNode *node = json_node_new(JSON_NODE_OBJECT);
@@ -90,7 +93,7 @@
 	g_free(text);
 }
 
-/* An id that no other change has, freed with g_free(). */
+/* A unique id for a change; freed with g_free(). */
 char *cli_change_id(void)
 {
 	return g_uuid_string_random();
--- a/packages/cli/src/cli_item.c
+++ b/packages/cli/src/cli_item.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define WAIT_POLL_US 200000
+#define WAIT_POLL_US 200000 /* pause between two polls of the fleet */
 
 static char *item_path(const char *key)
 {
@@ -16,7 +16,7 @@
 	return g_strdup_printf("%s/%s", kind, name);
 }
 
-/* Reads an item; *revision 0 and *value NULL when there is none. */
+/* Reads an item; *value is NULL and *revision 0 if it does not exist. */
 enum cli_exit cli_item_read(struct cli *cli, const char *key,
 			    JsonObject **value, int64_t *revision)
 {
@@ -66,7 +66,7 @@
 	return text;
 }
 
-/* Writes an item (value NULL: removes it), then waits when asked to. */
+/* Writes an item, or removes it if value is NULL; waits if wait_s is set. */
 enum cli_exit cli_item_write(struct cli *cli, const char *key,
 			     JsonObject *value, int64_t revision)
 {
@@ -82,7 +82,7 @@
 	if (cli->json)
 		cli_print_json(reply.json);
 	else if (cli->dry_run)
-		printf("%s: good, nothing changed (dry run)\n", key);
+		printf("%s: valid, not changed (dry run)\n", key);
 	else
 		printf("%s: revision %" G_GINT64_FORMAT "\n", key,
 		       json_object_get_int_member(reply.json, "revision"));
@@ -97,7 +97,10 @@
 	return code;
 }
 
-/* Counts the members below the revision; prints their names when last. */
+/*
+ * Counts the members that are not known to have reached the revision; prints
+ * them to stderr if asked to.
+ */
 static unsigned count_lagging(JsonArray *members, int64_t revision, bool print)
 {
 	unsigned i, lagging = 0, n = json_array_get_length(members);
@@ -114,15 +117,17 @@
 		if (print)
 			fprintf(stderr, "  %s: %s%" G_GINT64_FORMAT "\n",
 				json_object_get_string_member(m, "name"),
-				known ? "revision " : "no answer, last ", has);
+				known ? "revision " :
+					"no answer, counted as revision ",
+				has);
 	}
 	return lagging;
 }
 
-/* Polls the fleet until the revision is in force everywhere. */
+/* Polls until the revision is in force on all proxies, for up to wait_s. */
 enum cli_exit cli_wait(struct cli *cli, int64_t revision)
 {
-	gint64 end =
+	gint64 deadline_us =
 		g_get_monotonic_time() + (gint64)cli->wait_s * G_USEC_PER_SEC;
 	struct http_reply reply = { 0 };
 	enum cli_exit code;
@@ -130,7 +135,7 @@
 	for (;;) {
 		JsonArray *members;
 		unsigned n, lagging;
-		bool last = g_get_monotonic_time() >= end;
+		bool last = g_get_monotonic_time() >= deadline_us;
 
 		code = cli_call(cli, NULL, "/v1/fleet", NULL, &reply);
 		if (code)
@@ -138,12 +143,14 @@
 		members = json_object_get_array_member(reply.json, "members");
 		n = json_array_get_length(members);
 		lagging = count_lagging(members, revision, last);
-		fprintf(stderr, "in force on %u of %u\n", n - lagging, n);
+		fprintf(stderr, "in force on %u of %u proxies\n", n - lagging,
+			n);
 		if (!lagging)
 			break;
 		if (last) {
 			code = cli_fail(CLI_NOT_IN_FORCE,
-					"not in force everywhere after %d s",
+					"the change is made, but not in "
+					"force on all proxies after %d s",
 					cli->wait_s);
 			break;
 		}
@@ -214,7 +221,7 @@
 	return code;
 }
 
-/* Reads a value: JSON on the command line, a file, or "-" for stdin. */
+/* Reads a value: JSON text, the name of a file, or "-" for standard input. */
 static JsonObject *read_value(const char *arg)
 {
 	JsonParser *parser = json_parser_new();
@@ -268,8 +275,8 @@
 	return code;
 }
 
-/* Puts one FIELD=VALUE into an object; the value is JSON, else a string. */
-static bool assign(JsonObject *value, const char *arg)
+/* Sets FIELD=VALUE in an object; a VALUE that is not JSON becomes a string. */
+static bool set_field(JsonObject *value, const char *arg)
 {
 	const char *equals = strchr(arg, '=');
 	JsonNode *node;
@@ -301,8 +308,9 @@
 	if (!code && !value)
 		code = cli_fail(CLI_NOT_FOUND, "there is no %s", key);
 	for (i = 1; !code && args[i]; i++) {
-		if (!assign(value, args[i]))
-			code = cli_fail(CLI_USAGE, "'%s' is not FIELD=VALUE",
+		if (!set_field(value, args[i]))
+			code = cli_fail(CLI_USAGE,
+					"expected FIELD=VALUE, got '%s'",
 					args[i]);
 	}
 	if (!code)
@@ -320,14 +328,17 @@
 	return node ? json_to_string(node, FALSE) : NULL;
 }
 
-/* Prints a line for each field that differs; returns how many do. */
+/*
+ * Prints the old and the new value of each field that differs, except the id
+ * of the last change; returns the number of fields that n_differ.
+ */
 static unsigned print_diff(JsonObject *old, JsonObject *new)
 {
 	GList *names = json_object_get_members(new);
-	GList *l, *more = old ? json_object_get_members(old) : NULL;
-	unsigned differ = 0;
+	GList *l, *old_names = old ? json_object_get_members(old) : NULL;
+	unsigned n_differ = 0;
 
-	for (l = more; l; l = l->next) {
+	for (l = old_names; l; l = l->next) {
 		if (!json_object_has_member(new, l->data))
 			names = g_list_append(names, l->data);
 	}
@@ -337,7 +348,7 @@
 
 		if (strcmp(l->data, "change") != 0 &&
 		    g_strcmp0(before, after) != 0) {
-			differ++;
+			n_differ++;
 			if (before)
 				printf("- %s: %s\n", (char *)l->data, before);
 			if (after)
@@ -347,11 +358,12 @@
 		g_free(after);
 	}
 	g_list_free(names);
-	g_list_free(more);
-	return differ;
+	g_list_free(old_names);
+	return n_differ;
 }
 
-/* KIND diff NAME FILE|JSON|-; exit code 1 when they differ, as diff(1). */
+/* KIND diff NAME FILE|JSON|-; the exit code is 1 if they n_differ, as diff(1).
+ */
 enum cli_exit cli_item_diff(struct cli *cli, const char *kind, char **args)
 {
 	JsonObject *value = read_value(args[1]);
--- a/packages/cli/src/cli_secret.c
+++ b/packages/cli/src/cli_secret.c
@@ -7,16 +7,16 @@
 #include <sys/random.h>
 #include <zmq.h>
 
-#define SECRET_BYTES 32
-/* Z85 text of a CURVE key, with its NUL. */
-#define CURVE_KEY_TEXT 41
+#define SECRET_BYTES 32 /* random bytes of a token or a signing key */
+/* Size of the Z85 text of a CURVE key, with its NUL. */
+#define CURVE_KEY_TEXT_BYTES 41
 
 static bool make_secret(guchar secret[SECRET_BYTES])
 {
 	return getrandom(secret, SECRET_BYTES, 0) == SECRET_BYTES;
 }
 
-/* token new: a caller's token, and the hash that the configuration holds. */
+/* token new: prints a caller's token and its hash for the configuration. */
 enum cli_exit cli_token_new(struct cli *cli, char **args)
 {
 	guchar secret[SECRET_BYTES];
@@ -25,7 +25,9 @@
 	(void)cli;
 	(void)args;
 	if (!make_secret(secret))
-		return cli_fail(CLI_FAILED, "no random numbers to be had");
+		return cli_fail(
+			CLI_FAILED,
+			"the system gave no random bytes for the secret");
 	token = g_base64_encode(secret, sizeof(secret));
 	g_strdelimit(token, "+/=", '-');
 	hash = g_compute_checksum_for_string(G_CHECKSUM_SHA256, token, -1);
@@ -36,9 +38,9 @@
 }
 
 /*
- * key new ID: a key for session tokens; the secret is not shown. It does not
- * sign yet: a proxy that has not heard of it would refuse the tokens of one
- * that has.
+ * key new ID: creates a key for session tokens; its secret is not printed. The
+ * key is not used for signing yet: a proxy that has not received it would
+ * refuse the tokens signed by a proxy that has.
  */
 enum cli_exit cli_key_new(struct cli *cli, char **args)
 {
@@ -49,7 +51,9 @@
 	char *text;
 
 	if (!make_secret(secret)) {
-		code = cli_fail(CLI_FAILED, "no random numbers to be had");
+		code = cli_fail(
+			CLI_FAILED,
+			"the system gave no random bytes for the secret");
 		goto out;
 	}
 	text = g_base64_encode(secret, sizeof(secret));
@@ -58,7 +62,7 @@
 	g_free(text);
 	code = cli_item_write(cli, key, value, 0);
 	if (!code && !cli->dry_run)
-		printf("once it is in force everywhere: "
+		printf("once the key is in force on all proxies, run: "
 		       "celeryquay key edit %s state=signing\n",
 		       args[0]);
 out:
@@ -67,22 +71,22 @@
 	return code;
 }
 
-/* peer-key new: a pair for the settings of proxies, see keys.md. */
+/* peer-key new: prints a CURVE key pair for a proxy's settings, see keys.md. */
 enum cli_exit cli_peer_key_new(struct cli *cli, char **args)
 {
-	char public[CURVE_KEY_TEXT], secret[CURVE_KEY_TEXT];
+	char public[CURVE_KEY_TEXT_BYTES], secret[CURVE_KEY_TEXT_BYTES];
 
 	(void)cli;
 	(void)args;
 	if (zmq_curve_keypair(public, secret))
-		return cli_fail(CLI_FAILED, "no pair of keys: %s",
+		return cli_fail(CLI_FAILED, "cannot make a CURVE key pair: %s",
 				zmq_strerror(zmq_errno()));
 	printf("\"curve_secret\": \"%s\",\n\"curve_public\": \"%s\"\n", secret,
 	       public);
 	return CLI_OK;
 }
 
-/* settings check FILE: as celeryquayd --check, without the daemon. */
+/* settings check FILE: checks as celeryquayd --check, without the daemon. */
 enum cli_exit cli_settings_check(struct cli *cli, char **args)
 {
 	struct err err = { 0 };
@@ -91,7 +95,7 @@
 	(void)cli;
 	if (!s)
 		return cli_fail(CLI_FAILED, "%s (%d)", err.message, err.code);
-	printf("%s: good settings for %s\n", args[0], s->name);
+	printf("%s: valid settings for %s\n", args[0], s->name);
 	node_settings_destroy(s);
 	return CLI_OK;
 }
--- a/packages/cli/src/cli_status.c
+++ b/packages/cli/src/cli_status.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define WAIT_POLL_US 50000
+#define WAIT_POLL_US 50000 /* pause between two reads of the primary */
 
 static void print_members(JsonArray *members)
 {
@@ -70,7 +70,7 @@
 		print_server(json_array_get_object_element(servers, i));
 }
 
-/* status: the proxy that is asked, its members and its databases. */
+/* status: the proxy, the members it knows, and its databases. */
 enum cli_exit cli_status(struct cli *cli, char **args)
 {
 	struct http_reply reply = { 0 };
@@ -100,7 +100,7 @@
 	return code;
 }
 
-/* fleet: the revision that each member has in force. */
+/* fleet: the configuration revision that each member has in force. */
 enum cli_exit cli_fleet(struct cli *cli, char **args)
 {
 	struct http_reply reply = { 0 };
@@ -149,20 +149,21 @@
 	return is;
 }
 
-/* Polls the record of primaries until the server is in it. */
+/* Polls the stored primary of the database until it is the server. */
 static enum cli_exit wait_for_primary(struct cli *cli, const char *database,
 				      const char *server)
 {
-	gint64 end =
+	gint64 deadline_us =
 		g_get_monotonic_time() + (gint64)cli->wait_s * G_USEC_PER_SEC;
 	char *key = g_strconcat("primary/", database, NULL);
 	enum cli_exit code;
 
 	while (!is_primary(cli, key, server, &code) && !code) {
-		if (g_get_monotonic_time() >= end)
+		if (g_get_monotonic_time() >= deadline_us)
 			code = cli_fail(CLI_NOT_IN_FORCE,
-					"%s is not on record as the primary "
-					"of %s after %d s",
+					"%s is not recorded as the primary "
+					"of %s after %d s; the move may still "
+					"be going on",
 					server, database, cli->wait_s);
 		else
 			g_usleep(WAIT_POLL_US);
@@ -173,7 +174,7 @@
 	return code;
 }
 
-/* move SERVICE/DATABASE SERVER: a planned change of primary. */
+/* move SERVICE/DATABASE SERVER: starts a planned change of primary. */
 enum cli_exit cli_move(struct cli *cli, char **args)
 {
 	char *path = g_strdup_printf("/v1/move/%s/%s", args[0], args[1]);
@@ -182,7 +183,7 @@
 
 	code = cli_call(cli, "POST", path, "{}", &reply);
 	if (!code)
-		printf("%s: moving to %s\n", args[0], args[1]);
+		printf("%s: moving the primary to %s\n", args[0], args[1]);
 	http_reply_clear(&reply);
 	g_free(path);
 	if (!code && cli->wait_s)
--- a/packages/cli/src/cli_upstream.c
+++ b/packages/cli/src/cli_upstream.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Finds a server in a database's list; -1 when it isn't there. */
+/* The index of a server in a database's list; -1 if it is not listed. */
 static int find_server(JsonArray *servers, const char *name)
 {
 	unsigned i, n = json_array_get_length(servers);
@@ -20,11 +20,11 @@
 	return -1;
 }
 
-/* What to do to the list of servers. */
+/* Changes the list of servers of a database's item. */
 typedef enum cli_exit (*change_fn)(struct cli *cli, JsonArray *servers,
 				   char **args);
 
-/* Reads a database's item, changes its servers and writes it back. */
+/* Reads a database's item, changes its list of servers and writes it back. */
 static enum cli_exit change_servers(struct cli *cli, char **args,
 				    change_fn change)
 {
@@ -55,9 +55,11 @@
 	char *host;
 
 	if (!colon)
-		return cli_fail(CLI_USAGE, "'%s' is not NUMBER:PORT", args[2]);
+		return cli_fail(CLI_USAGE, "expected ADDRESS:PORT, got '%s'",
+				args[2]);
 	if (find_server(servers, args[1]) >= 0)
-		return cli_fail(CLI_FAILED, "%s is there already", args[1]);
+		return cli_fail(CLI_FAILED, "server %s is already listed",
+				args[1]);
 	server = json_object_new();
 	host = g_strndup(args[2], (gsize)(colon - args[2]));
 	json_object_set_string_member(server, "name", args[1]);
@@ -101,7 +103,7 @@
 	return CLI_OK;
 }
 
-/* upstream add SERVICE/DATABASE SERVER NUMBER:PORT */
+/* upstream add SERVICE/DATABASE SERVER ADDRESS:PORT */
 enum cli_exit cli_upstream_add(struct cli *cli, char **args)
 {
 	return change_servers(cli, args, add);
--- a/packages/cli/src/main.c
+++ b/packages/cli/src/main.c
@@ -7,6 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Defaults of --slots and --connections, for `upstream add`. */
 #define DEFAULT_SLOTS 3
 #define DEFAULT_CONNECTIONS 20
 
@@ -35,7 +36,7 @@
 	{ { "fleet", NULL }, "", 0, 0, cli_fleet },
 	{ { "move", NULL }, "SERVICE/DATABASE SERVER", 2, 2, cli_move },
 	{ { "upstream", "add" },
-	  "SERVICE/DATABASE SERVER NUMBER:PORT",
+	  "SERVICE/DATABASE SERVER ADDRESS:PORT",
 	  3,
 	  3,
 	  cli_upstream_add },
@@ -69,7 +70,7 @@
 	{ "remove", "NAME", 1, 1, cli_item_remove },
 };
 
-/* What --help says after the options. */
+/* The text of --help that follows the options; freed with g_free(). */
 static char *describe(void)
 {
 	GString *out = g_string_new("Commands:\n");
@@ -89,8 +90,8 @@
 		g_string_append_printf(out, " %s", kinds[i]);
 	g_string_append(out,
 			"\nExit codes: 0 done, 1 failed, 2 wrong usage, "
-			"3 changed by somebody else,\n4 not found, 5 not in "
-			"force everywhere in time, 6 no answer");
+			"3 conflict with another change,\n4 not found, 5 not "
+			"in force on all proxies in time, 6 no answer");
 	return g_string_free(out, FALSE);
 }
 
@@ -101,7 +102,8 @@
 
 	if (n >= min && n <= max)
 		return CLI_OK;
-	return cli_fail(CLI_USAGE, "usage: %s", usage);
+	return cli_fail(CLI_USAGE, "wrong number of arguments; expected: %s",
+			usage);
 }
 
 static enum cli_exit run_item(struct cli *cli, const char *kind, char **args)
@@ -152,7 +154,7 @@
 	return cli_fail(CLI_USAGE, "%s: no such command, see --help", args[0]);
 }
 
-/* Splits NUMBER:PORT into the client's host and port. */
+/* Splits ADDRESS:PORT into host and port; false if it is not of that form. */
 static bool set_proxy(struct cli *cli, const char *proxy)
 {
 	const char *colon = proxy ? strrchr(proxy, ':') : NULL;
@@ -180,31 +182,32 @@
 {
 	GOptionEntry entries[] = {
 		{ "proxy", 'p', 0, G_OPTION_ARG_STRING, &o->proxy,
-		  "Operators' port of a proxy (or $CELERYQUAY_PROXY)",
-		  "NUMBER:PORT" },
+		  "Operators' port of the proxy (or $CELERYQUAY_PROXY)",
+		  "ADDRESS:PORT" },
 		{ "token-file", 't', 0, G_OPTION_ARG_FILENAME, &o->token_file,
 		  "File with the operator's token (or $CELERYQUAY_TOKEN)",
 		  "FILE" },
 		{ "ca-file", 0, 0, G_OPTION_ARG_FILENAME, &cli->ca_file,
-		  "Use TLS and trust this certificate", "FILE" },
+		  "Use TLS and trust the CA certificate in this file", "FILE" },
 		{ "json", 'j', 0, G_OPTION_ARG_NONE, &o->json,
 		  "Print JSON instead of tables", NULL },
 		{ "dry-run", 'n', 0, G_OPTION_ARG_NONE, &o->dry_run,
 		  "Check a change without making it", NULL },
 		{ "expect-revision", 'r', 0, G_OPTION_ARG_INT64,
-		  &o->expect_revision, "Change the item only at this revision",
-		  "N" },
+		  &o->expect_revision,
+		  "Change the item only if it has this revision", "N" },
 		{ "wait", 'w', 0, G_OPTION_ARG_INT, &o->wait_s,
-		  "Wait until a change is in force everywhere, or a move done",
+		  "Wait until a change is in force on all proxies, or a move "
+		  "is done",
 		  "SECONDS" },
 		{ "data-centre", 0, 0, G_OPTION_ARG_STRING, &cli->data_centre,
-		  "Data centre of a server that is added", "NAME" },
+		  "Data centre of the server to add", "NAME" },
 		{ "region", 0, 0, G_OPTION_ARG_STRING, &cli->region,
-		  "Region of a server that is added", "NAME" },
+		  "Region of the server to add", "NAME" },
 		{ "slots", 0, 0, G_OPTION_ARG_INT, &cli->slots,
-		  "Statements at once on a server that is added", "N" },
+		  "Concurrent statements on the server to add", "N" },
 		{ "connections", 0, 0, G_OPTION_ARG_INT, &cli->connections,
-		  "Connection limit of a server that is added", "N" },
+		  "Connection limit of the server to add", "N" },
 		{ "version", 'V', 0, G_OPTION_ARG_NONE, &o->version,
 		  "Print the version and exit", NULL },
 		{ G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &o->rest,
@@ -245,7 +248,7 @@
 	return true;
 }
 
-/* Commands that ask no proxy. */
+/* Whether the command runs without a proxy. */
 static bool is_local(char **args)
 {
 	return !strcmp(args[0], "settings") || !strcmp(args[0], "token") ||
@@ -253,7 +256,7 @@
 	       !strcmp(args[0], "causes");
 }
 
-static void take_options(struct cli *cli, const struct options *o)
+static void apply_options(struct cli *cli, const struct options *o)
 {
 	cli->json = o->json;
 	cli->dry_run = o->dry_run;
@@ -272,10 +275,11 @@
 	if (!o->rest)
 		return cli_fail(CLI_USAGE, "no command, see --help");
 	if (!is_local(o->rest) && !set_proxy(cli, proxy))
-		return cli_fail(CLI_USAGE, "--proxy NUMBER:PORT is wanted");
+		return cli_fail(CLI_USAGE, "no proxy to ask: expected --proxy "
+					   "ADDRESS:PORT");
 	if (!read_token(cli, o->token_file))
 		return CLI_USAGE;
-	take_options(cli, o);
+	apply_options(cli, o);
 	return run_command(cli, o->rest);
 }
 
