--- a/packages/cli/src/causes.c
+++ b/packages/cli/src/causes.c
@@ -5,72 +5,87 @@
 
 #include <string.h>
 
-/* Statements that wait for the line of the home that refused them: 64 MB. */
+/*
+ * Bounds the ids kept in home_causes and pending together, to match a refusal
+ * with the line of the home that refused it: 64 MB.
+ */
 #define PENDING_MAX 500000
 
 enum cause {
 	CAUSE_NO_PRIMARY,
 	CAUSE_BEING_REPLACED,
 	CAUSE_NOT_CONFIRMED,
-	CAUSE_DOWN,
+	CAUSE_SERVERS_DOWN,
 	CAUSE_LAGGING_OVERLOAD,
 	CAUSE_OVERLOAD,
-	CAUSE_CONNECTIONS,
-	CAUSE_OPENING,
+	CAUSE_NO_CONNECTION,
+	CAUSE_AWAITS_CONNECTION,
 	CAUSE_LAGGING,
 	CAUSE_NO_HOME,
-	CAUSE_LOST,
+	CAUSE_SERVER_LOST,
 	CAUSE_ANSWER_LOST,
-	CAUSE_SERVER_BUSY,
+	CAUSE_SERVER_REFUSED,
 	CAUSE_CALLER,
-	CAUSE_HOME_UNKNOWN,
+	CAUSE_HOME_REFUSED,
 	CAUSE_OTHER,
-	CAUSES,
+	N_CAUSES,
 };
 
 static const struct {
 	const char *name;
 	const char *meaning;
-} infos[CAUSES] = {
-	[CAUSE_NO_PRIMARY] = { "no-primary", "no server leads" },
+} infos[N_CAUSES] = {
+	[CAUSE_NO_PRIMARY] = { "no-primary",
+			       "no server is known to be the primary" },
 	[CAUSE_BEING_REPLACED] = { "being-replaced",
-				   "a change of primary runs" },
+				   "a change of primary is in progress" },
 	[CAUSE_NOT_CONFIRMED] = { "primary-not-confirmed",
-				  "no replica confirmed the primary" },
-	[CAUSE_DOWN] = { "servers-down", "the servers that may do not answer" },
+				  "the replicas did not confirm the primary" },
+	[CAUSE_SERVERS_DOWN] = { "servers-down",
+				 "the servers that could run it do not answer" },
 	[CAUSE_LAGGING_OVERLOAD] = { "replicas-behind",
-				     "replicas lag, the primary is at its "
-				     "limit" },
+				     "replicas lag, other servers are at "
+				     "their limit" },
 	[CAUSE_OVERLOAD] = { "servers-at-limit",
-			     "as many in flight as are answered in time" },
-	[CAUSE_CONNECTIONS] = { "connections-used-up",
-				"no connection to the servers that may" },
-	[CAUSE_OPENING] = { "connection-awaited",
-			    "others came first, or one was being opened" },
-	[CAUSE_LAGGING] = { "too-fresh", "servers lack what must be seen" },
-	[CAUSE_NO_HOME] = { "no-home", "no home of the database is reached" },
-	[CAUSE_LOST] = { "server-lost",
-			 "a transaction's server or connection was lost" },
+			     "the servers have as many in flight "
+			     "as they answer in time" },
+	[CAUSE_NO_CONNECTION] = { "connections-used-up",
+				  "no connection to the servers "
+				  "that could run it" },
+	[CAUSE_AWAITS_CONNECTION] = { "connection-awaited",
+				      "others came first, or a "
+				      "connection was being opened" },
+	[CAUSE_LAGGING] = { "too-fresh",
+			    "servers lack the writes that a read must see" },
+	[CAUSE_NO_HOME] = { "no-home",
+			    "no home of the database can be reached" },
+	[CAUSE_SERVER_LOST] = { "server-lost",
+				"a transaction's server or connection was lost" },
 	[CAUSE_ANSWER_LOST] = { "answer-lost",
-				"it was sent, and no answer came" },
-	[CAUSE_SERVER_BUSY] = { "server-refused", "servers took it and shed" },
-	[CAUSE_CALLER] = { "caller", "the statement or database is wrong" },
-	[CAUSE_HOME_UNKNOWN] = { "home-refused",
-				 "a home refused; its line is not there" },
-	[CAUSE_OTHER] = { "other", "none of these" },
+				"it was sent, but no answer came" },
+	[CAUSE_SERVER_REFUSED] = { "server-refused",
+				   "a server took it and "
+				   "answered with a failure" },
+	[CAUSE_CALLER] = { "caller",
+			   "the statement or the database's name is wrong" },
+	[CAUSE_HOME_REFUSED] = { "home-refused", "a home refused it, and that "
+						 "home's log line is missing" },
+	[CAUSE_OTHER] = { "other",
+			  "the log line shows none of the known causes" },
 };
 
+/* The statements with one cause. */
 struct tally {
 	unsigned n;
-	GHashTable *services; /* name -> count */
+	GHashTable *services; /* service name -> number of statements */
 };
 
 struct causes {
-	struct tally tallies[CAUSES];
-	GHashTable *at_homes; /* id -> cause, from homes' lines */
-	GHashTable *pending; /* id -> service, of those that homes refused */
-	unsigned n_left_out;
-	unsigned n;
+	struct tally tallies[N_CAUSES];
+	GHashTable *home_causes; /* id -> cause + 1, from homes' lines */
+	GHashTable *pending; /* id -> service, of refusals by homes */
+	unsigned n_left_out; /* not counted: PENDING_MAX was reached */
+	unsigned n; /* statements in all tallies */
 };
 
 struct causes *causes_create(void)
@@ -78,10 +93,10 @@
 	struct causes *c = g_new0(struct causes, 1);
 	unsigned i;
 
-	for (i = 0; i < CAUSES; i++)
+	for (i = 0; i < N_CAUSES; i++)
 		c->tallies[i].services = g_hash_table_new_full(
 			g_str_hash, g_str_equal, g_free, NULL);
-	c->at_homes =
+	c->home_causes =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	c->pending =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -95,9 +110,9 @@
 
 	if (!c)
 		return;
-	for (i = 0; i < CAUSES; i++)
+	for (i = 0; i < N_CAUSES; i++)
 		g_hash_table_destroy(c->tallies[i].services);
-	g_hash_table_destroy(c->at_homes);
+	g_hash_table_destroy(c->home_causes);
 	g_hash_table_destroy(c->pending);
 	g_free(c);
 }
@@ -114,7 +129,10 @@
 			     GUINT_TO_POINTER(n + 1));
 }
 
-/* How many rows of the list were passed over for that, "" for nothing. */
+/*
+ * The number of servers or homes in the list that were passed over for the
+ * given reason; "" counts those that were not passed over.
+ */
 static unsigned passed_over(JsonArray *rows, const char *why)
 {
 	unsigned i, n = 0;
@@ -127,7 +145,7 @@
 	return n;
 }
 
-static JsonArray *list_of(JsonObject *line, const char *key)
+static JsonArray *array_member(JsonObject *line, const char *key)
 {
 	JsonNode *node = json_object_get_member(line, key);
 
@@ -139,10 +157,10 @@
 {
 	if (!passed_over(homes, ""))
 		return CAUSE_NO_HOME;
-	return CAUSE_OPENING;
+	return CAUSE_AWAITS_CONNECTION;
 }
 
-/* What stood in the way at the servers, the most telling first. */
+/* The cause from the servers' states; the most specific one wins. */
 static enum cause cause_of_servers(JsonObject *line, JsonArray *servers)
 {
 	bool lagging = passed_over(servers, "lagging") ||
@@ -151,15 +169,15 @@
 	if (passed_over(servers, "being-replaced"))
 		return CAUSE_BEING_REPLACED;
 	if (passed_over(servers, ""))
-		return CAUSE_OPENING;
+		return CAUSE_AWAITS_CONNECTION;
 	if (passed_over(servers, "at-limit"))
 		return lagging ? CAUSE_LAGGING_OVERLOAD : CAUSE_OVERLOAD;
 	if (passed_over(servers, "no-connection"))
-		return CAUSE_CONNECTIONS;
+		return CAUSE_NO_CONNECTION;
 	if (passed_over(servers, "lease-over"))
 		return CAUSE_NOT_CONFIRMED;
 	if (passed_over(servers, "down"))
-		return CAUSE_DOWN;
+		return CAUSE_SERVERS_DOWN;
 	if (json_object_has_member(line, "primary") &&
 	    !*log_lines_text(json_object_get_object_member(line, "primary"),
 			     "server"))
@@ -170,46 +188,46 @@
 static enum cause cause_of(JsonObject *line)
 {
 	const char *code = log_lines_text(line, "code");
-	JsonArray *servers = list_of(line, "servers");
-	JsonArray *homes = list_of(line, "homes");
+	JsonArray *servers = array_member(line, "servers");
+	JsonArray *homes = array_member(line, "homes");
 
 	if (!strcmp(code, "IN_DOUBT") || !strcmp(code, "TIMED_OUT"))
 		return CAUSE_ANSWER_LOST;
 	if (!strcmp(code, "ABORTED"))
-		return CAUSE_LOST;
+		return CAUSE_SERVER_LOST;
 	if (!strcmp(code, "NO_DATABASE") || !strcmp(code, "MALFORMED") ||
 	    !strcmp(code, "NO_STATEMENT"))
 		return CAUSE_CALLER;
 	if (!strcmp(code, "LAGGING"))
 		return CAUSE_LAGGING;
 	if (!strcmp(code, "FAILED"))
-		return CAUSE_SERVER_BUSY;
+		return CAUSE_SERVER_REFUSED;
 	if (servers)
 		return cause_of_servers(line, servers);
 	return homes ? cause_of_homes(homes) : CAUSE_OTHER;
 }
 
-/* Whether a home said no: its own line, in its own log, says why. */
+/* Whether a home refused the statement; the home's own log has the cause. */
 static bool is_from_home(JsonObject *line)
 {
-	JsonArray *homes = list_of(line, "homes");
+	JsonArray *homes = array_member(line, "homes");
 
-	return homes && !list_of(line, "servers") &&
+	return homes && !array_member(line, "servers") &&
 	       g_str_has_prefix(log_lines_text(line, "why"), "the home");
 }
 
-static void take_refused(struct causes *c, JsonObject *line)
+static void add_refusal(struct causes *c, JsonObject *line)
 {
 	const char *id = log_lines_text(line, "id");
 	const char *service = log_lines_text(line, "service");
 
-	if (g_hash_table_size(c->pending) + g_hash_table_size(c->at_homes) >=
+	if (g_hash_table_size(c->pending) + g_hash_table_size(c->home_causes) >=
 	    PENDING_MAX) {
 		c->n_left_out++;
 		return;
 	}
 	if (log_lines_bool(line, "from_proxy"))
-		g_hash_table_replace(c->at_homes, g_strdup(id),
+		g_hash_table_replace(c->home_causes, g_strdup(id),
 				     GUINT_TO_POINTER(cause_of(line) + 1));
 	else if (is_from_home(line))
 		g_hash_table_replace(c->pending, g_strdup(id),
@@ -230,7 +248,7 @@
 	parser = json_parser_new_immutable();
 	line = log_lines_parse(parser, text, len);
 	if (line && strcmp(log_lines_text(line, "code"), "OK") != 0)
-		take_refused(c, line);
+		add_refusal(c, line);
 	g_object_unref(parser);
 	return line;
 }
@@ -240,7 +258,7 @@
 	log_lines_read(name, log, take_line, c, err);
 }
 
-/* Joins what homes refused with what they say of it. */
+/* Counts the statements refused by homes, with the causes the homes logged. */
 static void settle(struct causes *c)
 {
 	GHashTableIter iter;
@@ -248,20 +266,20 @@
 
 	g_hash_table_iter_init(&iter, c->pending);
 	while (g_hash_table_iter_next(&iter, &id, &service)) {
-		unsigned at =
-			GPOINTER_TO_UINT(g_hash_table_lookup(c->at_homes, id));
+		unsigned at = GPOINTER_TO_UINT(
+			g_hash_table_lookup(c->home_causes, id));
 
-		count(c, at ? (enum cause)(at - 1) : CAUSE_HOME_UNKNOWN,
+		count(c, at ? (enum cause)(at - 1) : CAUSE_HOME_REFUSED,
 		      service);
 		g_hash_table_iter_remove(&iter);
 	}
 }
 
-static void sort(const struct causes *c, enum cause order[CAUSES])
+static void sort(const struct causes *c, enum cause order[N_CAUSES])
 {
 	unsigned i, j;
 
-	for (i = 0; i < CAUSES; i++) {
+	for (i = 0; i < N_CAUSES; i++) {
 		for (j = i; j && c->tallies[order[j - 1]].n < c->tallies[i].n;
 		     j--)
 			order[j] = order[j - 1];
@@ -269,54 +287,57 @@
 	}
 }
 
-/* The service with the most of them. */
-static const char *worst_service(const struct tally *t, unsigned *n)
+/* The service with the most statements of the tally; *n is their number. */
+static const char *top_service(const struct tally *t, unsigned *n)
 {
-	const char *worst = "";
+	const char *top = "";
 	GHashTableIter iter;
 	gpointer name, value;
 
 	*n = 0;
 	g_hash_table_iter_init(&iter, t->services);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		unsigned m = GPOINTER_TO_UINT(value);
+		unsigned n_here = GPOINTER_TO_UINT(value);
 
-		if (m > *n || (m == *n && strcmp(name, worst) < 0)) {
-			worst = name;
-			*n = m;
+		if (n_here > *n || (n_here == *n && strcmp(name, top) < 0)) {
+			top = name;
+			*n = n_here;
 		}
 	}
-	return worst;
+	return top;
 }
 
 void causes_write_text(struct causes *c, GString *out)
 {
-	enum cause order[CAUSES] = { 0 };
+	enum cause order[N_CAUSES] = { 0 };
 	unsigned i, n;
 
 	settle(c);
 	sort(c, order);
 	g_string_append_printf(out, "%u statements refused or failed\n", c->n);
-	for (i = 0; i < CAUSES; i++) {
+	for (i = 0; i < N_CAUSES; i++) {
 		const struct tally *t = &c->tallies[order[i]];
 		const char *service;
 
 		if (!t->n)
 			break;
-		service = worst_service(t, &n);
+		service = top_service(t, &n);
 		g_string_append_printf(
 			out, "%8u  %5.1f %%  %-22s %s; most at %s: %u\n", t->n,
 			100.0 * t->n / c->n, infos[order[i]].name,
 			infos[order[i]].meaning, *service ? service : "-", n);
 	}
 	if (c->n_left_out)
-		g_string_append_printf(out, "%u more were left out\n",
-				       c->n_left_out);
+		g_string_append_printf(
+			out,
+			"%u more were left out: too many to match "
+			"with the lines of homes\n",
+			c->n_left_out);
 }
 
 void causes_write_json(struct causes *c, GString *out)
 {
-	enum cause order[CAUSES] = { 0 };
+	enum cause order[N_CAUSES] = { 0 };
 	unsigned i, n;
 
 	settle(c);
@@ -325,9 +346,9 @@
 			       "{\"statements\":%u,\"left_out\":%u,"
 			       "\"causes\":[",
 			       c->n, c->n_left_out);
-	for (i = 0; i < CAUSES && c->tallies[order[i]].n; i++) {
+	for (i = 0; i < N_CAUSES && c->tallies[order[i]].n; i++) {
 		const struct tally *t = &c->tallies[order[i]];
-		const char *service = worst_service(t, &n);
+		const char *service = top_service(t, &n);
 
 		g_string_append_printf(out,
 				       "%s{\"cause\":\"%s\",\"statements\":%u,"
--- a/packages/cli/src/cli_explain.c
+++ b/packages/cli/src/cli_explain.c
@@ -21,18 +21,18 @@
 	causes_read(reader, name, log, err);
 }
 
-/* Reads one log; "-" is standard input. What is wrong with it is printed. */
+/* Reads one log, "-" for standard input; prints what is wrong with it. */
 static enum cli_exit read_log(read_fn read, void *reader, const char *name)
 {
-	bool is_input = !strcmp(name, "-");
-	FILE *log = is_input ? stdin : fopen(name, "r");
+	bool is_stdin = !strcmp(name, "-");
+	FILE *log = is_stdin ? stdin : fopen(name, "r");
 	struct err err = { 0 };
 
 	if (!log)
 		err_set(&err, ERR_BAD_LOG, "%s: %s", name, g_strerror(errno));
 	else
 		read(reader, name, log, &err);
-	if (log && !is_input)
+	if (log && !is_stdin)
 		fclose(log);
 	if (!err.code)
 		return CLI_OK;
@@ -40,8 +40,8 @@
 }
 
 /*
- * explain ID FILE...: what became of a statement. A log that is broken in
- * places is read all the same, and the exit code tells of it.
+ * explain ID FILE...: prints what became of a statement. Broken lines of a log
+ * are skipped; the exit code is then CLI_FAILED.
  */
 enum cli_exit cli_explain(struct cli *cli, char **args)
 {
@@ -71,7 +71,7 @@
 	return code;
 }
 
-/* causes FILE...: why statements were refused or failed, counted. */
+/* causes FILE...: counts why statements were refused or failed. */
 enum cli_exit cli_causes(struct cli *cli, char **args)
 {
 	struct causes *c = causes_create();
--- a/packages/cli/src/cli_item.c
+++ b/packages/cli/src/cli_item.c
@@ -330,7 +330,7 @@
 
 /*
  * Prints the old and the new value of each field that differs, except the id
- * of the last change; returns the number of fields that n_differ.
+ * of the last change; returns how many do.
  */
 static unsigned print_diff(JsonObject *old, JsonObject *new)
 {
@@ -362,8 +362,7 @@
 	return n_differ;
 }
 
-/* KIND diff NAME FILE|JSON|-; the exit code is 1 if they n_differ, as diff(1).
- */
+/* KIND diff NAME FILE|JSON|-; exit code 1 if they differ, as with diff(1). */
 enum cli_exit cli_item_diff(struct cli *cli, const char *kind, char **args)
 {
 	JsonObject *value = read_value(args[1]);
--- a/packages/cli/src/explain.c
+++ b/packages/cli/src/explain.c
@@ -7,17 +7,23 @@
 
 #include <string.h>
 
-/* Of 1,400 proxies, some 15 things each; a few MB. */
-#define BELIEFS_MAX 20000
-/* A statement has one line for each try at each of two proxies. */
+/* Bounds the states kept: some 15 of each of 1,400 proxies; a few MB. */
+#define STATES_MAX 20000
+/*
+ * Bounds the lines kept of the statement, which has one for each try at each
+ * of two proxies.
+ */
 #define MATCHES_MAX 1000
 
-/* Lines that say what a process believes, and what the belief is about. */
-static const struct belief_kind {
+/*
+ * Events that report the state of a proxy. A line replaces the last one with
+ * the same proxy, subject, database and value of the key.
+ */
+static const struct state_event {
 	const char *event;
-	const char *subject; /* one line is kept for each of these */
-	const char *key; /* and for each value of this field; NULL: one */
-} belief_kinds[] = {
+	const char *subject; /* what the state is about */
+	const char *key; /* field that tells them apart; NULL: none */
+} state_events[] = {
 	{ "started", "life", NULL },
 	{ "reload", "life", NULL },
 	{ "stopping", "life", NULL },
@@ -42,21 +48,21 @@
 	{ "server-reborn", "list", "server" },
 	{ "server-lost", "server", "server" },
 	{ "server-back", "server", "server" },
-	{ "proxy-lost", "proxy", "proxy" }, /* of one database each */
+	{ "proxy-lost", "proxy", "proxy" }, /* one per database */
 	{ "proxy-back", "proxy", "proxy" },
 	{ "log-dropped", "log-dropped", NULL },
 };
 
-/* A line with the id, and what its process believed then. */
+/* A line with the statement's id, and the state of its proxy at that time. */
 struct match {
 	JsonNode *line;
-	GPtrArray *beliefs; /* JsonNode */
-	unsigned order; /* as it was read */
+	GPtrArray *states; /* JsonNode */
+	unsigned order; /* number of the match in the order of reading */
 };
 
 struct explain {
 	char *id;
-	GHashTable *beliefs; /* node, subject and key -> JsonNode */
+	GHashTable *states; /* node, subject, key, database -> JsonNode */
 	GPtrArray *matches; /* struct match */
 };
 
@@ -65,7 +71,7 @@
 	struct match *m = data;
 
 	json_node_unref(m->line);
-	g_ptr_array_unref(m->beliefs);
+	g_ptr_array_unref(m->states);
 	g_free(m);
 }
 
@@ -74,14 +80,14 @@
 	json_node_unref(node);
 }
 
-/* Nothing was read yet. */
+/* For the statement with the id; no log is read yet. */
 struct explain *explain_create(const char *id)
 {
 	struct explain *e = g_new0(struct explain, 1);
 
 	e->id = g_strdup(id);
-	e->beliefs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					   node_free);
+	e->states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					  node_free);
 	e->matches = g_ptr_array_new_with_free_func(match_free);
 	return e;
 }
@@ -91,26 +97,26 @@
 {
 	if (!e)
 		return;
-	g_hash_table_destroy(e->beliefs);
+	g_hash_table_destroy(e->states);
 	g_ptr_array_unref(e->matches);
 	g_free(e->id);
 	g_free(e);
 }
 
-/* Whether any line had the id. */
+/* Whether any line has the statement's id. */
 bool explain_found(const struct explain *e)
 {
 	return e->matches->len;
 }
 
-static const struct belief_kind *belief_kind_of(JsonObject *line)
+static const struct state_event *state_event_of(JsonObject *line)
 {
 	const char *event = log_lines_text(line, "event");
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(belief_kinds); i++)
-		if (!strcmp(belief_kinds[i].event, event))
-			return &belief_kinds[i];
+	for (i = 0; i < G_N_ELEMENTS(state_events); i++)
+		if (!strcmp(state_events[i].event, event))
+			return &state_events[i];
 	return NULL;
 }
 
@@ -121,47 +127,50 @@
 		       node);
 }
 
-static void take_belief(struct explain *e, JsonNode *node)
+static void record_state(struct explain *e, JsonNode *node)
 {
 	JsonObject *line = json_node_get_object(node);
-	const struct belief_kind *kind = belief_kind_of(line);
+	const struct state_event *kind = state_event_of(line);
 	char *key;
 
 	if (!kind)
 		return;
-	/* A process that starts knows nothing of what it was before. */
+	/* A proxy that starts keeps no state of its previous process. */
 	if (!strcmp(log_lines_text(line, "event"), "started"))
-		g_hash_table_foreach_remove(e->beliefs, is_of_node,
+		g_hash_table_foreach_remove(e->states, is_of_node,
 					    (gpointer)log_lines_text(line,
 								     "node"));
 	key = g_strjoin("\n", log_lines_text(line, "node"), kind->subject,
 			kind->key ? log_lines_text(line, kind->key) : "",
 			log_lines_text(line, "database"), NULL);
-	if (g_hash_table_size(e->beliefs) < BELIEFS_MAX ||
-	    g_hash_table_contains(e->beliefs, key))
-		g_hash_table_replace(e->beliefs, key, json_node_ref(node));
+	if (g_hash_table_size(e->states) < STATES_MAX ||
+	    g_hash_table_contains(e->states, key))
+		g_hash_table_replace(e->states, key, json_node_ref(node));
 	else
 		g_free(key);
 }
 
-static bool is_same_or_none(JsonObject *belief, JsonObject *line,
+static bool is_same_or_none(JsonObject *state, JsonObject *line,
 			    const char *key)
 {
-	const char *of = log_lines_text(belief, key);
+	const char *of = log_lines_text(state, key);
 
 	return !*of || !strcmp(of, log_lines_text(line, key));
 }
 
-/* What concerns another service or database is left out. */
-static bool concerns(JsonObject *belief, JsonObject *line)
+/*
+ * Whether the state is of the proxy that wrote the line, and not of another
+ * service or database.
+ */
+static bool applies_to(JsonObject *state, JsonObject *line)
 {
-	return !strcmp(log_lines_text(belief, "node"),
+	return !strcmp(log_lines_text(state, "node"),
 		       log_lines_text(line, "node")) &&
-	       is_same_or_none(belief, line, "service") &&
-	       is_same_or_none(belief, line, "database");
+	       is_same_or_none(state, line, "service") &&
+	       is_same_or_none(state, line, "database");
 }
 
-static gint by_age(gconstpointer a, gconstpointer b)
+static gint by_steady_time(gconstpointer a, gconstpointer b)
 {
 	JsonObject *x = json_node_get_object(*(JsonNode *const *)a);
 	JsonObject *y = json_node_get_object(*(JsonNode *const *)b);
@@ -173,7 +182,7 @@
 			       log_lines_text(y, "event"));
 }
 
-static void take_match(struct explain *e, JsonNode *node)
+static void record_match(struct explain *e, JsonNode *node)
 {
 	struct match *m;
 	GHashTableIter iter;
@@ -184,17 +193,20 @@
 	m = g_new0(struct match, 1);
 	m->line = json_node_ref(node);
 	m->order = e->matches->len;
-	m->beliefs = g_ptr_array_new_with_free_func(node_free);
-	g_hash_table_iter_init(&iter, e->beliefs);
+	m->states = g_ptr_array_new_with_free_func(node_free);
+	g_hash_table_iter_init(&iter, e->states);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (concerns(json_node_get_object(value),
-			     json_node_get_object(node)))
-			g_ptr_array_add(m->beliefs, json_node_ref(value));
-	g_ptr_array_sort(m->beliefs, by_age);
+		if (applies_to(json_node_get_object(value),
+			       json_node_get_object(node)))
+			g_ptr_array_add(m->states, json_node_ref(value));
+	g_ptr_array_sort(m->states, by_steady_time);
 	g_ptr_array_add(e->matches, m);
 }
 
-/* Whether a line may matter; most don't, and parsing them would take long. */
+/*
+ * Whether a line may have the id or report a state. Most lines don't, and
+ * parsing all of them as JSON would take long.
+ */
 static bool may_matter(const struct explain *e, const char *line, size_t len)
 {
 	static const char event[] = "\"event\":\"";
@@ -207,10 +219,10 @@
 		return false;
 	at += sizeof(event) - 1;
 	left = len - (size_t)(at - line);
-	for (i = 0; i < G_N_ELEMENTS(belief_kinds); i++) {
-		size_t n = strlen(belief_kinds[i].event);
+	for (i = 0; i < G_N_ELEMENTS(state_events); i++) {
+		size_t n = strlen(state_events[i].event);
 
-		if (n < left && !memcmp(at, belief_kinds[i].event, n) &&
+		if (n < left && !memcmp(at, state_events[i].event, n) &&
 		    at[n] == '"')
 			return true;
 	}
@@ -228,15 +240,15 @@
 	parser = json_parser_new_immutable();
 	line = log_lines_parse(parser, text, len);
 	if (line) {
-		take_belief(e, json_parser_get_root(parser));
+		record_state(e, json_parser_get_root(parser));
 		if (!strcmp(log_lines_text(line, "id"), e->id))
-			take_match(e, json_parser_get_root(parser));
+			record_match(e, json_parser_get_root(parser));
 	}
 	g_object_unref(parser);
 	return line;
 }
 
-/* Reads one log to its end; *err names the first line that is broken. */
+/* Reads one log to its end; *err names the first broken line. */
 void explain_read(struct explain *e, const char *name, FILE *log,
 		  struct err *err)
 {
@@ -259,8 +271,8 @@
 }
 
 /*
- * The line that tells what the caller got: that of the proxy it came to, or
- * the last one that has an outcome.
+ * The line with the outcome that the caller got: the last one of the proxy that
+ * the caller is connected to, or else the first one of a home.
  */
 static JsonObject *outcome_of(const struct explain *e)
 {
@@ -282,7 +294,10 @@
 	return found;
 }
 
-/* Of the relay's codes, or of the product's own interface. */
+/*
+ * The meaning of the outcome's code: a code of the relay, or one of the proxy's
+ * own interface.
+ */
 static const char *meaning_of(JsonObject *outcome)
 {
 	const char *code = log_lines_text(outcome, "code");
@@ -322,14 +337,14 @@
 	return *event ? event : log_lines_text(line, "decision");
 }
 
-static bool is_head(const char *key)
+static bool is_in_heading(const char *key)
 {
 	return !strcmp(key, "time") || !strcmp(key, "steady_ms") ||
 	       !strcmp(key, "node") || !strcmp(key, "event");
 }
 
-/* "key=value ..." of what is not nested. */
-static void append_flat(GString *out, JsonObject *object)
+/* Appends "key=value ..." for the fields that are not nested. */
+static void append_scalars(GString *out, JsonObject *object)
 {
 	JsonObjectIter iter;
 	const char *key;
@@ -337,7 +352,7 @@
 
 	json_object_iter_init_ordered(&iter, object);
 	while (json_object_iter_next_ordered(&iter, &key, &node)) {
-		if (is_head(key) || !JSON_NODE_HOLDS_VALUE(node))
+		if (is_in_heading(key) || !JSON_NODE_HOLDS_VALUE(node))
 			continue;
 		g_string_append_printf(out, " %s=", key);
 		append_value(out, node);
@@ -353,7 +368,7 @@
 
 		g_string_append_printf(out, "\n    %s:", key);
 		if (JSON_NODE_HOLDS_OBJECT(node)) {
-			append_flat(out, json_node_get_object(node));
+			append_scalars(out, json_node_get_object(node));
 		} else {
 			g_string_append_c(out, ' ');
 			append_value(out, node);
@@ -374,30 +389,30 @@
 		if (!JSON_NODE_HOLDS_OBJECT(node))
 			continue;
 		g_string_append_printf(out, "\n    %s:", key);
-		append_flat(out, json_node_get_object(node));
+		append_scalars(out, json_node_get_object(node));
 	}
 }
 
-static void append_beliefs(GString *out, const struct match *m)
+static void append_states(GString *out, const struct match *m)
 {
 	int64_t now =
 		log_lines_number(json_node_get_object(m->line), "steady_ms");
 	unsigned i;
 
-	for (i = 0; i < m->beliefs->len; i++) {
+	for (i = 0; i < m->states->len; i++) {
 		JsonObject *b =
-			json_node_get_object(g_ptr_array_index(m->beliefs, i));
+			json_node_get_object(g_ptr_array_index(m->states, i));
 
 		g_string_append_printf(out,
 				       "\n    believed, %" G_GINT64_FORMAT
 				       " ms before: %s",
 				       now - log_lines_number(b, "steady_ms"),
 				       log_lines_text(b, "event"));
-		append_flat(out, b);
+		append_scalars(out, b);
 	}
 }
 
-/* Appends the timeline for people. */
+/* Appends the timeline as text. */
 void explain_write_text(struct explain *e, GString *out)
 {
 	JsonObject *outcome;
@@ -413,7 +428,7 @@
 				       log_lines_text(outcome, "outcome"),
 				       meaning_of(outcome));
 	} else {
-		g_string_append(out, "no outcome in these logs");
+		g_string_append(out, "no line in these logs has its outcome");
 	}
 	g_string_append_c(out, '\n');
 	for (i = 0; i < e->matches->len; i++) {
@@ -424,9 +439,9 @@
 				       log_lines_text(line, "time"),
 				       log_lines_text(line, "node"),
 				       name_of(line));
-		append_flat(out, line);
+		append_scalars(out, line);
 		append_nested(out, line);
-		append_beliefs(out, m);
+		append_states(out, m);
 		g_string_append_c(out, '\n');
 	}
 }
@@ -434,14 +449,14 @@
 static JsonObject *json_match(const struct match *m)
 {
 	JsonObject *o = json_object_new();
-	JsonArray *beliefs = json_array_new();
+	JsonArray *states = json_array_new();
 	unsigned i;
 
-	for (i = 0; i < m->beliefs->len; i++)
-		json_array_add_element(beliefs, json_node_ref(g_ptr_array_index(
-							m->beliefs, i)));
+	for (i = 0; i < m->states->len; i++)
+		json_array_add_element(
+			states, json_node_ref(g_ptr_array_index(m->states, i)));
 	json_object_set_member(o, "line", json_node_ref(m->line));
-	json_object_set_array_member(o, "believed", beliefs);
+	json_object_set_array_member(o, "believed", states);
 	return o;
 }
 
--- a/packages/cli/src/log_lines.c
+++ b/packages/cli/src/log_lines.c
@@ -2,47 +2,48 @@
 
 #include <string.h>
 
-#define LINE_MAX_BYTES ((size_t)1024 * 1024)
-#define READ_BYTES ((size_t)65536)
+#define LINE_MAX_BYTES ((size_t)1024 * 1024) /* longer lines are skipped */
+#define READ_BYTES ((size_t)65536) /* read from the file at once */
 
-/* Where a log is being read. */
+/* A log that is being read. */
 struct reader {
-	const char *name;
-	uint64_t line;
-	GString *text; /* of the line so far */
-	bool too_long;
-	log_line_fn take;
+	const char *name; /* of the file, for errors */
+	uint64_t line; /* number of the line, from 1 */
+	GString *text; /* of the current line, as far as it is read */
+	bool too_long; /* the current line exceeds LINE_MAX_BYTES */
+	log_line_fn handle;
 	void *ctx;
 	struct err *err;
 };
 
-static void complain(struct reader *r, const char *what)
+static void report_broken(struct reader *r, const char *what)
 {
 	if (!r->err->code)
 		err_set(r->err, ERR_BAD_LOG, "%s:%" G_GUINT64_FORMAT ": %s",
 			r->name, r->line, what);
 }
 
-static bool take_line(const struct reader *r)
+static bool handle_line(const struct reader *r)
 {
 	const char *begin = memchr(r->text->str, '{', r->text->len);
 
-	/* What a collector put before it is passed over. */
+	/* A log collector may have put a prefix before the object. */
 	if (!begin || r->text->str[r->text->len - 1] != '}')
 		return false;
-	return r->take(r->ctx, begin,
-		       r->text->len - (size_t)(begin - r->text->str));
+	return r->handle(r->ctx, begin,
+			 r->text->len - (size_t)(begin - r->text->str));
 }
 
-static void end_line(struct reader *r)
+static void finish_line(struct reader *r)
 {
 	r->line++;
 	if (r->text->len && r->text->str[r->text->len - 1] == '\r')
 		g_string_truncate(r->text, r->text->len - 1);
 	if (r->too_long)
-		complain(r, "the line is too long");
-	else if (r->text->len && !take_line(r))
-		complain(r, "not a JSON object");
+		report_broken(r,
+			      "the line is longer than 1 MiB and is skipped");
+	else if (r->text->len && !handle_line(r))
+		report_broken(r, "not a JSON object");
 	g_string_truncate(r->text, 0);
 	r->too_long = false;
 }
@@ -55,12 +56,12 @@
 		g_string_append_len(r->text, data, (gssize)len);
 }
 
-/* Reads one log to its end; *err names the first line that is broken. */
-void log_lines_read(const char *name, FILE *log, log_line_fn take, void *ctx,
+/* Reads one log to its end; *err names the first broken line. */
+void log_lines_read(const char *name, FILE *log, log_line_fn handle, void *ctx,
 		    struct err *err)
 {
 	struct reader r = {
-		.name = name, .take = take, .ctx = ctx, .err = err
+		.name = name, .handle = handle, .ctx = ctx, .err = err
 	};
 	char *buf = g_malloc(READ_BYTES);
 	size_t n;
@@ -71,16 +72,17 @@
 
 		while ((end = memchr(at, '\n', (size_t)(stop - at)))) {
 			add_text(&r, at, (size_t)(end - at));
-			end_line(&r);
+			finish_line(&r);
 			at = end + 1;
 		}
 		add_text(&r, at, (size_t)(stop - at));
 	}
 	r.line++;
 	if (r.text->len || r.too_long)
-		complain(&r, "the file ends in the middle of the line");
+		report_broken(&r, "the file ends in the middle of the line");
 	else if (ferror(log))
-		complain(&r, "can't be read");
+		report_broken(&r,
+			      "read error; the rest of the file is skipped");
 	g_string_free(r.text, TRUE);
 	g_free(buf);
 }
--- a/packages/cli/src/log_lines.h
+++ b/packages/cli/src/log_lines.h
@@ -9,16 +9,24 @@
 #include <stdint.h>
 #include <stdio.h>
 
-/* One line from its brace on. False: it is no JSON object. */
+/*
+ * Handles one line, from its first brace on; false if it is not a JSON object.
+ */
 typedef bool (*log_line_fn)(void *ctx, const char *text, size_t len);
 
-/* To its end; *err names the first line that is broken. */
-void log_lines_read(const char *name, FILE *log, log_line_fn take, void *ctx,
+/*
+ * Calls handle for each line, up to the end of the log. Broken lines are
+ * skipped; *err (BAD_LOG) names the first of them.
+ */
+void log_lines_read(const char *name, FILE *log, log_line_fn handle, void *ctx,
 		    struct err *err);
 
-/* The object of a line, NULL when it is none; unref the parser. */
+/*
+ * The JSON object of a line, NULL if it is not one. It belongs to the parser,
+ * which the caller unrefs.
+ */
 JsonObject *log_lines_parse(JsonParser *parser, const char *text, size_t len);
-/* "" and 0 where there is no such field. */
+/* The value of a field; "", 0 or false if there is no such field. */
 const char *log_lines_text(JsonObject *line, const char *key);
 int64_t log_lines_number(JsonObject *line, const char *key);
 bool log_lines_bool(JsonObject *line, const char *key);
--- a/packages/cli/tests/test_causes.c
+++ b/packages/cli/tests/test_causes.c
@@ -1,13 +1,13 @@
 /*
- * A market's callers complain of refusals. Which cause most of them have must
- * be seen in the logs at once, whatever proxy wrote what.
+ * Callers report refused statements. `celeryquay causes` must show the most
+ * frequent causes from the logs alone, whichever proxies wrote the lines.
  */
 #include "causes.h"
 
 #include <celeryquay/suite.h>
 #include <string.h>
 
-/* What is printed of these lines. */
+/* The output for a log with these lines; freed with g_free(). */
 static char *causes_of(const char *lines, bool json, struct err *err)
 {
 	struct causes *c = causes_create();
@@ -53,8 +53,11 @@
 }
 END_TEST
 
-/* The proxy that a caller came to knows only that its home refused. */
-START_TEST(what_a_home_refused_is_told_by_the_home)
+/*
+ * The proxy that the caller is connected to knows only that a home refused the
+ * statement; the cause is in the home's line with the same id.
+ */
+START_TEST(cause_of_refusal_is_taken_from_home)
 {
 	struct err err = { 0 };
 	const char *lines = LINE(
@@ -76,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(a_broken_line_is_told_and_the_rest_counts)
+START_TEST(broken_line_is_reported_and_others_count)
 {
 	struct err err = { 0 };
 	char *text = causes_of("{\"event\":\"statement\",\n" LINE(
@@ -95,7 +98,7 @@
 	TCase *tc = tcase_create("causes");
 
 	tcase_add_test(tc, each_cause_is_counted);
-	tcase_add_test(tc, what_a_home_refused_is_told_by_the_home);
-	tcase_add_test(tc, a_broken_line_is_told_and_the_rest_counts);
+	tcase_add_test(tc, cause_of_refusal_is_taken_from_home);
+	tcase_add_test(tc, broken_line_is_reported_and_others_count);
 	return suite_main("causes", tc);
 }
--- a/packages/cli/tests/test_explain.c
+++ b/packages/cli/tests/test_explain.c
@@ -1,6 +1,6 @@
 /*
- * A caller complains of one statement. All that is known is its id, and the
- * proxies' logs; the cause must be found in them alone.
+ * A caller reports a failed statement by its id. The proxies' logs alone must
+ * be enough to find the cause.
  */
 #include "explain.h"
 #include "support_history.h"
@@ -29,7 +29,7 @@
 	fake_destroy(fake);
 }
 
-/* What `celeryquay explain` prints of the caller's last statement. */
+/* The output of `celeryquay explain` for the last statement of a caller. */
 static char *explain_last(void)
 {
 	char *id = hist_last_id(fake);
@@ -54,10 +54,10 @@
 }
 
 /*
- * A plumber saves a trip and is refused. The primary's process had died a
- * moment before, and its place was not taken yet.
+ * A write is refused: the primary's process died a moment before, and no
+ * replica is promoted yet.
  */
-START_TEST(refused_for_want_of_a_primary)
+START_TEST(write_refused_without_primary)
 {
 	struct hist_session *s;
 	char *text;
@@ -83,10 +83,10 @@
 END_TEST
 
 /*
- * An agent's list does not come. All replicas are three seconds behind, the
- * profile allows 0.3 s, and this proxy alone can't reach the primary.
+ * A read is refused: all replicas are 3 s behind, the profile allows 0.3 s, and
+ * this proxy alone can't reach the primary.
  */
-START_TEST(refused_for_want_of_fresh_replicas)
+START_TEST(read_refused_without_fresh_replicas)
 {
 	struct hist_session *s, *w;
 	char *text;
@@ -120,10 +120,11 @@
 END_TEST
 
 /*
- * A new server is listed and both replicas fall silent. The primary serves, and
- * the new server alone says so; its word doesn't count yet.
+ * A write is refused: a new server is listed and both old replicas stop
+ * answering. The primary is up, but only the new server confirms it, and the
+ * confirmation of a new server doesn't count yet.
  */
-START_TEST(refused_for_want_of_a_word_that_counts)
+START_TEST(write_refused_when_confirmation_does_not_count)
 {
 	struct hist_session *s;
 	unsigned number;
@@ -150,8 +151,8 @@
 }
 END_TEST
 
-/* A brand submits a code and hears that nobody knows whether it is stored. */
-START_TEST(a_write_in_doubt)
+/* The answer to a write is lost, so that its outcome is not known. */
+START_TEST(write_in_doubt)
 {
 	struct hist_session *s;
 	char *text;
@@ -172,8 +173,8 @@
 }
 END_TEST
 
-/* A transaction is open when its proxy is told to stop, and never ends. */
-START_TEST(a_transaction_cut_at_a_stop)
+/* A transaction is still open when its proxy ends a planned stop. */
+START_TEST(transaction_cut_at_planned_stop)
 {
 	struct hist_session *s;
 	char *text;
@@ -193,8 +194,8 @@
 }
 END_TEST
 
-/* The proxy that a caller came to and the home that refused it both tell. */
-START_TEST(a_statement_through_a_home)
+/* The caller's proxy and the home that refused the statement both log it. */
+START_TEST(statement_through_home)
 {
 	struct hist_session *s;
 	char *text;
@@ -249,8 +250,11 @@
 
 #define GOOD "{\"id\":\"a1\",\"event\":\"statement\"}\n"
 
-/* A collector cut a line off, or mixed in another's. The rest still counts. */
-START_TEST(broken_logs_are_told_by_file_and_line)
+/*
+ * A log collector cut a line off, or mixed in other text. The error names the
+ * file and the line, and the other lines are still read.
+ */
+START_TEST(broken_logs_are_reported_by_file_and_line)
 {
 	check_error(GOOD, "", true);
 	check_error("", "", false);
@@ -269,8 +273,8 @@
 }
 END_TEST
 
-/* Times of two proxies differ in their order from that of the files. */
-START_TEST(lines_are_in_the_order_of_time)
+/* Lines are sorted by their time, not by the order of the files. */
+START_TEST(lines_are_sorted_by_time)
 {
 	static const char later[] =
 		"{\"time\":\"2026-01-01T00:00:02.000Z\",\"node\":\"p1\","
@@ -307,10 +311,10 @@
 END_TEST
 
 /*
- * A proxy was killed and came back. What it had believed before, such as a
- * server that was down, is not what decided for a statement after it.
+ * A proxy was killed and restarted. The state that it had logged before, such
+ * as a server that was down, does not explain a statement after the restart.
  */
-START_TEST(a_new_process_believes_nothing_of_before)
+START_TEST(restart_discards_earlier_state)
 {
 	static const char text[] =
 		"{\"node\":\"p1\",\"event\":\"server-lost\",\"server\":\"s0\"}\n"
@@ -337,7 +341,7 @@
 }
 END_TEST
 
-/* AddressSanitizer keeps 256 MB of freed memory aside. */
+/* Bounds the growth; AddressSanitizer holds back 256 MB of freed memory. */
 #ifdef __SANITIZE_ADDRESS__
 #define GROWTH_MAX_KB (320 * 1024)
 #else
@@ -352,7 +356,7 @@
 	return usage.ru_maxrss;
 }
 
-/* A day's log of many proxies is larger than the memory of a laptop. */
+/* The log of many proxies for a day does not fit in the memory of a laptop. */
 START_TEST(memory_does_not_grow_with_the_log)
 {
 	struct explain *e = explain_create("a1");
@@ -379,8 +383,8 @@
 }
 END_TEST
 
-/* A code is in the source alone, and operators look for it in vain. */
-START_TEST(the_page_lists_every_code)
+/* Operators look codes up in docs/errors.md, so it must list each of them. */
+START_TEST(docs_list_every_code)
 {
 	char *page;
 	unsigned i;
@@ -406,16 +410,16 @@
 {
 	TCase *tests = tcase_create("explain");
 
-	tcase_add_test(tests, refused_for_want_of_a_primary);
-	tcase_add_test(tests, refused_for_want_of_fresh_replicas);
-	tcase_add_test(tests, refused_for_want_of_a_word_that_counts);
-	tcase_add_test(tests, a_write_in_doubt);
-	tcase_add_test(tests, a_transaction_cut_at_a_stop);
-	tcase_add_test(tests, a_statement_through_a_home);
-	tcase_add_test(tests, broken_logs_are_told_by_file_and_line);
-	tcase_add_test(tests, lines_are_in_the_order_of_time);
-	tcase_add_test(tests, a_new_process_believes_nothing_of_before);
+	tcase_add_test(tests, write_refused_without_primary);
+	tcase_add_test(tests, read_refused_without_fresh_replicas);
+	tcase_add_test(tests, write_refused_when_confirmation_does_not_count);
+	tcase_add_test(tests, write_in_doubt);
+	tcase_add_test(tests, transaction_cut_at_planned_stop);
+	tcase_add_test(tests, statement_through_home);
+	tcase_add_test(tests, broken_logs_are_reported_by_file_and_line);
+	tcase_add_test(tests, lines_are_sorted_by_time);
+	tcase_add_test(tests, restart_discards_earlier_state);
 	tcase_add_test(tests, memory_does_not_grow_with_the_log);
-	tcase_add_test(tests, the_page_lists_every_code);
+	tcase_add_test(tests, docs_list_every_code);
 	return suite_main("explain", tests);
 }
