--- a/packages/cli/src/causes.c
+++ b/packages/cli/src/causes.c
@@ -28,13 +28,13 @@
 	CAUSE_CALLER,
 	CAUSE_HOME_REFUSED,
 	CAUSE_OTHER,
-	N_CAUSES,
+	CAUSES,
 };
 
 static const struct {
 	const char *name;
 	const char *meaning;
-} infos[N_CAUSES] = {
+} infos[CAUSES] = {
 	[CAUSE_NO_PRIMARY] = { "no-primary",
 			       "no server is known to be the primary" },
 	[CAUSE_BEING_REPLACED] = { "being-replaced",
@@ -81,7 +81,7 @@
 };
 
 struct causes {
-	struct tally tallies[N_CAUSES];
+	struct tally tallies[CAUSES];
 	GHashTable *home_causes; /* id -> cause + 1, from homes' lines */
 	GHashTable *pending; /* id -> service, of refusals by homes */
 	unsigned n_left_out; /* not counted: PENDING_MAX was reached */
@@ -93,7 +93,7 @@
 	struct causes *c = g_new0(struct causes, 1);
 	unsigned i;
 
-	for (i = 0; i < N_CAUSES; i++)
+	for (i = 0; i < CAUSES; i++)
 		c->tallies[i].services = g_hash_table_new_full(
 			g_str_hash, g_str_equal, g_free, NULL);
 	c->home_causes =
@@ -110,7 +110,7 @@
 
 	if (!c)
 		return;
-	for (i = 0; i < N_CAUSES; i++)
+	for (i = 0; i < CAUSES; i++)
 		g_hash_table_destroy(c->tallies[i].services);
 	g_hash_table_destroy(c->home_causes);
 	g_hash_table_destroy(c->pending);
@@ -275,11 +275,11 @@
 	}
 }
 
-static void sort(const struct causes *c, enum cause order[N_CAUSES])
+static void sort(const struct causes *c, enum cause order[CAUSES])
 {
 	unsigned i, j;
 
-	for (i = 0; i < N_CAUSES; i++) {
+	for (i = 0; i < CAUSES; i++) {
 		for (j = i; j && c->tallies[order[j - 1]].n < c->tallies[i].n;
 		     j--)
 			order[j] = order[j - 1];
@@ -309,13 +309,13 @@
 
 void causes_write_text(struct causes *c, GString *out)
 {
-	enum cause order[N_CAUSES] = { 0 };
+	enum cause order[CAUSES] = { 0 };
 	unsigned i, n;
 
 	settle(c);
 	sort(c, order);
 	g_string_append_printf(out, "%u statements refused or failed\n", c->n);
-	for (i = 0; i < N_CAUSES; i++) {
+	for (i = 0; i < CAUSES; i++) {
 		const struct tally *t = &c->tallies[order[i]];
 		const char *service;
 
@@ -337,7 +337,7 @@
 
 void causes_write_json(struct causes *c, GString *out)
 {
-	enum cause order[N_CAUSES] = { 0 };
+	enum cause order[CAUSES] = { 0 };
 	unsigned i, n;
 
 	settle(c);
@@ -346,7 +346,7 @@
 			       "{\"statements\":%u,\"left_out\":%u,"
 			       "\"causes\":[",
 			       c->n, c->n_left_out);
-	for (i = 0; i < N_CAUSES && c->tallies[order[i]].n; i++) {
+	for (i = 0; i < CAUSES && c->tallies[order[i]].n; i++) {
 		const struct tally *t = &c->tallies[order[i]];
 		const char *service = top_service(t, &n);
 
--- a/packages/cli/src/cli.h
+++ b/packages/cli/src/cli.h
@@ -75,7 +75,7 @@
 enum cli_exit cli_item_write(struct cli *cli, const char *key,
 			     JsonObject *value, int64_t revision);
 /* Polls until the revision is in force on all proxies, for up to wait_s. */
-enum cli_exit cli_wait(struct cli *cli, int64_t revision);
+enum cli_exit cli_wait_in_force(struct cli *cli, int64_t revision);
 
 enum cli_exit cli_upstream_add(struct cli *cli, char **args);
 enum cli_exit cli_upstream_leave(struct cli *cli, char **args);
--- a/packages/cli/src/cli_item.c
+++ b/packages/cli/src/cli_item.c
@@ -89,7 +89,7 @@
 	written = json_object_get_int_member_with_default(reply.json,
 							  "revision", 0);
 	if (cli->wait_s && !cli->dry_run)
-		code = cli_wait(cli, written);
+		code = cli_wait_in_force(cli, written);
 out:
 	http_reply_clear(&reply);
 	g_free(path);
@@ -125,7 +125,7 @@
 }
 
 /* Polls until the revision is in force on all proxies, for up to wait_s. */
-enum cli_exit cli_wait(struct cli *cli, int64_t revision)
+enum cli_exit cli_wait_in_force(struct cli *cli, int64_t revision)
 {
 	gint64 deadline_us =
 		g_get_monotonic_time() + (gint64)cli->wait_s * G_USEC_PER_SEC;
@@ -335,10 +335,10 @@
 static unsigned print_diff(JsonObject *old, JsonObject *new)
 {
 	GList *names = json_object_get_members(new);
-	GList *l, *old_names = old ? json_object_get_members(old) : NULL;
+	GList *l, *more = old ? json_object_get_members(old) : NULL;
 	unsigned n_differ = 0;
 
-	for (l = old_names; l; l = l->next) {
+	for (l = more; l; l = l->next) {
 		if (!json_object_has_member(new, l->data))
 			names = g_list_append(names, l->data);
 	}
@@ -358,7 +358,7 @@
 		g_free(after);
 	}
 	g_list_free(names);
-	g_list_free(old_names);
+	g_list_free(more);
 	return n_differ;
 }
 
