--- a/packages/cli/src/cli_explain.c
+++ b/packages/cli/src/cli_explain.c
@@ -41,7 +41,8 @@
 
 /*
  * explain ID FILE...: prints what became of a statement. Broken lines of a log
- * are skipped; the exit code is then CLI_FAILED.
+ * are skipped; the exit code is then CLI_FAILED, or CLI_NOT_FOUND if no line
+ * has the id.
  */
 enum cli_exit cli_explain(struct cli *cli, char **args)
 {
