--- a/packages/harness/src/args.c
+++ b/packages/harness/src/args.c
@@ -1,6 +1,6 @@
 #include "args.h"
 
-/* Adds one argument. */
+/* Appends one formatted argument. */
 void args_add(GPtrArray *args, const char *fmt, ...)
 {
 	va_list list;
@@ -10,7 +10,7 @@
 	va_end(list);
 }
 
-/* Starts a program; frees the arguments. */
+/* Starts a program as child_start() does; frees `args`. */
 struct child *args_start(const char *program, GPtrArray *args, struct err *err)
 {
 	struct child *child;
@@ -21,7 +21,7 @@
 	return child;
 }
 
-/* No arguments yet. */
+/* Returns an empty list of arguments. */
 GPtrArray *args_create(void)
 {
 	return g_ptr_array_new_with_free_func(g_free);
--- a/packages/harness/src/args.h
+++ b/packages/harness/src/args.h
@@ -1,7 +1,7 @@
 #ifndef CELERYQUAY_HARNESS_ARGS_H
 #define CELERYQUAY_HARNESS_ARGS_H
 
-/* The command line of a child, put together piece by piece. */
+/* Builds the command line of a child process, argument by argument. */
 
 #include "child.h"
 
--- a/packages/harness/src/child.c
+++ b/packages/harness/src/child.c
@@ -12,21 +12,22 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define STOP_WAIT_MS 15000
-#define STOP_POLL_US 5000
+/* Time from SIGTERM to SIGKILL. */
+#define STOP_TIMEOUT_MS 15000
+#define STOP_POLL_INTERVAL_US 5000
 
 struct child {
-	pid_t pid; /* 0: it ended */
-	int status;
-	FILE *out;
+	pid_t pid; /* 0: ended */
+	int status; /* as waitpid() gives it, once the process ended */
+	FILE *out; /* read end of the pipe from its standard output */
 	char *program;
-	GThread *reader; /* takes what follows the ready line */
-	int log; /* where it goes */
-	GMutex lock;
-	GCond released;
-	bool held;
-	JsonParser *parser;
-	JsonObject *ready;
+	GThread *reader; /* copies the output after the ready line */
+	int log_fd; /* file that the reader writes to; negative: none */
+	GMutex lock; /* guards log_paused */
+	GCond log_resumed; /* log_paused became false */
+	bool log_paused; /* the reader stops after its current line */
+	JsonParser *parser; /* owns `ready` */
+	JsonObject *ready; /* the ready line; NULL if none was read */
 };
 
 static char *program_path(const char *program)
@@ -36,7 +37,10 @@
 	return g_build_filename(dir ? dir : ".", program, NULL);
 }
 
-/* Where a child's logs go: a file named by CQ_LOG_DIR, or nowhere. */
+/*
+ * Opens the log file of a child, PROGRAM.PID.log in the directory CQ_LOG_DIR;
+ * /dev/null if that is not set.
+ */
 static int open_log(const char *program, pid_t pid)
 {
 	const char *dir = getenv("CQ_LOG_DIR");
@@ -50,7 +54,7 @@
 	return open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
 }
 
-/* Standard error is joined to what standard output brings later. */
+/* Directs standard error to the log file that copy_log() also writes to. */
 static void redirect_log(const char *program)
 {
 	int fd = open_log(program, getpid());
@@ -59,15 +63,18 @@
 		dup2(fd, STDERR_FILENO);
 }
 
-static void wait_while_held(struct child *c)
+static void wait_while_paused(struct child *c)
 {
 	g_mutex_lock(&c->lock);
-	while (c->held)
-		g_cond_wait(&c->released, &c->lock);
+	while (c->log_paused)
+		g_cond_wait(&c->log_resumed, &c->lock);
 	g_mutex_unlock(&c->lock);
 }
 
-/* Copies the rest of standard output, so that the child's log goes on. */
+/*
+ * Copies the child's output after the ready line to its log file. Unread, the
+ * pipe would fill up and the child could log no more.
+ */
 static gpointer copy_log(gpointer data)
 {
 	struct child *c = data;
@@ -76,19 +83,19 @@
 	ssize_t n;
 
 	while ((n = getline(&line, &size, c->out)) > 0) {
-		if (c->log >= 0 && write(c->log, line, (size_t)n) < n)
+		if (c->log_fd >= 0 && write(c->log_fd, line, (size_t)n) < n)
 			break;
-		wait_while_held(c);
+		wait_while_paused(c);
 	}
 	free(line);
-	if (c->log >= 0)
-		close(c->log);
+	if (c->log_fd >= 0)
+		close(c->log_fd);
 	return NULL;
 }
 
 static void run_child(const char *program, char *path, char **argv, int out)
 {
-	/* A test that is killed must leave no process behind. */
+	/* The child must not outlive a test that is killed. */
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	dup2(out, STDOUT_FILENO);
 	redirect_log(program);
@@ -126,7 +133,7 @@
 	return c->pid > 0 && c->out;
 }
 
-static bool take_ready(struct child *c, const char *line)
+static bool parse_ready_line(struct child *c, const char *line)
 {
 	JsonNode *root;
 
@@ -142,7 +149,7 @@
 							   FALSE);
 }
 
-/* Log lines may come before it. */
+/* Skips log lines before the ready line; false: the output ended first. */
 static bool read_ready(struct child *c)
 {
 	char *line = NULL;
@@ -150,7 +157,7 @@
 	bool ok = false;
 
 	while (!ok && getline(&line, &size, c->out) > 0)
-		ok = take_ready(c, line);
+		ok = parse_ready_line(c, line);
 	free(line);
 	return ok;
 }
@@ -162,30 +169,34 @@
 
 	c->program = g_strdup(program);
 	if (spawn(c, program, args) && (!wait || read_ready(c))) {
-		c->log = open_log(program, c->pid);
+		c->log_fd = open_log(program, c->pid);
 		c->reader = g_thread_new("child-log", copy_log, c);
 		return c;
 	}
-	err_set(err, ERR_SYSTEM, "%s did not get ready", program);
+	err_set(err, ERR_SYSTEM, "%s did not start or printed no ready line",
+		program);
 	child_destroy(c);
 	return NULL;
 }
 
-/* Starts a program and waits for its ready line; SYSTEM if none comes. */
+/*
+ * Starts a program and waits, without a time limit, for its ready line. Returns
+ * NULL and ERR_SYSTEM if its output ends before that.
+ */
 struct child *child_start(const char *program, const char *const *args,
 			  struct err *err)
 {
 	return start(program, args, true, err);
 }
 
-/* The same for one that prints no ready line. */
+/* Starts a program without waiting for a ready line. */
 struct child *child_launch(const char *program, const char *const *args,
 			   struct err *err)
 {
 	return start(program, args, false, err);
 }
 
-/* Sends a signal, unless the process ended. */
+/* Sends a signal, unless the process is known to have ended. */
 void child_signal(const struct child *c, int number)
 {
 	if (c->pid > 0)
@@ -197,7 +208,10 @@
 	return WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
 }
 
-/* Waits without limit; the exit code, or minus the signal's number. */
+/*
+ * Waits for the end of the process, without a time limit. Returns its exit
+ * status, or minus the number of the signal that killed it.
+ */
 int child_wait(struct child *c)
 {
 	if (c->pid > 0 && waitpid(c->pid, &c->status, 0) == c->pid)
@@ -205,16 +219,16 @@
 	return exit_value(c->status);
 }
 
-/* Stops reading the child's standard output, or goes on. */
-void child_hold_log(struct child *c, bool hold)
+/* Pauses or resumes reading the child's standard output. */
+void child_hold_log(struct child *c, bool paused)
 {
 	g_mutex_lock(&c->lock);
-	c->held = hold;
-	g_cond_signal(&c->released);
+	c->log_paused = paused;
+	g_cond_signal(&c->log_resumed);
 	g_mutex_unlock(&c->lock);
 }
 
-/* Whether it still runs; collects its status when it doesn't. */
+/* Whether the process still runs; reaps it if it has ended. */
 bool child_alive(struct child *c)
 {
 	if (c->pid > 0 && waitpid(c->pid, &c->status, WNOHANG) == c->pid)
@@ -228,17 +242,17 @@
 
 	child_signal(c, SIGCONT);
 	child_signal(c, SIGTERM);
-	for (waited_us = 0; waited_us < STOP_WAIT_MS * 1000;
-	     waited_us += STOP_POLL_US) {
+	for (waited_us = 0; waited_us < STOP_TIMEOUT_MS * 1000;
+	     waited_us += STOP_POLL_INTERVAL_US) {
 		if (!child_alive(c))
 			return;
-		usleep(STOP_POLL_US);
+		usleep(STOP_POLL_INTERVAL_US);
 	}
 	child_signal(c, SIGKILL);
 	child_wait(c);
 }
 
-/* Ends the process, if it still runs, and frees. NULL is fine. */
+/* Stops the process if it still runs, and frees `c`, which may be NULL. */
 void child_destroy(struct child *c)
 {
 	if (!c)
@@ -246,7 +260,7 @@
 	if (c->pid > 0)
 		stop(c);
 	child_hold_log(c, false);
-	/* It ends with the child, whose end closes the pipe. */
+	/* The reader ends at end of file: the child's end closes the pipe. */
 	if (c->reader)
 		g_thread_join(c->reader);
 	if (c->out)
@@ -257,19 +271,19 @@
 	g_free(c);
 }
 
-/* The process's id, 0 once it ended. */
+/* The process ID; 0 once the process has been reaped. */
 pid_t child_pid(const struct child *c)
 {
 	return c->pid;
 }
 
-/* A number of the ready line, 0 when it isn't there. */
+/* An integer member of the ready line; 0 if there is none of that name. */
 int64_t child_ready_int(const struct child *c, const char *key)
 {
 	return json_object_get_int_member_with_default(c->ready, key, 0);
 }
 
-/* The ready line; the child's own. */
+/* The ready line, owned by the child. */
 JsonObject *child_ready(const struct child *c)
 {
 	return c->ready;
--- a/packages/harness/src/child.h
+++ b/packages/harness/src/child.h
@@ -2,8 +2,8 @@
 #define CELERYQUAY_HARNESS_CHILD_H
 
 /*
- * A process that a test, a bench or the demo starts: its ready line is read,
- * and it ends with its parent at the latest.
+ * A child process of a test, a bench or the demo. Its ready line is parsed, and
+ * it is killed when its parent ends.
  */
 
 #include <celeryquay/base/err.h>
@@ -14,22 +14,28 @@
 
 struct child;
 
-/* program: a name in the folder of $CQ_BIN. args: NULL-ended, without it. */
+/*
+ * program: a file name in the directory $CQ_BIN. args: NULL-terminated, without
+ * the program's name.
+ */
 struct child *child_start(const char *program, const char *const *args,
 			  struct err *err);
 struct child *child_launch(const char *program, const char *const *args,
 			   struct err *err);
-/* Ends it by SIGTERM, by SIGKILL when it takes too long; frees. */
+/*
+ * Stops the process with SIGTERM, and with SIGKILL if it still runs after 15 s;
+ * frees `c`.
+ */
 void child_destroy(struct child *c);
 void child_signal(const struct child *c, int number);
-/* Waits for its end; the exit code, or minus the signal's number. */
+/* Waits for the end; the exit status, or minus the signal's number. */
 int child_wait(struct child *c);
-/* Stops reading its standard output, or goes on; at first it is read. */
-void child_hold_log(struct child *c, bool hold);
+/* Pauses or resumes reading its standard output; initially it is read. */
+void child_hold_log(struct child *c, bool paused);
 pid_t child_pid(const struct child *c);
 int64_t child_ready_int(const struct child *c, const char *key);
 JsonObject *child_ready(const struct child *c);
-/* Whether it has not ended yet. */
+/* Whether the process still runs. */
 bool child_alive(struct child *c);
 
 #endif
--- a/packages/harness/src/cluster.c
+++ b/packages/harness/src/cluster.c
@@ -9,15 +9,16 @@
 #include <string.h>
 #include <unistd.h>
 
-#define HEALTH_WAIT_MS 60000
-#define HEALTH_POLL_US 20000
+/* Limit for all proxies together; only the pauses between polls count. */
+#define HEALTH_TIMEOUT_MS 60000
+#define HEALTH_POLL_INTERVAL_US 20000
 
 static const char miles_sql[] =
 	"CREATE TABLE trip(id INTEGER PRIMARY KEY, purpose TEXT, miles REAL);";
 static const char codes_sql[] =
 	"CREATE TABLE code(id INTEGER PRIMARY KEY, brand TEXT, code TEXT);";
 
-/* The two databases of the first steps, three proxies. */
+/* Default cluster: two databases and three proxies. */
 void cluster_default(struct cluster_spec *spec)
 {
 	*spec = (struct cluster_spec){
@@ -55,8 +56,8 @@
 	return &c->spec.databases[server / CLUSTER_SERVERS];
 }
 
-static void add_role(struct cluster *c, GPtrArray *args, unsigned i,
-		     unsigned primary_term)
+static void add_role_args(struct cluster *c, GPtrArray *args, unsigned i,
+			  unsigned primary_term)
 {
 	const struct cluster_database *db = database_of(c, i);
 	char *name, *path;
@@ -105,8 +106,8 @@
 	}
 }
 
-/* Tells one server where the others of its database are. */
-static bool tell_peers(struct cluster *c, unsigned i)
+/* Sends a server the addresses of all servers of its database. */
+static bool send_peer_addresses(struct cluster *c, unsigned i)
 {
 	unsigned first = i - i % CLUSTER_SERVERS;
 	GString *body = g_string_new("{");
@@ -123,13 +124,13 @@
 	return ok;
 }
 
-/* (Re)starts one server; primary_term 0: it follows the first one. */
+/* Starts or restarts a server; primary_term 0: as replica of the first one. */
 bool cluster_start_server(struct cluster *c, unsigned i, unsigned primary_term,
 			  struct err *err)
 {
 	struct cluster_server *s = &c->servers[i];
 	GPtrArray *args = args_create();
-	bool again = s->port != 0;
+	bool restarted = s->port != 0;
 	char *path;
 
 	child_destroy(s->child);
@@ -139,13 +140,13 @@
 		g_free(path);
 	}
 	add_server_args(c, args, i);
-	add_role(c, args, i, primary_term);
+	add_role_args(c, args, i, primary_term);
 	s->child = args_start("celeryquay-standin-server", args, err);
 	if (!s->child)
 		return false;
 	s->port = (int)child_ready_int(s->child, "port");
 	s->control = (int)child_ready_int(s->child, "control");
-	return !again || tell_peers(c, i);
+	return !restarted || send_peer_addresses(c, i);
 }
 
 static bool start_servers(struct cluster *c, struct err *err)
@@ -165,8 +166,9 @@
 		s->route_port = s->port;
 	}
 	for (i = 0; i < c->n_servers; i++) {
-		if (!tell_peers(c, i)) {
-			err_set(err, ERR_SYSTEM, "no control of %s",
+		if (!send_peer_addresses(c, i)) {
+			err_set(err, ERR_SYSTEM,
+				"control call /peers to %s failed",
 				c->servers[i].name);
 			return false;
 		}
@@ -196,7 +198,7 @@
 	return true;
 }
 
-/* (Re)starts one proxy under its name; a restarted one keeps its ports. */
+/* Starts or restarts a proxy; a restarted one keeps its ports. */
 bool cluster_start_proxy(struct cluster *c, unsigned i, struct err *err)
 {
 	struct cluster_proxy *p = &c->proxies[i];
@@ -208,7 +210,9 @@
 	g_snprintf(p->name, sizeof(p->name), "proxy-%u", i + 1);
 	if (c->spec.peer_faults && !p->announce &&
 	    !cluster_add_proxy_routes(c, p)) {
-		err_set(err, ERR_SYSTEM, "no routes to %s", p->name);
+		err_set(err, ERR_SYSTEM,
+			"the fault proxy could not add the routes of %s",
+			p->name);
 		return false;
 	}
 	text = cluster_settings(c, i);
@@ -229,7 +233,7 @@
 	return !c->spec.peer_faults || cluster_add_proxy_routes(c, p);
 }
 
-static void name_databases(struct cluster *c)
+static void set_database_names(struct cluster *c)
 {
 	unsigned i;
 
@@ -250,11 +254,12 @@
 	}
 	if (cluster_wait_healthy(c))
 		return true;
-	err_set(err, ERR_SYSTEM, "the proxies did not become healthy");
+	err_set(err, ERR_SYSTEM,
+		"the proxies did not become healthy within about 60 s");
 	return false;
 }
 
-static bool needs_faults(const struct cluster_spec *spec)
+static bool needs_fault_proxy(const struct cluster_spec *spec)
 {
 	return spec->faults || spec->peer_faults;
 }
@@ -270,9 +275,9 @@
 	g_snprintf(c->token, sizeof(c->token), "%08x%08x%08x%08x",
 		   g_random_int(), g_random_int(), g_random_int(),
 		   g_random_int());
-	name_databases(c);
+	set_database_names(c);
 	if (start_servers(c, err) &&
-	    (!needs_faults(spec) || cluster_start_faults(c, err)) &&
+	    (!needs_fault_proxy(spec) || cluster_start_faults(c, err)) &&
 	    start_store(c, err) && start_proxies(c, err))
 		return c;
 	cluster_destroy(c);
@@ -298,7 +303,7 @@
 	g_rmdir(path);
 }
 
-/* Ends every process, proxies first, and removes the folder. */
+/* Stops every process, the proxies first by SIGKILL; removes the directory. */
 void cluster_destroy(struct cluster *c)
 {
 	unsigned i;
@@ -322,7 +327,7 @@
 	g_free(c);
 }
 
-/* POSTs a control call to a stand-in; whether it answered 200. */
+/* POSTs a control call to a control port; whether the status was 200. */
 bool cluster_control(struct cluster *c, int port, const char *path,
 		     const char *body)
 {
@@ -336,7 +341,7 @@
 	return ok;
 }
 
-/* The term of a server that says it is primary, else 0. */
+/* The term of a server that reports the role primary, else 0. */
 static int64_t primary_term(struct cluster *c, const struct cluster_server *s)
 {
 	struct http_call call = { .timeout_ms = 2000 };
@@ -355,7 +360,7 @@
 	return term;
 }
 
-/* The server that says it is primary with the highest term, or -1. */
+/* The server that reports the role primary with the highest term, or -1. */
 int cluster_primary(struct cluster *c, const char *database)
 {
 	int64_t best_term = 0;
@@ -392,17 +397,18 @@
 	return ok;
 }
 
-/* Waits, with a wide limit, until every proxy's /health is 200. */
+/* Waits until every proxy's /health gives 200; false after the wide limit of 60
+ * s. */
 bool cluster_wait_healthy(struct cluster *c)
 {
 	unsigned i, waited_us = 0;
 
 	for (i = 0; i < c->spec.n_proxies; i++) {
 		while (!is_healthy(c, i)) {
-			if (waited_us >= HEALTH_WAIT_MS * 1000)
+			if (waited_us >= HEALTH_TIMEOUT_MS * 1000)
 				return false;
-			usleep(HEALTH_POLL_US);
-			waited_us += HEALTH_POLL_US;
+			usleep(HEALTH_POLL_INTERVAL_US);
+			waited_us += HEALTH_POLL_INTERVAL_US;
 		}
 	}
 	return true;
@@ -432,7 +438,7 @@
 		       c->servers[i].control);
 }
 
-/* One JSON line on standard output. */
+/* Prints the ready line: one line of JSON on standard output. */
 void cluster_print_ready(const struct cluster *c)
 {
 	printf("{\"ready\": true, \"proxies\": [");
--- a/packages/harness/src/cluster_conf.c
+++ b/packages/harness/src/cluster_conf.c
@@ -56,7 +56,7 @@
 	g_free(hash);
 }
 
-/* The configuration that the store starts with, freed with g_free(). */
+/* The store's initial keys and values as a JSON object; g_free() it. */
 char *cluster_configuration(const struct cluster *c)
 {
 	GString *out = g_string_new("{");
@@ -92,7 +92,7 @@
 	g_string_append(out, "},");
 }
 
-/* The port at which the other proxies reach this one. */
+/* The port on which the other proxies connect to this one. */
 static int peer_route(const struct cluster_proxy *p)
 {
 	return p->announce ? p->announce : p->peer;
@@ -137,7 +137,7 @@
 	g_string_append(out, "}");
 }
 
-/* The settings of one proxy, freed with g_free(). */
+/* The settings file of proxy `i`; free with g_free(). */
 char *cluster_settings(const struct cluster *c, unsigned i)
 {
 	static const char *const centres[] = { "hall-a", "hall-b", "hall-c",
--- a/packages/harness/src/cluster_faults.c
+++ b/packages/harness/src/cluster_faults.c
@@ -1,7 +1,7 @@
 #include "args.h"
 #include "cluster_private.h"
 
-/* One fault proxy with a route to each server. */
+/* Starts the fault proxy, with a route to each server. */
 bool cluster_start_faults(struct cluster *c, struct err *err)
 {
 	GPtrArray *args = args_create();
@@ -28,8 +28,8 @@
 }
 
 /*
- * Opens a route of the fault proxy, or gives one that is there a new target;
- * its port, 0 when it can't be had.
+ * Adds a route to the fault proxy, or gives an existing route a new target.
+ * Returns the port on which the route listens, 0 on failure.
  */
 int cluster_route(struct cluster *c, const char *name, int target)
 {
@@ -50,8 +50,9 @@
 }
 
 /*
- * The routes "peer-NAME" and "store-NAME". The former leads nowhere until the
- * proxy runs and its port is known.
+ * Adds or updates the routes "peer-NAME" and "store-NAME" of a proxy. Until the
+ * proxy runs and its port is known, the former has the store's port as a
+ * placeholder target.
  */
 bool cluster_add_proxy_routes(struct cluster *c, struct cluster_proxy *p)
 {
--- a/packages/harness/src/demo.c
+++ b/packages/harness/src/demo.c
@@ -1,6 +1,6 @@
 /*
- * celeryquay-demo: what `make run` starts. A store stand-in, two databases of
- * three server stand-ins each and three proxies, all on loopback.
+ * celeryquay-demo, started by `make run`: a store stand-in, two databases of
+ * three server stand-ins each, and by default three proxies, all on loopback.
  */
 #include "cluster.h"
 
@@ -15,12 +15,13 @@
 {
 	GOptionEntry entries[] = {
 		{ "lag-ms", 0, 0, G_OPTION_ARG_INT, lag_ms,
-		  "How far the replicas lag", "MS" },
+		  "Replication lag of the replicas", "MS" },
 		{ "proxies", 0, 0, G_OPTION_ARG_INT, proxies,
-		  "How many proxies to start", "N" },
+		  "Number of proxies to start", "N" },
 		G_OPTION_ENTRY_NULL,
 	};
-	GOptionContext *context = g_option_context_new("- try celeryquay");
+	GOptionContext *context =
+		g_option_context_new("- start a demo cluster on loopback");
 	GError *error = NULL;
 	bool ok;
 
@@ -34,7 +35,7 @@
 	return ok && *proxies > 0 && *proxies <= CLUSTER_MAX_PROXIES;
 }
 
-/* Starts all, prints the ready line and stays until it is told to end. */
+/* Starts the cluster, prints the ready line and waits for SIGINT or SIGTERM. */
 int main(int argc, char **argv)
 {
 	struct cluster_spec spec;
@@ -57,7 +58,7 @@
 		fprintf(stderr, "celeryquay-demo: %s\n", err.message);
 		return EXIT_FAILURE;
 	}
-	/* Blocked only now: children inherit the mask. */
+	/* Blocked after the children's start, since they inherit the mask. */
 	sigprocmask(SIG_BLOCK, &set, NULL);
 	cluster_print_ready(c);
 	sigwait(&set, &number);
