--- a/packages/suite/include/celeryquay/suite.h
+++ b/packages/suite/include/celeryquay/suite.h
@@ -1,11 +1,14 @@
 #ifndef CELERYQUAY_SUITE_H
 #define CELERYQUAY_SUITE_H
 
-/* What every check program ends with: one case, run as one suite. */
+/* The main function of test programs that use the Check library. */
 
 #include <check.h>
 
-/* Runs the case, prints what failed, gives the exit code of the program. */
+/*
+ * Runs the test case as a suite and prints the failed tests. Returns the exit
+ * status of the program.
+ */
 int suite_main(const char *name, TCase *tests);
 
 #endif
--- a/packages/suite/src/suite.c
+++ b/packages/suite/src/suite.c
@@ -3,19 +3,20 @@
 #include <signal.h>
 #include <stdlib.h>
 
-/* Wide, for a loaded machine under valgrind or a sanitizer. */
-#define LIMIT_S 300
+/* Time limit of a test; allows for a loaded machine, valgrind and sanitizers.
+ */
+#define TEST_TIMEOUT_S 300
 
-/* Runs the case as one suite; EXIT_FAILURE when a check failed. */
+/* Runs the test case as a suite; EXIT_FAILURE if a test failed. */
 int suite_main(const char *name, TCase *tests)
 {
 	Suite *suite = suite_create(name);
 	SRunner *runner;
 	int failed;
 
-	/* As in the daemon: writes to a closed connection fail. */
+	/* As in the daemon: a write to a closed connection gives an error. */
 	signal(SIGPIPE, SIG_IGN);
-	tcase_set_timeout(tests, LIMIT_S);
+	tcase_set_timeout(tests, TEST_TIMEOUT_S);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
