--- a/tests/fuzz/fuzz_body.c
+++ b/tests/fuzz/fuzz_body.c
@@ -6,8 +6,8 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* What was taken from a caller has to pass between proxies too. */
-static void check_taken(struct request *r)
+/* A request accepted from a caller must also be valid between proxies. */
+static void check_accepted_request(struct request *r)
 {
 	struct err err = { 0 };
 	struct request *copy;
@@ -18,15 +18,21 @@
 	front_digest(r);
 	bytes = wire_pack_request(r);
 	copy = wire_unpack_request(str_from_bytes(bytes), &err);
-	/* A profile's name is bounded there, and looked up before. */
+	/*
+	 * Between proxies a profile's name has at most 256 bytes. A proxy looks
+	 * the profile up before it sends the request.
+	 */
 	if (!copy && r->profile.len <= 256)
 		abort();
 	request_unref(copy);
 	g_bytes_unref(bytes);
 }
 
-/* The reader of plain bodies must read what the library reads. */
-static void check_plain(struct str body)
+/*
+ * A body that front_parse_plain() accepts must give the same request with the
+ * JSON library.
+ */
+static void check_plain_body(struct str body)
 {
 	struct request *plain =
 		front_parse_plain(REQUEST_RUN, true, true, body);
@@ -46,7 +52,7 @@
 	request_unref(full);
 }
 
-/* The first byte picks what the body belongs to; the rest is the body. */
+/* The first byte selects the kind of request, the rest is its body. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct err err = { 0 };
@@ -57,12 +63,12 @@
 	if (!size)
 		return 0;
 	body = (struct str){ .data = (const char *)data + 1, .len = size - 1 };
-	check_plain(body);
+	check_plain_body(body);
 	front_path_parse(STR("POST"), body, &path, &err);
 	r = front_parse((enum request_kind)(data[0] % REQUEST_SETTLE), body,
 			&err);
 	if (r)
-		check_taken(r);
+		check_accepted_request(r);
 	else if (!err.code)
 		abort();
 	request_unref(r);
--- a/tests/fuzz/fuzz_entry.c
+++ b/tests/fuzz/fuzz_entry.c
@@ -4,8 +4,9 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* Whoever reads an entry of the store gets what it says, or an error. */
-static void check_info(struct relay_server_info *info, const struct err *err)
+/* Parsing gives either a complete result or an error. */
+static void check_server_info(struct relay_server_info *info,
+			      const struct err *err)
 {
 	if (!info != (err->code != 0))
 		abort();
@@ -14,16 +15,16 @@
 	relay_server_info_free(info);
 }
 
-/* The same bytes as a server's entry, a proxy's, and a configuration. */
+/* Parses the input as a server's entry, a proxy's entry and a catalog. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct str value = { .data = (const char *)data, .len = size };
 	struct relay_catalog *catalog;
 	struct err err = { 0 };
 
-	check_info(config_server("key", "id", value, &err), &err);
+	check_server_info(config_server("key", "id", value, &err), &err);
 	err = (struct err){ 0 };
-	check_info(config_proxy("key", "name", value, &err), &err);
+	check_server_info(config_proxy("key", "name", value, &err), &err);
 	err = (struct err){ 0 };
 	catalog = config_catalog("key", value, &err);
 	if (!catalog != (err.code != 0))
--- a/tests/fuzz/fuzz_line.c
+++ b/tests/fuzz/fuzz_line.c
@@ -4,7 +4,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* What was taken from a caller says the same when it is passed on. */
+/* An accepted statement must be the same after writing and parsing it again. */
 static void check_statement(struct str line,
 			    bool (*parse)(struct str line,
 					  struct relay_statement *out))
@@ -27,7 +27,7 @@
 	g_string_free(out, TRUE);
 }
 
-/* An answer is never longer than what came. */
+/* An answer's rows must not be longer than the input. */
 static void check_answers(struct str bytes)
 {
 	void *reader = line_answer_reader_create();
@@ -47,7 +47,7 @@
 	line_answer_reader_destroy(reader);
 }
 
-/* Bytes of a caller, of another proxy and of a server. */
+/* Parses the input as sent by a caller, by another proxy and by a server. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct str bytes = { .data = (const char *)data, .len = size };
--- a/tests/fuzz/fuzz_session.c
+++ b/tests/fuzz/fuzz_session.c
@@ -22,7 +22,11 @@
 	return keys;
 }
 
-/* A forged token: nothing that this key has not signed is taken. */
+/*
+ * Decodes the input as a session token. A token that this key has not signed
+ * must be rejected with ERR_BAD_SESSION; an accepted one must keep the limit of
+ * databases.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	static struct model *keys;
--- a/tests/fuzz/fuzz_settings.c
+++ b/tests/fuzz/fuzz_settings.c
@@ -4,7 +4,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* A settings file, read as a few keys of each type. */
+/* Parses the input as a settings file and reads one key of each type. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct err err = { 0 };
--- a/tests/fuzz/fuzz_wire.c
+++ b/tests/fuzz/fuzz_wire.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* What was read has to be written and read again to the same bytes. */
+/* Packing, unpacking and packing again must give the same bytes. */
 static void check_request(struct request *r)
 {
 	GBytes *once = wire_pack_request(r);
@@ -41,7 +41,7 @@
 	g_bytes_unref(twice);
 }
 
-/* A message as a request, an answer and a link's header. */
+/* Unpacks the input as a request, an answer and a link's header. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct str message = { .data = (const char *)data, .len = size };
