--- a/packages/suite/include/celeryquay/suite.h
+++ b/packages/suite/include/celeryquay/suite.h
@@ -1,7 +1,7 @@
 #ifndef CELERYQUAY_SUITE_H
 #define CELERYQUAY_SUITE_H
 
-/* The main function of test programs that use the Check library. */
+/* The common end of main() in the programs that use the Check library. */
 
 #include <check.h>
 
--- a/packages/suite/src/suite.c
+++ b/packages/suite/src/suite.c
@@ -3,8 +3,7 @@
 #include <signal.h>
 #include <stdlib.h>
 
-/* Time limit of a test; allows for a loaded machine, valgrind and sanitizers.
- */
+/* Time limit of a test: wide, for a loaded machine, valgrind or sanitizers. */
 #define TEST_TIMEOUT_S 300
 
 /* Runs the test case as a suite; EXIT_FAILURE if a test failed. */
--- a/tests/fuzz/fuzz_body.c
+++ b/tests/fuzz/fuzz_body.c
@@ -29,8 +29,8 @@
 }
 
 /*
- * A body that front_parse_plain() accepts must give the same request with the
- * JSON library.
+ * A body that front_parse_plain() accepts must be accepted by the parser that
+ * uses the JSON library too, with the same digest.
  */
 static void check_plain_body(struct str body)
 {
