--- a/packages/harness/src/child.c
+++ b/packages/harness/src/child.c
@@ -181,7 +181,7 @@
 
 /*
  * Starts a program and waits, without a time limit, for its ready line. Returns
- * NULL and ERR_SYSTEM if its output ends before that.
+ * NULL and ERR_SYSTEM if it can't be started or its output ends before that.
  */
 struct child *child_start(const char *program, const char *const *args,
 			  struct err *err)
--- a/packages/harness/src/cluster.c
+++ b/packages/harness/src/cluster.c
@@ -254,8 +254,7 @@
 	}
 	if (cluster_wait_healthy(c))
 		return true;
-	err_set(err, ERR_SYSTEM,
-		"the proxies did not become healthy within about 60 s");
+	err_set(err, ERR_SYSTEM, "the proxies did not become healthy");
 	return false;
 }
 
@@ -397,8 +396,10 @@
 	return ok;
 }
 
-/* Waits until every proxy's /health gives 200; false after the wide limit of 60
- * s. */
+/*
+ * Waits until every proxy's /health gives 200; false after a wide limit, 60 s
+ * of pauses between polls.
+ */
 bool cluster_wait_healthy(struct cluster *c)
 {
 	unsigned i, waited_us = 0;
--- a/packages/harness/src/cluster.h
+++ b/packages/harness/src/cluster.h
@@ -107,8 +107,10 @@
 int cluster_route(struct cluster *c, const char *name, int target);
 /* The server that reports the role primary with the highest term, or -1. */
 int cluster_primary(struct cluster *c, const char *database);
-/* Waits until every proxy's /health gives 200; false after the wide limit of 60
- * s. */
+/*
+ * Waits until every proxy's /health gives 200; false after a wide limit, 60 s
+ * of pauses between polls.
+ */
 bool cluster_wait_healthy(struct cluster *c);
 /* Prints the ready line of the demo, see README. */
 void cluster_print_ready(const struct cluster *c);
