--- a/packages/daemon/src/access.c
+++ b/packages/daemon/src/access.c
@@ -5,7 +5,7 @@
 
 #define SHA256_HEX_LENGTH 64
 
-static bool in_list(char **list, struct str name)
+static bool list_allows(char **list, struct str name)
 {
 	for (; *list; list++) {
 		if (!strcmp(*list, "*") || str_eq(str_from_c(*list), name))
@@ -15,8 +15,9 @@
 }
 
 /*
- * The caller behind a bearer token, with a right to the request's service.
- * NO_TOKEN, BAD_TOKEN or FORBIDDEN; a message never repeats the token.
+ * Returns the caller that a bearer token belongs to, if it may use the
+ * request's service. Otherwise NULL, with err NO_TOKEN, BAD_TOKEN or FORBIDDEN;
+ * error messages never contain the token.
  */
 const struct caller_conf *access_caller(struct node *node,
 					const struct request *r,
@@ -25,23 +26,26 @@
 	const struct caller_conf *caller;
 
 	if (!token.len) {
-		err_set(err, ERR_NO_TOKEN, "an Authorization header is wanted");
+		err_set(err, ERR_NO_TOKEN,
+			"an Authorization header with a bearer token is required");
 		return NULL;
 	}
 	caller = model_caller_by_token(node->model, token);
 	if (!caller) {
-		err_set(err, ERR_BAD_TOKEN, "the token is not known");
+		err_set(err, ERR_BAD_TOKEN,
+			"the token belongs to no configured caller");
 		return NULL;
 	}
-	if (!in_list(caller->services, r->service)) {
-		err_set(err, ERR_FORBIDDEN, "caller %s has no right to %.*s",
-			caller->name, (int)r->service.len, r->service.data);
+	if (!list_allows(caller->services, r->service)) {
+		err_set(err, ERR_FORBIDDEN,
+			"caller %s may not use service %.*s", caller->name,
+			(int)r->service.len, r->service.data);
 		return NULL;
 	}
 	return caller;
 }
 
-/* The database's item, with a reference for the caller of this function. */
+/* Sets *out to the database's item; the calling function owns the reference. */
 bool access_database(struct node *node, const struct request *r,
 		     const struct caller_conf *caller, struct item **out,
 		     struct err *err)
@@ -54,15 +58,17 @@
 	if (item && !item->removed)
 		*out = item_ref(item);
 	else
-		err_set(err, ERR_NO_SUCH_DATABASE, "%s is not known", name);
+		err_set(err, ERR_NO_SUCH_DATABASE,
+			"database %s is not configured", name);
 	g_free(key);
 	g_free(name);
 	return *out != NULL;
 }
 
 /*
- * The profile's item, with a reference. Requests within a transaction name
- * none: it was chosen when the transaction began.
+ * Sets *out to the profile's item; the calling function owns the reference.
+ * Requests within a transaction need not name a profile, as it was chosen when
+ * the transaction began: *out then stays as it is.
  */
 bool access_profile(struct node *node, const struct request *r,
 		    const struct caller_conf *caller, struct item **out,
@@ -74,9 +80,9 @@
 	if (!r->profile.len && r->kind != REQUEST_RUN &&
 	    r->kind != REQUEST_BEGIN)
 		return true;
-	if (!in_list(caller->profiles, r->profile)) {
+	if (!list_allows(caller->profiles, r->profile)) {
 		err_set(err, ERR_FORBIDDEN,
-			"caller %s has no right to profile %.*s", caller->name,
+			"caller %s may not use profile %.*s", caller->name,
 			(int)r->profile.len, r->profile.data);
 		return false;
 	}
@@ -85,14 +91,18 @@
 	if (item && !item->removed)
 		*out = item_ref(item);
 	else
-		err_set(err, ERR_NO_SUCH_PROFILE, "profile %.*s is not known",
-			(int)r->profile.len, r->profile.data);
+		err_set(err, ERR_NO_SUCH_PROFILE,
+			"profile %.*s is not configured", (int)r->profile.len,
+			r->profile.data);
 	g_free(key);
 	return *out != NULL;
 }
 
-/* Compares with the hashes in the settings, in constant time. */
-static bool in_settings(const struct node *node, struct str token)
+/*
+ * Whether the token's SHA-256 is among the operator hashes in the settings;
+ * hashes are compared in constant time.
+ */
+static bool is_settings_operator(const struct node *node, struct str token)
 {
 	char *hex = g_compute_checksum_for_data(
 		G_CHECKSUM_SHA256, (const guchar *)token.data, token.len);
@@ -109,8 +119,9 @@
 }
 
 /*
- * The operator behind a token: one of the settings' own, which work before
- * there is any configuration, or a caller with operator rights.
+ * Returns the operator that a token belongs to: "operator" for a token listed
+ * in the settings, which works before any configuration is loaded, or the name
+ * of a caller with operator rights.
  */
 const char *access_operator(struct node *node, struct str token,
 			    struct err *err)
@@ -118,16 +129,18 @@
 	const struct caller_conf *caller;
 
 	if (!token.len) {
-		err_set(err, ERR_NO_TOKEN, "an Authorization header is wanted");
+		err_set(err, ERR_NO_TOKEN,
+			"an Authorization header with a bearer token is required");
 		return NULL;
 	}
-	if (in_settings(node, token))
+	if (is_settings_operator(node, token))
 		return "operator";
 	caller = model_caller_by_token(node->model, token);
 	if (!caller)
-		err_set(err, ERR_BAD_TOKEN, "the token is not known");
+		err_set(err, ERR_BAD_TOKEN,
+			"the token belongs to no operator or configured caller");
 	else if (!caller->operator_rights)
-		err_set(err, ERR_FORBIDDEN, "caller %s is no operator",
+		err_set(err, ERR_FORBIDDEN, "caller %s has no operator rights",
 			caller->name);
 	else
 		return caller->name;
--- a/packages/daemon/src/access.h
+++ b/packages/daemon/src/access.h
@@ -1,11 +1,17 @@
 #ifndef CELERYQUAY_DAEMON_ACCESS_H
 #define CELERYQUAY_DAEMON_ACCESS_H
 
-/* Who may do what: callers' tokens, services, profiles, operators. */
+/*
+ * Authorisation: maps bearer tokens to callers and operators, and checks which
+ * services, databases and profiles a caller may use.
+ */
 
 #include "node.h"
 
-/* For requests that have no profile of their own (commit, roll back). */
+/*
+ * Deadline of requests that name no profile: statements within a transaction,
+ * commit and roll back.
+ */
 #define ACCESS_DEFAULT_DEADLINE_US (10 * USEC_PER_SEC)
 
 const struct caller_conf *access_caller(struct node *node,
@@ -17,7 +23,10 @@
 bool access_profile(struct node *node, const struct request *r,
 		    const struct caller_conf *caller, struct item **out,
 		    struct err *err);
-/* The operator's name for a token, NULL and err when it has no right. */
+/*
+ * Returns the name of the operator that the token belongs to; NULL with err set
+ * when the token is missing, unknown or without operator rights.
+ */
 const char *access_operator(struct node *node, struct str token,
 			    struct err *err);
 
--- a/packages/daemon/src/admin.c
+++ b/packages/daemon/src/admin.c
@@ -19,30 +19,30 @@
 
 struct admin {
 	struct node *node;
-	uint64_t started_us;
+	uint64_t started_at_us;
 };
 
-/* The operators' port of a node. */
 struct admin *admin_create(struct node *node)
 {
 	struct admin *a = g_new0(struct admin, 1);
 
 	a->node = node;
-	a->started_us = node_now_us();
+	a->started_at_us = node_now_us();
 	return a;
 }
 
-/* Frees it; calls that still wait are answered to nobody. */
+/* Does not answer calls that are still pending. */
 void admin_destroy(struct admin *a)
 {
 	g_free(a);
 }
 
 /*
- * 503 while starting or stopping, so that the balancer sends nobody here; nor
- * to a proxy without a key to sign with, which refuses every request.
+ * Answers 503 while the proxy starts or stops, so that the load balancer sends
+ * no callers here. A proxy without a signing key refuses every request, so it
+ * counts as starting.
  */
-static void get_health(struct admin *a, struct front_request *fr)
+static void reply_health(struct admin *a, struct front_request *fr)
 {
 	if (planned_stop_begun(a->node->stop))
 		front_reply(fr, 503, TYPE_JSON,
@@ -62,7 +62,7 @@
 	counter_set(counter_get(node->counters, kind, name, NULL, help), value);
 }
 
-static void get_metrics(struct admin *a, struct front_request *fr)
+static void reply_metrics(struct admin *a, struct front_request *fr)
 {
 	struct node *node = a->node;
 	GString *out = g_string_new(NULL);
@@ -70,13 +70,13 @@
 	databases_update_counters(node->databases);
 	set_counter(node, COUNTER_GAUGE, "celeryquay_members",
 		    members_count(node->members),
-		    "Members of the fleet that this node knows.");
+		    "Members of the fleet known to this proxy.");
 	set_counter(node, COUNTER_GAUGE, "celeryquay_caller_connections",
 		    front_connections(node->front),
-		    "Open connections of callers.");
+		    "Open connections from callers.");
 	set_counter(node, COUNTER_GAUGE, "celeryquay_upstream_connections",
 		    pg_open_connections(node->upstream),
-		    "Open connections to servers.");
+		    "Open connections to database servers.");
 	set_counter(node, COUNTER_GAUGE, "celeryquay_config_revision",
 		    (int64_t)confsync_revision(node->confsync),
 		    "Revision up to which the configuration is in force.");
@@ -85,10 +85,10 @@
 		    "Calls to the platform's store.");
 	set_counter(node, COUNTER_COUNT, "celeryquay_gossip_bytes_sent_total",
 		    (int64_t)members_bytes_sent(node->members),
-		    "Bytes of membership messages.");
+		    "Bytes of membership messages sent.");
 	set_counter(node, COUNTER_COUNT, "celeryquay_config_bytes_sent_total",
 		    (int64_t)confsync_bytes_sent(node->confsync),
-		    "Bytes of configuration messages.");
+		    "Bytes of configuration messages sent.");
 	counter_write(node->counters, out);
 	front_reply(fr, 200, TYPE_METRICS, str_from_gstring(out));
 	g_string_free(out, TRUE);
@@ -125,7 +125,7 @@
 	g_string_append_c(out, ']');
 }
 
-static void get_status(struct admin *a, struct front_request *fr)
+static void reply_status(struct admin *a, struct front_request *fr)
 {
 	struct node *node = a->node;
 	uint64_t now = node_now_us();
@@ -138,7 +138,8 @@
 		",\"stopping\":%s,\"config_revision\":%" PRIu64
 		",\"store_watcher\":%s,\"members\":",
 		node->settings->name, node->settings->data_centre,
-		node->settings->region, (now - a->started_us) / USEC_PER_MSEC,
+		node->settings->region,
+		(now - a->started_at_us) / USEC_PER_MSEC,
 		planned_stop_begun(node->stop) ? "true" : "false",
 		confsync_revision(node->confsync),
 		confsync_is_watcher(node->confsync) ? "true" : "false");
@@ -149,7 +150,7 @@
 	admin_reply_json(fr, out);
 }
 
-static void on_survey(void *user, GString *json)
+static void on_survey_done(void *user, GString *json)
 {
 	struct front_request *fr = admin_call_end(user);
 	GString *out;
@@ -162,7 +163,7 @@
 	admin_reply_json(fr, out);
 }
 
-static void on_moving(void *user, const struct err *err)
+static void on_move_started(void *user, const struct err *err)
 {
 	struct admin_call *call = user;
 	struct front_request *fr;
@@ -177,20 +178,24 @@
 		front_reply(fr, 202, TYPE_JSON, STR("{\"moving\":true}\n"));
 }
 
-/* POST /v1/move/service/database/server: a planned change of primary. */
-static void post_move(struct admin *a, struct front_request *fr,
-		      const char *path, const char *operator_name)
+/*
+ * POST /v1/move/SERVICE/DATABASE/SERVER: starts a planned move of the primary
+ * to the server. path is what follows /v1/move/.
+ */
+static void start_move(struct admin *a, struct front_request *fr,
+		       const char *path, const char *operator_name)
 {
 	char *database = g_strdup(path);
 	char *server = strrchr(database, '/');
 
 	if (!server || strchr(database, '/') == server) {
 		admin_reply_error(fr, ERR_NO_SUCH_PATH,
-				  "/v1/move/SERVICE/DATABASE/SERVER is wanted");
+				  "expected /v1/move/SERVICE/DATABASE/SERVER");
 		goto out;
 	}
 	*server++ = '\0';
-	planned_move_start(a->node->planned_move, database, server, on_moving,
+	planned_move_start(a->node->planned_move, database, server,
+			   on_move_started,
 			   admin_call_create(fr, path, operator_name));
 out:
 	g_free(database);
@@ -203,23 +208,23 @@
 	static const char move[] = "/v1/move/";
 
 	if (!strcmp(path, "/metrics"))
-		get_metrics(a, fr);
+		reply_metrics(a, fr);
 	else if (!strcmp(path, "/status"))
-		get_status(a, fr);
+		reply_status(a, fr);
 	else if (!strcmp(path, "/v1/fleet"))
-		survey_start(a->node->survey, on_survey,
+		survey_start(a->node->survey, on_survey_done,
 			     admin_call_create(fr, "fleet", operator_name));
 	else if (g_str_has_prefix(path, items))
 		admin_items_on_request(a->node, fr, method,
 				       path + strlen(items), body,
 				       operator_name);
 	else if (g_str_has_prefix(path, move) && str_eq(method, STR("POST")))
-		post_move(a, fr, path + strlen(move), operator_name);
+		start_move(a, fr, path + strlen(move), operator_name);
 	else
 		admin_reply_error(fr, ERR_NO_SUCH_PATH, path);
 }
 
-/* One request on the operators' port. */
+/* Handles one request on the operators' port. */
 void admin_on_request(struct admin *a, struct front_request *fr,
 		      struct str method, struct str path, struct str token,
 		      struct str body)
@@ -229,7 +234,7 @@
 	char *text;
 
 	if (str_eq(path, STR("/health"))) {
-		get_health(a, fr);
+		reply_health(a, fr);
 		return;
 	}
 	operator_name = access_operator(a->node, token, &err);
--- a/packages/daemon/src/admin.h
+++ b/packages/daemon/src/admin.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_DAEMON_ADMIN_H
 
 /*
- * The operators' port: health, metrics, status, and the configuration's items.
- * Everything but /health wants an operator's token.
+ * HTTP requests on the operators' port: health, metrics, status, configuration
+ * items, fleet surveys and planned moves of a primary. Every path except
+ * /health requires an operator's token.
  */
 
 #include "node.h"
--- a/packages/daemon/src/admin_call.c
+++ b/packages/daemon/src/admin_call.c
@@ -16,7 +16,7 @@
 	json_node_unref(node);
 }
 
-/* An error as callers get it too. */
+/* Replies with an error, in the same JSON form that callers get. */
 void admin_reply_error(struct front_request *fr, enum err_code code,
 		       const char *message)
 {
@@ -34,7 +34,7 @@
 	g_string_free(out, TRUE);
 }
 
-/* Takes the text over. */
+/* Replies 200 with the JSON text; takes ownership of out. */
 void admin_reply_json(struct front_request *fr, GString *out)
 {
 	g_string_append_c(out, '\n');
@@ -43,8 +43,9 @@
 }
 
 /*
- * Who waits for the answer, NULL when he hung up. The exchange may be gone as
- * soon as it is answered, so the call lets go of it before.
+ * Frees the call and returns the request to answer, NULL when the operator has
+ * disconnected. The request may be freed as soon as it is answered, so the call
+ * is detached from it first.
  */
 struct front_request *admin_call_end(struct admin_call *call)
 {
@@ -58,19 +59,19 @@
 	return fr;
 }
 
-/* The operator hung up; what was begun goes on without him. */
-static void on_gone(struct node_waiter *w)
+/* The operator disconnected; the operation that the call started goes on. */
+static void on_disconnect(struct node_waiter *w)
 {
 	((struct admin_call *)w)->fr = NULL;
 }
 
-/* A call that is answered later, attached to its exchange. */
+/* Creates a call that is answered later, and attaches it to its request. */
 struct admin_call *admin_call_create(struct front_request *fr, const char *key,
 				     const char *operator_name)
 {
 	struct admin_call *call = g_new0(struct admin_call, 1);
 
-	call->waiter.gone = on_gone;
+	call->waiter.gone = on_disconnect;
 	call->fr = fr;
 	call->key = g_strdup(key);
 	call->operator_name = g_strdup(operator_name);
--- a/packages/daemon/src/admin_items.c
+++ b/packages/daemon/src/admin_items.c
@@ -8,7 +8,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* What operators see of an item; the secret of a key is shown to nobody. */
+/* Appends an item as JSON for operators; a key's secret is never included. */
 static void append_item(GString *out, const struct item *item)
 {
 	g_string_append_printf(out,
@@ -26,8 +26,8 @@
 
 struct item_list {
 	GString *out;
-	const char *prefix;
-	bool comma;
+	const char *prefix; /* only items whose keys begin with this */
+	bool comma; /* the next item needs a comma before it */
 };
 
 static void list_item(struct item *item, void *ctx)
@@ -42,7 +42,10 @@
 	list->comma = true;
 }
 
-/* One item, or the list of those whose keys begin so. */
+/*
+ * Replies with the item of that key or, if there is none and the key has no
+ * '/', with the list of all items whose keys begin with it.
+ */
 static void get_items(struct node *node, struct front_request *fr,
 		      const char *key)
 {
@@ -67,7 +70,7 @@
 	admin_reply_json(fr, list.out);
 }
 
-static void on_changed(void *user, const struct err *err, uint64_t revision)
+static void on_change_done(void *user, const struct err *err, uint64_t revision)
 {
 	struct admin_call *call = user;
 	struct front_request *fr;
@@ -88,12 +91,12 @@
 		g_string_free(out, TRUE);
 }
 
-/* The body of a change, checked. */
+/* The checked body of a PUT or DELETE request. */
 struct change_body {
 	JsonParser *parser;
 	JsonObject *value; /* NULL in a removal */
-	const char *change;
-	int64_t expected;
+	const char *change; /* the operator's id for this change */
+	int64_t expected_revision; /* revision that the item must have */
 	bool dry_run;
 };
 
@@ -114,26 +117,26 @@
 	o = json_node_get_object(root);
 	value = json_object_get_member(o, "value");
 	if (!removal && (!value || !JSON_NODE_HOLDS_OBJECT(value))) {
-		err_set(err, ERR_BAD_FIELD, "value: an object is wanted");
+		err_set(err, ERR_BAD_FIELD, "value: a JSON object is required");
 		return false;
 	}
 	out->value = removal ? NULL : json_node_get_object(value);
 	out->change =
 		json_object_get_string_member_with_default(o, "change", NULL);
-	out->expected = json_object_get_int_member_with_default(
+	out->expected_revision = json_object_get_int_member_with_default(
 		o, "expect_revision", -1);
 	out->dry_run = json_object_get_boolean_member_with_default(o, "dry_run",
 								   FALSE);
-	if (!out->change || !*out->change || out->expected < 0) {
+	if (!out->change || !*out->change || out->expected_revision < 0) {
 		err_set(err, ERR_BAD_FIELD,
-			"change and expect_revision are wanted");
+			"change (not empty) and expect_revision (0 or more) are required");
 		return false;
 	}
 	return true;
 }
 
-/* The value as it will stand in the store, with the id of its change. */
-static char *value_text(const struct change_body *body)
+/* The JSON text to store: the value, with the id of the change added. */
+static char *value_to_json(const struct change_body *body)
 {
 	JsonNode *node = json_node_new(JSON_NODE_OBJECT);
 	char *text;
@@ -145,8 +148,11 @@
 	return text;
 }
 
-/* An operator changes a key's state without having seen its secret. */
-static void keep_secret(struct node *node, const char *key,
+/*
+ * Copies the present secret into a changed signing key that names none:
+ * operators change a key's state without ever seeing its secret.
+ */
+static void copy_secret(struct node *node, const char *key,
 			const struct change_body *body)
 {
 	const struct item *item = model_get(node->model, key);
@@ -162,7 +168,7 @@
 	g_free(secret);
 }
 
-/* A bad item is refused here, before the store or any proxy sees it. */
+/* Refuses an invalid item before it reaches the store or another proxy. */
 static bool check_value(const char *key, const char *text, struct err *err)
 {
 	struct item *item = item_parse(key, 1, str_from_c(text), err);
@@ -179,7 +185,7 @@
 	admin_reply_json(fr, out);
 }
 
-/* PUT and DELETE of one item. */
+/* Handles PUT and DELETE of one item. */
 static void change_item(struct node *node, struct front_request *fr,
 			const char *key, struct str body, bool removal,
 			const char *operator_name)
@@ -192,8 +198,8 @@
 	if (!parse_change(body, removal, &parsed, &err))
 		goto err;
 	if (!removal) {
-		keep_secret(node, key, &parsed);
-		text = value_text(&parsed);
+		copy_secret(node, key, &parsed);
+		text = value_to_json(&parsed);
 		if (!check_value(key, text, &err))
 			goto err;
 	}
@@ -202,8 +208,9 @@
 		goto out;
 	}
 	view = str_from_c(text);
-	store_sync_change(node->store_sync, key, (uint64_t)parsed.expected,
-			  removal ? NULL : &view, parsed.change, on_changed,
+	store_sync_change(node->store_sync, key,
+			  (uint64_t)parsed.expected_revision,
+			  removal ? NULL : &view, parsed.change, on_change_done,
 			  admin_call_create(fr, key, operator_name));
 	goto out;
 err:
@@ -214,7 +221,7 @@
 		g_object_unref(parsed.parser);
 }
 
-/* GET, PUT and DELETE of items, by their keys or the begin of one. */
+/* Handles GET, PUT and DELETE of items; GET also takes a prefix of keys. */
 void admin_items_on_request(struct node *node, struct front_request *fr,
 			    struct str method, const char *key, struct str body,
 			    const char *operator_name)
@@ -228,5 +235,7 @@
 	else if (str_eq(method, STR("DELETE")))
 		change_item(node, fr, key, body, true, operator_name);
 	else
-		admin_reply_error(fr, ERR_BAD_METHOD, "GET, PUT or DELETE");
+		admin_reply_error(
+			fr, ERR_BAD_METHOD,
+			"only GET, PUT and DELETE are allowed on items");
 }
--- a/packages/daemon/src/databases.c
+++ b/packages/daemon/src/databases.c
@@ -7,17 +7,17 @@
 
 #include <string.h>
 
-/* How many databases one tick places; bounds the time that it takes. */
-#define PLACED_PER_TICK 32
-/* A group is kept this long after its last request when its home moved. */
-#define LINGER_US (2 * USEC_PER_SEC)
+/* Bounds how many databases one tick places, and so how long the tick takes. */
+#define PLACEMENTS_PER_TICK_MAX 32
+/* A group is kept at least this long after its home moved to another proxy. */
+#define MOVED_GROUP_MIN_KEEP_US (2 * USEC_PER_SEC)
 
 struct database {
 	char *name; /* service/database */
 	struct item *item; /* the configuration that the group runs */
 	struct group *group; /* NULL: no home here */
-	unsigned rank;
-	uint64_t let_go_us; /* when it stopped to be a home, 0: it is one */
+	unsigned rank; /* of this proxy among the homes; 0 is the best */
+	uint64_t moved_at_us; /* when the home moved away; 0: it has not */
 };
 
 /* The homes of one database among the present candidates. */
@@ -28,17 +28,17 @@
 
 struct databases {
 	struct node *node;
-	GHashTable *rankings; /* configuration, borrowed -> struct ranking */
+	GHashTable *rankings; /* database_conf, borrowed -> struct ranking */
 	GHashTable *by_name; /* name -> struct database */
-	GPtrArray *order; /* the same, for placing */
-	GPtrArray *homes; /* those that have a group here: few of many */
+	GPtrArray *order; /* the same databases, in the order of placement */
+	GPtrArray *homes; /* the few of them that have a group here */
 	struct home_candidate *candidates;
 	const struct member_info **candidate_members;
 	unsigned n_candidates;
 	bool candidates_stale;
-	bool scan_items; /* the model changed */
+	bool items_stale; /* the model changed: read its items again */
 	unsigned cursor; /* next database to place */
-	unsigned left; /* how many are still to be placed */
+	unsigned unplaced; /* how many are still to be placed */
 };
 
 static void database_destroy(gpointer data)
@@ -51,7 +51,7 @@
 	g_free(db);
 }
 
-/* An empty table; the first tick fills it from the model. */
+/* Creates an empty table, which the first tick fills from the model. */
 struct databases *databases_create(struct node *node)
 {
 	struct databases *d = g_new0(struct databases, 1);
@@ -62,7 +62,7 @@
 	d->order = g_ptr_array_new_with_free_func(database_destroy);
 	d->homes = g_ptr_array_new();
 	d->candidates_stale = true;
-	d->scan_items = true;
+	d->items_stale = true;
 	return d;
 }
 
@@ -80,14 +80,14 @@
 	g_free(d);
 }
 
-/* Notes that homes must be worked out anew; cheap, may be called often. */
+/* Marks the homes as out of date; cheap, may be called often. */
 void databases_touch(struct databases *d)
 {
 	d->candidates_stale = true;
-	d->scan_items = true;
+	d->items_stale = true;
 }
 
-/* Lists the live members, in the order of names, as candidates for homes. */
+/* Lists the live and leaving members, by name, as candidates for homes. */
 static void refresh_candidates(struct databases *d)
 {
 	unsigned i, total = members_count(d->node->members);
@@ -131,9 +131,9 @@
 }
 
 /*
- * The homes of a database, best first; returns how many. Every request asks:
- * the ranking, 69 us of work with 1,400 members, is kept until a member or an
- * item changes.
+ * Gets the homes of a database, best first; returns how many. Called for every
+ * request: as computing the ranking takes 69 us with 1,400 members, it is
+ * cached until a member or an item changes.
  */
 unsigned databases_homes(struct databases *d, const struct database_conf *conf,
 			 const struct member_info **out, unsigned max)
@@ -153,7 +153,10 @@
 	return n;
 }
 
-/* This node's rank for a database, or DATABASES_MAX_HOMES when below that. */
+/*
+ * This node's rank for a database, 0 being the best; DATABASES_MAX_HOMES when
+ * it is not among the homes.
+ */
 static unsigned own_rank(struct databases *d, const struct database_conf *conf)
 {
 	const struct member_info *homes[DATABASES_MAX_HOMES];
@@ -217,8 +220,12 @@
 	g_ptr_array_add(d->homes, db);
 }
 
-/* Sets a database's rank here; its group is made or let go accordingly. */
-static void place(struct databases *d, struct database *db, uint64_t now_us)
+/*
+ * Updates this node's rank for a database; creates its group, or marks it for
+ * closing, accordingly.
+ */
+static void place_database(struct databases *d, struct database *db,
+			   uint64_t now_us)
 {
 	unsigned rank = DATABASES_MAX_HOMES;
 	bool home;
@@ -228,20 +235,25 @@
 	home = rank < d->node->settings->homes;
 	if (home && !db->group)
 		become_home(d, db, now_us);
-	if (!db->group || (rank == db->rank && home == !db->let_go_us))
+	if (!db->group || (rank == db->rank && home == !db->moved_at_us))
 		return;
 	db->rank = rank;
-	db->let_go_us = home ? 0 : now_us;
+	db->moved_at_us = home ? 0 : now_us;
 	group_set_rank(db->group, rank, now_us);
 	log_home(db, home ? "placed" : "moved away");
 }
 
-/* A home that moved away stays until it is idle: it cuts no request. */
-static void release(struct databases *d, struct database *db, uint64_t now_us)
+/*
+ * Closes the group of a home that moved away, once it is idle, so that no
+ * running request is cut off.
+ */
+static void close_moved_group(struct databases *d, struct database *db,
+			      uint64_t now_us)
 {
-	if (!db->let_go_us)
+	if (!db->moved_at_us)
 		return;
-	if (now_us - db->let_go_us < LINGER_US || !group_is_idle(db->group))
+	if (now_us - db->moved_at_us < MOVED_GROUP_MIN_KEEP_US ||
+	    !group_is_idle(db->group))
 		return;
 	group_destroy(db->group);
 	db->group = NULL;
@@ -249,7 +261,7 @@
 	log_home(db, "closed");
 }
 
-static void note_item(struct item *item, void *ctx)
+static void take_in_item(struct item *item, void *ctx)
 {
 	struct databases *d = ctx;
 	const char *name = strchr(item->key, '/') + 1;
@@ -275,46 +287,50 @@
 		group_reconfigure(db->group, &item->u.database, node_now_us());
 }
 
-/* Places some databases, so that a change of members never stalls the loop. */
-static void place_some(struct databases *d, uint64_t now_us)
+/*
+ * Places at most PLACEMENTS_PER_TICK_MAX databases, so that a change of members
+ * doesn't stall the event loop.
+ */
+static void place_some_databases(struct databases *d, uint64_t now_us)
 {
-	unsigned n = MIN(d->left, PLACED_PER_TICK);
+	unsigned n = MIN(d->unplaced, PLACEMENTS_PER_TICK_MAX);
 
-	d->left -= n;
+	d->unplaced -= n;
 	for (; n; n--) {
 		d->cursor = (d->cursor + 1) % d->order->len;
-		place(d, g_ptr_array_index(d->order, d->cursor), now_us);
+		place_database(d, g_ptr_array_index(d->order, d->cursor),
+			       now_us);
 	}
 }
 
-/* One step: takes in new items, places some databases, ticks the groups. */
+/* Takes in changed items, places some databases and ticks the groups. */
 void databases_tick(struct databases *d, uint64_t now_us)
 {
 	guint i;
 
 	/*
-	 * A node that starts knows nobody yet and would take itself for the
-	 * home of everything, beside the true homes.
+	 * A starting node that knows no other member yet would rank itself as
+	 * the home of every database, in parallel to the real homes.
 	 */
 	if (!members_joined(d->node->members))
 		return;
-	if (d->scan_items) {
-		model_each(d->node->model, note_item, d);
-		d->scan_items = false;
-		d->left = d->order->len;
+	if (d->items_stale) {
+		model_each(d->node->model, take_in_item, d);
+		d->items_stale = false;
+		d->unplaced = d->order->len;
 	}
-	place_some(d, now_us);
-	/* From the end: a group that is released takes the last one's place. */
+	place_some_databases(d, now_us);
+	/* Backwards: removal moves the last element into the freed place. */
 	for (i = d->homes->len; i; i--) {
 		struct database *db = g_ptr_array_index(d->homes, i - 1);
 
 		if (group_next_tick_us(db->group) <= now_us)
 			group_tick(db->group, now_us);
-		release(d, db, now_us);
+		close_moved_group(d, db, now_us);
 	}
 }
 
-/* The group of a database that has a home here, else NULL. */
+/* The group of a database, NULL when it has no home on this proxy. */
 struct group *databases_group(struct databases *d, struct str service,
 			      struct str name)
 {
@@ -325,7 +341,7 @@
 	return db ? db->group : NULL;
 }
 
-static struct group *owner(struct databases *d, conn_id id)
+static struct group *find_owner(struct databases *d, conn_id id)
 {
 	guint i;
 
@@ -341,7 +357,7 @@
 static void on_opened(void *ctx, conn_id id, const struct err *err)
 {
 	struct node *node = ctx;
-	struct group *g = owner(node->databases, id);
+	struct group *g = find_owner(node->databases, id);
 
 	if (g)
 		group_on_opened(g, id, err, node_now_us());
@@ -350,7 +366,7 @@
 static void on_done(void *ctx, conn_id id, struct upstream_result *result)
 {
 	struct node *node = ctx;
-	struct group *g = owner(node->databases, id);
+	struct group *g = find_owner(node->databases, id);
 
 	if (g)
 		group_on_done(g, id, result, node_now_us());
@@ -359,7 +375,7 @@
 static void on_lost(void *ctx, conn_id id, const struct err *err)
 {
 	struct node *node = ctx;
-	struct group *g = owner(node->databases, id);
+	struct group *g = find_owner(node->databases, id);
 
 	if (g)
 		group_on_lost(g, id, err, node_now_us());
@@ -371,7 +387,7 @@
 	.lost = on_lost,
 };
 
-/* Tells every group to take nothing new and to finish. */
+/* Tells every group to accept no new requests and finish the running ones. */
 void databases_stop(struct databases *d, uint64_t now_us)
 {
 	guint i;
@@ -383,7 +399,7 @@
 	}
 }
 
-/* Whether no group runs or queues anything. */
+/* Whether no group has running or queued requests. */
 bool databases_idle(const struct databases *d)
 {
 	guint i;
@@ -429,7 +445,7 @@
 	g_free(labels);
 }
 
-/* Copies the groups' own counts into the table of metrics. */
+/* Copies the groups' counts into the metrics. */
 void databases_update_counters(struct databases *d)
 {
 	guint i;
--- a/packages/daemon/src/databases.h
+++ b/packages/daemon/src/databases.h
@@ -3,7 +3,7 @@
 
 /*
  * The table of databases: which proxies are the homes of each, and the groups
- * of those that have a home here.
+ * of those databases that have a home on this proxy.
  */
 
 #include "node.h"
@@ -16,7 +16,10 @@
 
 struct databases *databases_create(struct node *node);
 void databases_destroy(struct databases *d);
-/* Members or configuration changed: homes are worked out anew, bit by bit. */
+/*
+ * To be called when members or configuration have changed: the next ticks
+ * compute the homes again, some databases per tick.
+ */
 void databases_touch(struct databases *d);
 void databases_tick(struct databases *d, uint64_t now_us);
 /* The homes of a database, best first; returns how many. */
@@ -25,7 +28,7 @@
 /* The group of a database that has a home here, else NULL. */
 struct group *databases_group(struct databases *d, struct str service,
 			      struct str name);
-/* Upstream events, handed to the group that owns the connection. */
+/* Passes upstream events to the group that owns the connection. */
 extern const struct upstream_events databases_upstream_events;
 void databases_stop(struct databases *d, uint64_t now_us);
 bool databases_idle(const struct databases *d);
--- a/packages/daemon/src/entry.c
+++ b/packages/daemon/src/entry.c
@@ -11,8 +11,10 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define RETRY_EARN 0.1
-#define RETRY_MAX 100.0
+/* Retry budget: tokens that each request earns, and the most that are kept. */
+#define RETRY_TOKENS_PER_REQUEST 0.1
+#define RETRY_TOKENS_MAX 100.0
+
 static void exchange_destroy(gpointer data)
 {
 	struct exchange *x = data;
@@ -23,7 +25,6 @@
 	g_free(x);
 }
 
-/* An empty table of exchanges. */
 struct entry *entry_create(struct node *node)
 {
 	struct entry *e = g_new0(struct entry, 1);
@@ -32,22 +33,23 @@
 	e->node = node;
 	e->exchanges = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					     exchange_destroy);
-	retry_budget_init(&e->budget, RETRY_EARN, RETRY_MAX);
+	retry_budget_init(&e->budget, RETRY_TOKENS_PER_REQUEST,
+			  RETRY_TOKENS_MAX);
 	e->requests = counter_get(set, COUNTER_COUNT,
 				  "celeryquay_requests_total", NULL,
 				  "Callers' requests.");
 	e->retries = counter_get(set, COUNTER_COUNT, "celeryquay_retries_total",
 				 NULL, "Requests sent to another home.");
-	e->homes_lost = counter_get(set, COUNTER_COUNT,
-				    "celeryquay_homes_lost_total", NULL,
-				    "Homes that fell silent under a request.");
+	e->homes_lost = counter_get(
+		set, COUNTER_COUNT, "celeryquay_homes_lost_total", NULL,
+		"Homes lost while a request waited for them.");
 	e->latency = counter_get(set, COUNTER_HISTOGRAM,
 				 "celeryquay_request_seconds", NULL,
 				 "Time from a request to its answer.");
 	return e;
 }
 
-/* Frees the table; callers that still wait get nothing more. */
+/* Callers that still wait get no answer. */
 void entry_destroy(struct entry *e)
 {
 	if (!e)
@@ -56,7 +58,10 @@
 	g_free(e);
 }
 
-/* Counts an error and tells the caller; the exchange is not in the table. */
+/*
+ * Logs the error and answers the caller with it; for requests that are not yet
+ * in the table of exchanges.
+ */
 static void refuse(struct front_request *fr, struct request *request,
 		   const struct err *err)
 {
@@ -69,19 +74,24 @@
 }
 
 /*
- * Guards against an answer without a session token: while a node starts, a
- * caller and a database may be in force before any key, and a write that it
- * acknowledges then is missing from the session's next read.
+ * Refuses requests until a signing key is in force. While a node starts, a
+ * caller and a database may be in force before any key; a write acknowledged
+ * then would return no session token, and the session's next read could miss
+ * it.
  */
 static bool can_sign(struct node *node, struct err *err)
 {
 	if (model_signing_key(node->model))
 		return true;
-	err_set(err, ERR_NOT_READY, "no key to sign sessions with is in force");
+	err_set(err, ERR_NOT_READY,
+		"this proxy has no signing key for session tokens");
 	return false;
 }
 
-/* Fills in what the request runs with; false with err set when refused. */
+/*
+ * Checks the caller's rights and the session, and fills in database, profile
+ * and deadline. False with err set when the request is refused.
+ */
 static bool admit_request(struct exchange *x, struct str token,
 			  struct str session, struct err *err)
 {
@@ -100,13 +110,14 @@
 	r->seen = session_seen(&x->session, exchange_database(x));
 	if (!x->profile)
 		return true;
-	x->deadline_us = x->arrived_us + x->profile->u.profile.deadline_us;
+	x->deadline_at_us =
+		x->arrived_at_us + x->profile->u.profile.deadline_us;
 	r->read_only = x->profile->u.profile.access == ACCESS_READ;
 	return true;
 }
 
-/* "holder/id/random", which no other exchange has. */
-static char *own_key(const struct exchange *x)
+/* Returns "holder/id/random", which is unique to the exchange. */
+static char *make_unique_key(const struct exchange *x)
 {
 	struct node *node = x->entry->node;
 	char id[STR_U64_SIZE], random[STR_U64_SIZE];
@@ -120,8 +131,11 @@
 	return key;
 }
 
-/* A key of the entry's own, so that every write has one. */
-static void make_key(struct exchange *x)
+/*
+ * Sets the idempotency key: the caller's with its name before it or, so that
+ * every write has one, a key made here.
+ */
+static void set_idempotency_key(struct exchange *x)
 {
 	struct request *r = x->request;
 	char *key;
@@ -129,12 +143,15 @@
 	if (r->key_given)
 		key = str_join(r->caller, '/', r->key);
 	else
-		key = own_key(x);
+		key = make_unique_key(x);
 	r->key = request_keep(r, key, strlen(key));
 	g_free(key);
 }
 
-/* Splits "home~id"; false when it isn't of this form. */
+/*
+ * Splits a transaction id "home~id" into the home's name and the group's own
+ * id. False when it is malformed.
+ */
 static bool split_transaction(struct exchange *x)
 {
 	struct request *r = x->request;
@@ -157,14 +174,16 @@
 	return true;
 }
 
-/* The caller hung up: a read is dropped, a write that was sent goes on. */
-static void on_gone(struct node_waiter *w)
+/*
+ * The caller disconnected: a read is cancelled, a write already sent goes on.
+ */
+static void on_disconnect(struct node_waiter *w)
 {
 	struct exchange *x = (struct exchange *)w;
 	struct group *g;
 
 	x->fr = NULL;
-	if (!x->local || x->again_us)
+	if (!x->local || x->retry_at_us)
 		return;
 	g = databases_group(x->entry->node->databases, x->request->service,
 			    x->request->database);
@@ -178,18 +197,18 @@
 {
 	struct exchange *x = g_new0(struct exchange, 1);
 
-	x->waiter.gone = on_gone;
+	x->waiter.gone = on_disconnect;
 	x->entry = e;
 	x->id = ++e->next_id;
 	x->fr = fr;
 	x->request = request;
-	x->arrived_us = node_now_us();
-	x->deadline_us = x->arrived_us + ACCESS_DEFAULT_DEADLINE_US;
+	x->arrived_at_us = node_now_us();
+	x->deadline_at_us = x->arrived_at_us + ACCESS_DEFAULT_DEADLINE_US;
 	request->id = x->id;
 	return x;
 }
 
-/* A caller's request; takes over its reference. */
+/* Handles a caller's request; takes ownership of the reference to it. */
 void entry_on_request(struct entry *e, struct front_request *fr,
 		      struct request *request, struct str token,
 		      struct str session)
@@ -205,7 +224,7 @@
 	}
 	if (!admit_request(x, token, session, &err))
 		goto err;
-	make_key(x);
+	set_idempotency_key(x);
 	retry_budget_first_try(&e->budget);
 	g_hash_table_insert(e->exchanges, &x->id, x);
 	front_set_user(fr, x);
@@ -217,8 +236,8 @@
 }
 
 /*
- * An answer from another proxy. One that is late, for an exchange that ended
- * or went to another home meanwhile, is dropped: it belongs to nobody.
+ * Handles an answer from another proxy. A late one is dropped: its exchange has
+ * ended or has been sent to another home since.
  */
 void entry_on_answer(struct entry *e, const char *from, uint64_t correlation,
 		     struct str body)
@@ -228,15 +247,16 @@
 	struct err err = { 0 };
 	struct answer *a;
 
-	if (!x || x->local || x->again_us || strcmp(from, x->home) != 0 ||
+	if (!x || x->local || x->retry_at_us || strcmp(from, x->home) != 0 ||
 	    exchange_correlation(x) != correlation) {
-		LOG_DBG("late answer %" PRIu64 " from %s dropped", correlation,
-			from);
+		LOG_DBG("late answer %" PRIu64 " from proxy %s dropped",
+			correlation, from);
 		return;
 	}
 	a = wire_unpack_answer(body, &err);
 	if (!a) {
-		LOG_WARN("answer of %s: %s", from, err.message);
+		LOG_WARN("malformed answer from proxy %s dropped: %s", from,
+			 err.message);
 		return;
 	}
 	exchange_on_answer(x, a);
@@ -245,27 +265,30 @@
 
 static void check_home(struct exchange *x, uint64_t now_us)
 {
-	enum peer_word word = remote_peer_word(x->entry->node->remote, x->home,
-					       x->incarnation, x->sent_us,
-					       now_us);
+	enum peer_liveness liveness =
+		remote_peer_liveness(x->entry->node->remote, x->home,
+				     x->incarnation, x->sent_at_us, now_us);
 
-	if (word != PEER_LIVES)
-		exchange_on_home_lost(x, word == PEER_GONE);
+	if (liveness != PEER_ALIVE)
+		exchange_on_home_lost(x, liveness == PEER_GONE);
 }
 
 static void sweep_one(struct exchange *x, uint64_t now_us)
 {
-	if (x->local && !x->again_us)
-		return; /* the group keeps the deadline */
-	if (now_us >= x->deadline_us)
+	if (x->local && !x->retry_at_us)
+		return; /* the group enforces the deadline */
+	if (now_us >= x->deadline_at_us)
 		exchange_on_deadline(x);
-	else if (x->again_us && now_us >= x->again_us)
+	else if (x->retry_at_us && now_us >= x->retry_at_us)
 		exchange_dispatch(x, "home moving");
-	else if (!x->again_us)
+	else if (!x->retry_at_us)
 		check_home(x, now_us);
 }
 
-/* Looks after deadlines, retries and silent homes, every few milliseconds. */
+/*
+ * Handles expired deadlines, due retries and lost homes; called every few
+ * milliseconds.
+ */
 void entry_sweep(struct entry *e, uint64_t now_us)
 {
 	GList *all = g_hash_table_get_values(e->exchanges);
--- a/packages/daemon/src/entry.h
+++ b/packages/daemon/src/entry.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_DAEMON_ENTRY_H
 
 /*
- * A caller's request from its arrival to its answer: rights, profile, session,
- * then the home that runs it, here or on another proxy, and the next home when
- * that one is lost.
+ * Follows a caller's request from its arrival to its answer: checks rights,
+ * profile and session, sends the request to a home of its database, here or on
+ * another proxy, and to the next home when that one is lost.
  */
 
 #include "node.h"
@@ -16,7 +16,7 @@
 void entry_on_request(struct entry *e, struct front_request *fr,
 		      struct request *request, struct str token,
 		      struct str session);
-/* An answer from a home on another proxy. */
+/* Handles an answer from a home on another proxy. */
 void entry_on_answer(struct entry *e, const char *from, uint64_t correlation,
 		     struct str body);
 void entry_sweep(struct entry *e, uint64_t now_us);
--- a/packages/daemon/src/entry_log.c
+++ b/packages/daemon/src/entry_log.c
@@ -6,15 +6,15 @@
 
 #include <xxhash.h>
 
-/* One request in so many that went well is told; all that failed are. */
-#define LOG_SAMPLE 64
+/* One in this many successful requests is logged; failures all are. */
+#define LOG_SAMPLE_INTERVAL 64
 
 static bool is_sampled(struct str id)
 {
-	return id.len && !(XXH3_64bits(id.data, id.len) % LOG_SAMPLE);
+	return id.len && !(XXH3_64bits(id.data, id.len) % LOG_SAMPLE_INTERVAL);
 }
 
-/* To which home a request is sent, and why. */
+/* Logs to which home a request is sent, and why. */
 void entry_log_dispatch(const struct exchange *x, const char *why)
 {
 	char attempt[STR_U64_SIZE];
@@ -29,20 +29,23 @@
 	g_free(id);
 }
 
-/* What a server says of a statement may hold a caller's data. */
-static void put_failure(struct log_line *l, const struct err *err)
+/*
+ * Adds an error's fields. A database server's own message may contain a
+ * caller's data, so the general meaning of the code is logged in its place.
+ */
+static void put_error_fields(struct log_line *l, const struct err *err)
 {
 	const struct err_info *info = err_info(err->code);
-	bool is_servers = err->code == ERR_STATEMENT_FAILED;
+	bool from_server = err->code == ERR_STATEMENT_FAILED;
 
 	log_cstr(l, "code", info->name);
 	log_u64(l, "number", err->code);
-	log_cstr(l, "why", is_servers ? info->meaning : err->message);
+	log_cstr(l, "why", from_server ? info->meaning : err->message);
 }
 
 /*
- * What a request's caller is told. The id is its idempotency key behind the
- * caller's name, or one that the entry made; its home has the same.
+ * Logs the answer to a caller's request. The id is the caller's name and its
+ * idempotency key, or a key that the entry made; the home logs the same id.
  */
 void entry_log_request(const struct exchange *x, const struct answer *a,
 		       uint64_t now_us)
@@ -63,23 +66,23 @@
 	log_u64(l, "entry_number", x->id);
 	log_cstr(l, "outcome", outcome_name(a->outcome));
 	if (!done)
-		put_failure(l, &a->err);
+		put_error_fields(l, &a->err);
 	log_cstr(l, "sqlstate", a->sqlstate);
 	log_cstr(l, "home", x->home);
 	log_bool(l, "home_is_self", x->local);
 	log_u64(l, "tries", x->attempts);
 	log_cstr(l, "server", a->server);
-	log_u64(l, "total_ms", (now_us - x->arrived_us) / USEC_PER_MSEC);
+	log_u64(l, "total_ms", (now_us - x->arrived_at_us) / USEC_PER_MSEC);
 	log_u64(l, "time_left_ms",
-		x->deadline_us > now_us ?
-			(x->deadline_us - now_us) / USEC_PER_MSEC :
+		x->deadline_at_us > now_us ?
+			(x->deadline_at_us - now_us) / USEC_PER_MSEC :
 			0);
 	log_u64(l, "retry_after_ms", a->retry_after_us / USEC_PER_MSEC);
 	log_bool(l, "caller_left", !x->fr);
 	log_event_end(l);
 }
 
-/* A request that was refused before it had an id of its own. */
+/* Logs a request refused before it got an id of its own. */
 void entry_log_refused(const struct request *r, const struct err *err)
 {
 	struct log_line *l = log_event(LOG_FAILURE, "request");
@@ -91,6 +94,6 @@
 	log_str(l, "name", r->database);
 	log_str(l, "profile", r->profile);
 	log_cstr(l, "outcome", outcome_name(OUTCOME_NOT_RUN));
-	put_failure(l, err);
+	put_error_fields(l, err);
 	log_event_end(l);
 }
--- a/packages/daemon/src/entry_private.h
+++ b/packages/daemon/src/entry_private.h
@@ -1,35 +1,39 @@
 #ifndef CELERYQUAY_DAEMON_ENTRY_PRIVATE_H
 #define CELERYQUAY_DAEMON_ENTRY_PRIVATE_H
 
-/* What the files of the entry share: its table of exchanges. */
+/*
+ * Shared by the entry files. An exchange is one caller's request from its
+ * arrival to its answer.
+ */
 
 #include "entry.h"
 
 #include <celeryquay/core/retry.h>
 #include <celeryquay/core/session.h>
 
-/* Parts the home's name from the group's id in a transaction's id. */
+/* Separates the home's name from the group's own id in a transaction id. */
 #define TRANSACTION_SEPARATOR '~'
 
 struct exchange {
-	struct node_waiter waiter; /* first */
+	struct node_waiter waiter; /* must be the first member */
 	struct entry *entry;
-	uint64_t id; /* correlation with the home's answer */
-	struct front_request *fr; /* NULL: the caller is gone */
+	uint64_t id; /* part of the correlation of every attempt */
+	struct front_request *fr; /* NULL once the caller has disconnected */
 	struct request *request;
 	struct session session;
-	struct item *profile; /* holds the profile while it is in use */
+	struct item *profile; /* reference; NULL when the request names none */
 	struct item *database;
 	unsigned caller_share;
-	uint64_t arrived_us;
-	uint64_t deadline_us;
-	uint64_t sent_us; /* to the present home */
-	uint64_t incarnation; /* the present home's, when it was sent */
-	uint64_t again_us; /* a retry is due then; 0: none */
+	uint64_t arrived_at_us;
+	uint64_t deadline_at_us;
+	uint64_t sent_at_us; /* time of the latest attempt; 0: none yet */
+	uint64_t incarnation; /* of the home, as known at sent_at_us */
+	uint64_t retry_at_us; /* time of the next attempt; 0: none is planned */
 	unsigned attempts;
-	bool local; /* the present home is this node */
-	bool settling; /* a commit whose transaction's home is gone */
-	char home[64];
+	bool local; /* the home is this proxy */
+	/* The transaction's home is lost; another finds the outcome. */
+	bool settling;
+	char home[64]; /* of the latest attempt; at first a transaction's */
 };
 
 struct entry {
@@ -49,15 +53,15 @@
 		       uint64_t now_us);
 void entry_log_refused(const struct request *r, const struct err *err);
 
-/* entry_send.c: the homes that an exchange is sent to, and what they say */
+/* entry_send.c: sends an exchange to homes and handles their answers */
 const char *exchange_database(const struct exchange *x);
 bool exchange_within_transaction(const struct exchange *x);
-/* What the answer to the present try carries. */
+/* The correlation that an answer to the latest attempt carries. */
 uint64_t exchange_correlation(const struct exchange *x);
 uint64_t exchange_id(uint64_t correlation);
 void exchange_dispatch(struct exchange *x, const char *why);
 void exchange_on_answer(struct exchange *x, struct answer *a);
-/* gone: all that the home ran has ended; else it may only be silent */
+/* gone: all that the home ran has ended; false: it may still be running */
 void exchange_on_home_lost(struct exchange *x, bool gone);
 void exchange_on_deadline(struct exchange *x);
 
--- a/packages/daemon/src/entry_send.c
+++ b/packages/daemon/src/entry_send.c
@@ -10,37 +10,46 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* The home gets this much less time, so that its word comes back in time. */
-#define HOP_MARGIN_US (20 * USEC_PER_MSEC)
-/* A refusal of a home that is moving is tried again after this. */
+/*
+ * Another proxy gets this much less time than is left, so that its answer
+ * arrives before the caller's deadline.
+ */
+#define FORWARD_MARGIN_US (20 * USEC_PER_MSEC)
+/* Delay before the next attempt when the home is moving or can't be reached. */
 #define MOVING_RETRY_US (20 * USEC_PER_MSEC)
-/* The try's number in a correlation; the exchange's id is above it. */
-#define TRY_BITS 16
-#define TRY_MASK ((1U << TRY_BITS) - 1)
+/* Low bits of a correlation: the attempt's number; the rest: exchange's id. */
+#define ATTEMPT_BITS 16
+#define ATTEMPT_MASK ((1U << ATTEMPT_BITS) - 1)
 
-/* "service/database", as sessions name it, once the exchange is admitted. */
+/*
+ * "service/database", the name used in sessions. Only for admitted requests.
+ */
 const char *exchange_database(const struct exchange *x)
 {
 	return x->database->key + strlen("database/");
 }
 
 /*
- * Guards against an answer to an earlier try: a home that was taken as lost may
- * be asked again, and its refusal of the first try says nothing of the others,
- * one of which may run elsewhere meanwhile.
+ * The attempt's number is part of it, so that answers to earlier attempts are
+ * dropped: a home that was considered lost may be asked again, and its refusal
+ * of the first attempt says nothing of the others, one of which may be running
+ * elsewhere.
  */
 uint64_t exchange_correlation(const struct exchange *x)
 {
-	return x->id << TRY_BITS | (x->attempts & TRY_MASK);
+	return x->id << ATTEMPT_BITS | (x->attempts & ATTEMPT_MASK);
 }
 
-/* The exchange that a correlation is of. */
+/* The id of the exchange that a correlation belongs to. */
 uint64_t exchange_id(uint64_t correlation)
 {
-	return correlation >> TRY_BITS;
+	return correlation >> ATTEMPT_BITS;
 }
 
-/* The home's name before the id, so that any proxy finds the transaction. */
+/*
+ * Puts the home's name before the id of a new transaction, so that any proxy
+ * can find the home.
+ */
 static void name_transaction(struct exchange *x, struct answer *a)
 {
 	char *id;
@@ -54,7 +63,10 @@
 	g_free(id);
 }
 
-/* The caller's final answer: raises the session and ends the exchange. */
+/*
+ * Sends the caller's final answer with the session advanced to the position
+ * that was seen, and ends the exchange.
+ */
 static void finish(struct exchange *x, struct answer *a)
 {
 	struct entry *e = x->entry;
@@ -66,12 +78,12 @@
 		session_raise(&x->session, exchange_database(x), a->seen);
 	if (x->session.count &&
 	    !session_encode(e->node->model, &x->session, text, &err))
-		LOG_WARN("no session token: %s", err.message);
+		LOG_WARN("answer has no session token: %s", err.message);
 	if (x->fr) {
 		front_set_user(x->fr, NULL);
 		front_answer(x->fr, x->request, a, str_from_gstring(text));
 	}
-	counter_observe_us(e->latency, node_now_us() - x->arrived_us);
+	counter_observe_us(e->latency, node_now_us() - x->arrived_at_us);
 	entry_log_request(x, a, node_now_us());
 	g_string_free(text, TRUE);
 	g_hash_table_remove(e->exchanges, &x->id);
@@ -87,7 +99,7 @@
 	answer_unref(a);
 }
 
-/* Whether it ends a long transaction, whose commit may have been done. */
+/* Whether it ends a long transaction, whose commit may already be done. */
 static bool ends_transaction(const struct exchange *x)
 {
 	return x->request->kind == REQUEST_COMMIT ||
@@ -95,10 +107,11 @@
 }
 
 /*
- * Whether something may be stored, so that a false "not run" would do harm. A
- * rollback may follow a commit that was done and never told.
+ * Whether the request may have changed data, so that a wrong "not run" would do
+ * harm. A rollback counts too: it may follow a commit that was done but whose
+ * answer was lost.
  */
-static bool writes(const struct exchange *x)
+static bool may_change_data(const struct exchange *x)
 {
 	if (ends_transaction(x))
 		return true;
@@ -106,8 +119,8 @@
 	       x->profile->u.profile.access == ACCESS_WRITE;
 }
 
-/* Whether a home refused without a look at what the database holds. */
-static bool is_refused_unseen(const struct answer *a)
+/* Whether a home refused the request without a lookup in the database. */
+static bool is_refused_without_lookup(const struct answer *a)
 {
 	if (a->outcome != OUTCOME_NOT_RUN)
 		return false;
@@ -116,14 +129,14 @@
 	       a->err.code == ERR_BAD_MESSAGE;
 }
 
-/* Whether another home may be asked after this answer: nothing has run. */
+/* Whether the home ran nothing and another home may be asked. */
 static bool home_is_moving(const struct answer *a)
 {
 	return a->outcome == OUTCOME_NOT_RUN &&
 	       (a->err.code == ERR_NO_HOME || a->err.code == ERR_STOPPING);
 }
 
-/* Whether it belongs to a long transaction that has begun. */
+/* Whether the request belongs to a long transaction that has begun. */
 bool exchange_within_transaction(const struct exchange *x)
 {
 	enum request_kind kind = x->request->kind;
@@ -132,22 +145,22 @@
 	       kind == REQUEST_ROLLBACK;
 }
 
-/* Whether only the home that holds the transaction can serve it. */
+/* Whether only the home that holds the transaction can serve the request. */
 static bool is_bound(const struct exchange *x)
 {
 	return exchange_within_transaction(x) && !x->settling;
 }
 
-static void unknown(struct exchange *x)
+static void finish_unknown(struct exchange *x)
 {
 	finish_error(x, ERR_UNKNOWN_OUTCOME, 0,
-		     "no home told the outcome by the deadline");
+		     "no home reported the outcome of the request");
 }
 
 /*
- * The home may still hold the transaction, which a later commit through
- * another proxy could reach: rolls it back there, as far as the home can be
- * reached. Nobody waits for the answer.
+ * Asks the transaction's home, if it is another proxy that can be reached, to
+ * roll back: it may still hold the transaction, and a later commit through
+ * another proxy could reach it. The answer is ignored.
  */
 static void try_roll_back(const struct exchange *x)
 {
@@ -166,28 +179,32 @@
 }
 
 /*
- * Guards against a false "rolled back": a home that is silent, or taken as
- * dead by the others, may hold the transaction until it has been idle too
- * long, and commit it when it is asked to.
+ * Answers that the transaction's state is unknown. "Rolled back" could
+ * be wrong: a home that is silent, or that the other proxies consider dead, may
+ * hold the transaction until its idle time-out, and commit it when asked to.
  */
-static void transaction_unknown(struct exchange *x)
+static void finish_transaction_unknown(struct exchange *x)
 {
 	try_roll_back(x);
-	finish_error(x, ERR_UNKNOWN_OUTCOME, 0,
-		     "the transaction's home does not answer, and its state is "
-		     "not known; roll it back or let it idle out");
+	finish_error(
+		x, ERR_UNKNOWN_OUTCOME, 0,
+		"the transaction's home does not answer and may still hold "
+		"it open; roll it back or wait for its idle time-out");
 }
 
 /*
- * The transaction's home is gone, or knows nothing of the database any more.
+ * The transaction's home has ended or is no longer a home of the database.
  * Without a commit the transaction ends with its home. A commit may have been
- * done before, also one before a rollback, and is settled by another home.
+ * done before, even if this request is a rollback; another home finds its
+ * outcome.
  */
 static void on_transaction_lost(struct exchange *x)
 {
 	if (!ends_transaction(x)) {
-		finish_error(x, ERR_NO_SUCH_TRANSACTION, 0,
-			     "the transaction's home is gone");
+		finish_error(
+			x, ERR_NO_SUCH_TRANSACTION, 0,
+			"the transaction's home was lost, or is no longer a "
+			"home of the database");
 		return;
 	}
 	x->settling = true;
@@ -196,20 +213,21 @@
 	exchange_dispatch(x, "settle a transaction");
 }
 
-/* The home's answer, or a further try when the home is moving. */
+/* Passes on the home's answer, or plans a new attempt if the home is moving. */
 void exchange_on_answer(struct exchange *x, struct answer *a)
 {
 	uint64_t now = node_now_us();
 
-	/* The home knows that the key may stand; the next one does not. */
+	/* This home knows that the key may be in use; the next one doesn't. */
 	if (home_is_moving(a) && a->repeated)
 		x->request->resend = true;
 	if (home_is_moving(a) && is_bound(x))
 		on_transaction_lost(x);
-	else if (home_is_moving(a) && now + MOVING_RETRY_US < x->deadline_us)
-		x->again_us = now + MOVING_RETRY_US;
-	else if (is_refused_unseen(a) && writes(x) && x->request->resend)
-		unknown(x);
+	else if (home_is_moving(a) && now + MOVING_RETRY_US < x->deadline_at_us)
+		x->retry_at_us = now + MOVING_RETRY_US;
+	else if (is_refused_without_lookup(a) && may_change_data(x) &&
+		 x->request->resend)
+		finish_unknown(x);
 	else
 		finish(x, a);
 }
@@ -230,7 +248,7 @@
 
 	x->local = true;
 	group_run(g, x->request, profile, x->caller_share, on_local_answer, x,
-		  x->sent_us);
+		  x->sent_at_us);
 }
 
 static bool send_remote(struct exchange *x, const struct member_info *home)
@@ -245,21 +263,20 @@
 	return sent;
 }
 
-/* How long the home may take. */
+/* How long the home may take, in microseconds. */
 static uint64_t time_left(const struct exchange *x, uint64_t now, bool local)
 {
-	uint64_t margin = local ? 0 : HOP_MARGIN_US;
+	uint64_t margin = local ? 0 : FORWARD_MARGIN_US;
 
-	if (now + margin >= x->deadline_us)
+	if (now + margin >= x->deadline_at_us)
 		return 0;
-	return x->deadline_us - now - margin;
+	return x->deadline_at_us - now - margin;
 }
 
 /*
- * The homes to ask: a transaction's only one, else the database's. When the
- * transaction's home is gone, any home can tell whether its commit was done,
- * by the transaction's key in the outcome table, or see to it that it never
- * will be.
+ * Finds the homes to ask: the transaction's only one, else the database's. When
+ * the transaction's home is lost, any home can find out from the transaction's
+ * key in the outcome table whether its commit was done, or prevent it for good.
  */
 static unsigned find_homes(struct exchange *x, const struct member_info **homes)
 {
@@ -278,12 +295,12 @@
 }
 
 /*
- * Whether nothing can run at the home: it said itself that it leaves, or its
- * name is not known. The members know a dead node for two hours, and a
- * transaction there ends when idle for seconds; so such a name is long over, or
- * made up.
+ * Whether nothing can be running at the home: it announced that it left, or its
+ * name is unknown. Members remember a dead node for two hours, and a
+ * transaction there ends when idle for seconds; so an unknown name ended
+ * long ago or never existed.
  */
-static bool home_is_over(const struct exchange *x)
+static bool home_has_ended(const struct exchange *x)
 {
 	const struct member_info *m =
 		members_find(x->entry->node->members, x->home);
@@ -293,18 +310,18 @@
 
 static void on_no_home(struct exchange *x)
 {
-	if (is_bound(x) && !ends_transaction(x) && !home_is_over(x))
-		transaction_unknown(x);
+	if (is_bound(x) && !ends_transaction(x) && !home_has_ended(x))
+		finish_transaction_unknown(x);
 	else if (is_bound(x))
 		on_transaction_lost(x);
-	else if (writes(x) && x->request->resend)
-		unknown(x);
+	else if (may_change_data(x) && x->request->resend)
+		finish_unknown(x);
 	else
 		finish_error(x, ERR_NO_HOME, USEC_PER_SEC,
-			     "no proxy is a home of this database now");
+			     "no proxy is a home of this database at present");
 }
 
-/* Which of the homes: one further with each try, and not the lost one. */
+/* Picks the next home in the list with each attempt, but not the lost one. */
 static const struct member_info *pick_home(
 	const struct exchange *x, const struct member_info *const *homes,
 	unsigned n)
@@ -317,7 +334,7 @@
 	return home;
 }
 
-/* Sends the request to a home: the first, or one further with each try. */
+/* Sends the request to a home, the next one in the list with each attempt. */
 void exchange_dispatch(struct exchange *x, const char *why)
 {
 	const struct member_info *homes[DATABASES_MAX_HOMES];
@@ -326,7 +343,7 @@
 	const struct member_info *home;
 	struct group *g = NULL;
 
-	x->again_us = 0;
+	x->retry_at_us = 0;
 	if (!n) {
 		on_no_home(x);
 		return;
@@ -335,7 +352,7 @@
 	g_strlcpy(x->home, home->name, sizeof(x->home));
 	x->attempts++;
 	x->incarnation = home->incarnation;
-	x->sent_us = node_now_us();
+	x->sent_at_us = node_now_us();
 	if (node_is_self(node, home))
 		g = databases_group(node->databases, x->request->service,
 				    x->request->database);
@@ -343,27 +360,28 @@
 		on_transaction_lost(x);
 		return;
 	}
-	x->request->deadline_left_us = time_left(x, x->sent_us, g != NULL);
+	x->request->deadline_left_us = time_left(x, x->sent_at_us, g != NULL);
 	entry_log_dispatch(x, why);
 	if (g)
 		send_local(x, g);
 	else if (node_is_self(node, home) || !send_remote(x, home))
-		x->again_us = x->sent_us + MOVING_RETRY_US;
+		x->retry_at_us = x->sent_at_us + MOVING_RETRY_US;
 }
 
 /*
- * A home fell silent under a request. A read is sent to the next home. So is a
- * write: its key is in the outcome table of whichever run commits first, so
- * that the other one finds it there and runs nothing.
+ * The home was lost while it had the request. A read is sent to the next home.
+ * So is a write: whichever run commits first enters the key in the outcome
+ * table, and the other run finds it there and runs nothing.
  */
 void exchange_on_home_lost(struct exchange *x, bool gone)
 {
 	struct entry *e = x->entry;
 
 	counter_add(e->homes_lost, 1);
-	LOG_WARN("home %s fell silent under request %" PRIu64, x->home, x->id);
+	LOG_WARN("home %s lost (ended or silent) while it had request %" PRIu64,
+		 x->home, x->id);
 	if (is_bound(x) && !ends_transaction(x) && !gone) {
-		transaction_unknown(x);
+		finish_transaction_unknown(x);
 		return;
 	}
 	if (is_bound(x)) {
@@ -371,9 +389,11 @@
 		return;
 	}
 	if (!retry_budget_take(&e->budget)) {
-		finish_error(x, writes(x) ? ERR_UNKNOWN_OUTCOME : ERR_NO_HOME,
+		finish_error(x,
+			     may_change_data(x) ? ERR_UNKNOWN_OUTCOME :
+						  ERR_NO_HOME,
 			     USEC_PER_SEC,
-			     "the home fell silent and the retry budget is "
+			     "the home was lost and the retry budget is "
 			     "used up");
 		return;
 	}
@@ -382,16 +402,19 @@
 	exchange_dispatch(x, "home lost");
 }
 
-/* No answer in time: tells what is true whatever the homes do meanwhile. */
+/*
+ * No answer in time: answers with an outcome that holds whatever the homes
+ * still do with the request.
+ */
 void exchange_on_deadline(struct exchange *x)
 {
-	bool sent = x->sent_us && !x->again_us;
+	bool sent = x->sent_at_us && !x->retry_at_us;
 
-	if (writes(x) && (sent || x->request->resend))
-		unknown(x);
+	if (may_change_data(x) && (sent || x->request->resend))
+		finish_unknown(x);
 	else if (sent && exchange_within_transaction(x))
-		transaction_unknown(x);
+		finish_transaction_unknown(x);
 	else
 		finish_error(x, ERR_DEADLINE, USEC_PER_SEC,
-			     "no home could run the request in time");
+			     "no home answered before the request's deadline");
 }
--- a/packages/daemon/src/remote.c
+++ b/packages/daemon/src/remote.c
@@ -13,26 +13,27 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Without a word for this long a peer is asked for a sign of life. */
+/* A peer that has sent nothing for this long is pinged. */
 #define PING_AFTER_US (100 * USEC_PER_MSEC)
-/* Without a word for this long it is taken as lost for this request. */
+/* A peer that has sent nothing for this long counts as lost for the request. */
 #define SILENT_AFTER_US (600 * USEC_PER_MSEC)
 
-/* How long, and how many, answers wait for their node to become known. */
-#define HOLD_US (2 * USEC_PER_SEC)
-#define HOLD_MAX 1024
+/* How long, and how many, answers wait for a node to become a known member. */
+#define PENDING_ANSWER_TIMEOUT_US (2 * USEC_PER_SEC)
+#define PENDING_ANSWERS_MAX 1024
 
-/* Words of the admin kind; surveys and moves have more of their own. */
+/* Texts of admin messages; surveys and planned moves add their own. */
 #define WORD_PING "ping"
 #define WORD_PONG "pong"
 
-struct peer_life {
-	uint64_t heard_us;
-	uint64_t pinged_us;
-	uint64_t started; /* its first incarnation, from a pong; 0: unknown */
+struct peer_state {
+	uint64_t heard_at_us; /* time of its latest message; 0: none */
+	uint64_t pinged_at_us; /* time of the latest ping to it; 0: none */
+	/* Its incarnation at its start, from a pong; 0: unknown. */
+	uint64_t first_incarnation;
 };
 
-/* A request that runs here for another entry. */
+/* A request that runs here for the entry of another proxy. */
 struct forwarded {
 	struct remote *remote;
 	char from[64];
@@ -40,63 +41,62 @@
 	struct item *profile;
 };
 
-/* An answer to a node that is not known as a member yet. */
-struct held_answer {
+/* An answer that waits until its node becomes a known member. */
+struct pending_answer {
 	char to[64];
 	uint64_t correlation;
 	GBytes *body;
-	uint64_t until_us;
+	uint64_t expires_at_us;
 };
 
 struct remote {
 	struct node *node;
-	GHashTable *lives; /* name -> struct peer_life */
-	unsigned running;
-	GQueue held; /* of struct held_answer, the oldest first */
+	GHashTable *peers; /* name -> struct peer_state */
+	unsigned running; /* forwarded requests that run here */
+	GQueue pending; /* of struct pending_answer, oldest first */
 };
 
-/* Knows nobody yet. */
 struct remote *remote_create(struct node *node)
 {
 	struct remote *r = g_new0(struct remote, 1);
 
 	r->node = node;
-	r->lives =
+	r->peers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_queue_init(&r->held);
+	g_queue_init(&r->pending);
 	return r;
 }
 
-static void held_destroy(gpointer data)
+static void pending_destroy(gpointer data)
 {
-	struct held_answer *h = data;
+	struct pending_answer *h = data;
 
 	g_bytes_unref(h->body);
 	g_free(h);
 }
 
-/* Frees the tables; groups must be gone before, as they call back. */
+/* Groups must be destroyed before, as they call back into the tables. */
 void remote_destroy(struct remote *r)
 {
 	if (!r)
 		return;
-	g_queue_clear_full(&r->held, held_destroy);
-	g_hash_table_destroy(r->lives);
+	g_queue_clear_full(&r->pending, pending_destroy);
+	g_hash_table_destroy(r->peers);
 	g_free(r);
 }
 
-static struct peer_life *life_of(struct remote *r, const char *name)
+static struct peer_state *get_peer_state(struct remote *r, const char *name)
 {
-	struct peer_life *life = g_hash_table_lookup(r->lives, name);
+	struct peer_state *state = g_hash_table_lookup(r->peers, name);
 
-	if (!life) {
-		life = g_new0(struct peer_life, 1);
-		g_hash_table_insert(r->lives, g_strdup(name), life);
+	if (!state) {
+		state = g_new0(struct peer_state, 1);
+		g_hash_table_insert(r->peers, g_strdup(name), state);
 	}
-	return life;
+	return state;
 }
 
-/* Sends a word of the admin kind; it may be lost. */
+/* Sends an admin message; it may be lost. */
 void remote_send_word(struct remote *r, const struct member_info *to,
 		      uint64_t correlation, const char *word)
 {
@@ -106,74 +106,76 @@
 	g_bytes_unref(body);
 }
 
-static void ping(struct remote *r, struct peer_life *life,
+static void ping(struct remote *r, struct peer_state *state,
 		 const struct member_info *m, uint64_t now_us)
 {
-	if (now_us < life->pinged_us + PING_AFTER_US)
+	if (now_us < state->pinged_at_us + PING_AFTER_US)
 		return;
-	life->pinged_us = now_us;
+	state->pinged_at_us = now_us;
 	remote_send_word(r, m, 0, WORD_PING);
 }
 
 /*
- * A home that died, or whose link went silent for good, looks like a slow
- * one. The answer to a ping tells them apart long before the deadline.
+ * A home that died, or whose link broke without notice, looks like a slow one.
+ * The answer to a ping tells them apart long before the deadline.
  *
- * One that started anew under the same name answers pings, and knows nothing
- * of what it was sent before, so that the entry would wait until the deadline.
- * Its incarnation grows, but so does that of a home that refutes a suspicion.
- * The pong tells when its life began: above what was known at the sending, it
- * is another life.
+ * A home that restarted under the same name answers pings but knows nothing of
+ * what it was sent before, so that the entry would wait until the deadline. Its
+ * incarnation grows, but so does that of a home that refutes a suspicion. The
+ * pong carries the incarnation at its start: if that is above the one known at
+ * the sending, the home has restarted since.
  */
-enum peer_word remote_peer_word(struct remote *r, const char *name,
-				uint64_t incarnation, uint64_t sent_us,
-				uint64_t now_us)
+enum peer_liveness remote_peer_liveness(struct remote *r, const char *name,
+					uint64_t incarnation,
+					uint64_t sent_at_us, uint64_t now_us)
 {
 	const struct member_info *m = members_find(r->node->members, name);
-	struct peer_life *life = life_of(r, name);
-	uint64_t since = MAX(life->heard_us, sent_us);
+	struct peer_state *state = get_peer_state(r, name);
+	uint64_t since = MAX(state->heard_at_us, sent_at_us);
 
-	if (life->started > incarnation)
+	if (state->first_incarnation > incarnation)
 		return PEER_GONE;
 	if (m && m->state == MEMBER_LEFT)
 		return PEER_GONE;
 	if (!m || m->state == MEMBER_DEAD || now_us >= since + SILENT_AFTER_US)
 		return PEER_SILENT;
 	if (now_us >= since + PING_AFTER_US || m->incarnation > incarnation)
-		ping(r, life, m, now_us);
-	return PEER_LIVES;
+		ping(r, state, m, now_us);
+	return PEER_ALIVE;
 }
 
 /*
- * Guards against an answer that is lost at a node that has just started: the
- * others hear of it before it hears of all of them, and send it requests. An
- * entry whose answer is dropped gets pongs, so it waits until the deadline,
- * and tells the outcome of a write as unknown. The member's address comes
- * within moments; until then the answer is held.
+ * Keeps an answer until the address of its node is known. The other members
+ * hear of a node that has just started before it has heard of all of them,
+ * and send it requests. If it dropped their answers, an entry would still get
+ * pongs, wait until the deadline and report the outcome of a write as unknown.
  */
-static void hold_answer(struct remote *r, const char *to, uint64_t correlation,
-			GBytes *body)
+static void queue_answer(struct remote *r, const char *to, uint64_t correlation,
+			 GBytes *body)
 {
-	struct held_answer *h;
+	struct pending_answer *h;
 
-	if (r->held.length >= HOLD_MAX) {
-		LOG_WARN("answer %" PRIu64 " dropped, %s is not a member",
+	if (r->pending.length >= PENDING_ANSWERS_MAX) {
+		LOG_WARN("answer %" PRIu64
+			 " dropped: proxy %s is not a known member"
+			 " and too many answers wait already",
 			 correlation, to);
 		return;
 	}
-	h = g_new0(struct held_answer, 1);
+	h = g_new0(struct pending_answer, 1);
 	g_strlcpy(h->to, to, sizeof(h->to));
 	h->correlation = correlation;
 	h->body = g_bytes_ref(body);
-	h->until_us = node_now_us() + HOLD_US;
-	g_queue_push_tail(&r->held, h);
+	h->expires_at_us = node_now_us() + PENDING_ANSWER_TIMEOUT_US;
+	g_queue_push_tail(&r->pending, h);
 }
 
 static void send_body(struct remote *r, const struct member_info *to,
 		      uint64_t correlation, GBytes *body)
 {
 	if (!peer_send(r->node->peer, to, PEER_ANSWER, correlation, body))
-		LOG_WARN("answer %" PRIu64 " dropped, queue to %s full",
+		LOG_WARN("answer %" PRIu64
+			 " dropped: the queue to proxy %s is full",
 			 correlation, to->name);
 }
 
@@ -186,33 +188,36 @@
 	if (m)
 		send_body(r, m, correlation, body);
 	else
-		hold_answer(r, to, correlation, body);
+		queue_answer(r, to, correlation, body);
 	g_bytes_unref(body);
 }
 
-static void try_held(struct remote *r, struct held_answer *h, uint64_t now_us)
+static void retry_pending(struct remote *r, struct pending_answer *h,
+			  uint64_t now_us)
 {
 	const struct member_info *m = members_find(r->node->members, h->to);
 
 	if (m) {
 		send_body(r, m, h->correlation, h->body);
-	} else if (now_us < h->until_us) {
-		g_queue_push_tail(&r->held, h);
+	} else if (now_us < h->expires_at_us) {
+		g_queue_push_tail(&r->pending, h);
 		return;
 	} else {
-		LOG_WARN("answer %" PRIu64 " dropped, %s is not a member",
+		LOG_WARN("answer %" PRIu64
+			 " dropped: proxy %s did not become a known"
+			 " member in time",
 			 h->correlation, h->to);
 	}
-	held_destroy(h);
+	pending_destroy(h);
 }
 
-/* Sends the answers whose nodes have become known. */
+/* Sends pending answers whose nodes have become known members. */
 void remote_tick(struct remote *r, uint64_t now_us)
 {
 	unsigned n;
 
-	for (n = r->held.length; n; n--)
-		try_held(r, g_queue_pop_head(&r->held), now_us);
+	for (n = r->pending.length; n; n--)
+		retry_pending(r, g_queue_pop_head(&r->pending), now_us);
 }
 
 static void on_group_answer(void *user, struct request *request,
@@ -267,7 +272,7 @@
 		profile = find_item(r, "profile", request->profile);
 		if (!profile) {
 			refuse(r, from, correlation, ERR_NO_SUCH_PROFILE,
-			       "the profile is not known at the home");
+			       "the profile is not configured at the home");
 			return;
 		}
 	}
@@ -295,7 +300,8 @@
 	struct request *request = wire_unpack_request(body, &err);
 
 	if (!request) {
-		LOG_WARN("request of %s: %s", from, err.message);
+		LOG_WARN("malformed request from proxy %s refused: %s", from,
+			 err.message);
 		refuse(r, from, correlation, ERR_BAD_MESSAGE, err.message);
 		return;
 	}
@@ -303,12 +309,15 @@
 	request_unref(request);
 }
 
-/* The correlation is when the peer's life began; an older peer sends 0. */
-static void on_pong(struct remote *r, const char *from, uint64_t started)
+/*
+ * A pong's correlation is the peer's incarnation at its start; peers of an
+ * older version send 0.
+ */
+static void on_pong(struct remote *r, const char *from, uint64_t incarnation)
 {
-	struct peer_life *life = life_of(r, from);
+	struct peer_state *state = get_peer_state(r, from);
 
-	life->started = MAX(life->started, started);
+	state->first_incarnation = MAX(state->first_incarnation, incarnation);
 }
 
 static void on_admin(struct remote *r, const char *from, uint64_t correlation,
@@ -327,7 +336,8 @@
 	else if (!survey_on_word(r->node->survey, m, correlation, word) &&
 		 !planned_move_on_word(r->node->planned_move, m, correlation,
 				       word))
-		LOG_WARN("%s says '%s', which is not understood", from, word);
+		LOG_WARN("proxy %s sent an unknown admin message '%s', ignored",
+			 from, word);
 	g_free(word);
 }
 
@@ -339,7 +349,7 @@
 	uint64_t now = node_now_us();
 	struct err err = { 0 };
 
-	life_of(r, from)->heard_us = now;
+	get_peer_state(r, from)->heard_at_us = now;
 	switch (kind) {
 	case PEER_GOSSIP:
 		members_on_message(node->members, body, now, &err);
@@ -358,13 +368,14 @@
 		break;
 	}
 	if (err.code)
-		LOG_WARN("message of %s: %s", from, err.message);
+		LOG_WARN("invalid message from proxy %s: %s", from,
+			 err.message);
 }
 
 const struct peer_events remote_peer_events = { .message = on_message };
 
-/* Whether nothing runs here for other proxies. */
+/* Whether no request runs here for other proxies and no answer is pending. */
 bool remote_idle(const struct remote *r)
 {
-	return !r->running && !r->held.length;
+	return !r->running && !r->pending.length;
 }
--- a/packages/daemon/src/remote.h
+++ b/packages/daemon/src/remote.h
@@ -2,8 +2,8 @@
 #define CELERYQUAY_DAEMON_REMOTE_H
 
 /*
- * The other proxies: messages in by their kind, requests that another entry
- * forwarded to a home here, and whether a peer still gives signs of life.
+ * Messages from the other proxies: dispatches them by kind, runs requests that
+ * they forward to a home here, and keeps track of which peers still respond.
  */
 
 #include "node.h"
@@ -13,22 +13,22 @@
 struct remote *remote_create(struct node *node);
 void remote_destroy(struct remote *r);
 extern const struct peer_events remote_peer_events;
-enum peer_word {
-	PEER_LIVES,
-	PEER_SILENT, /* it may live, and what it was sent may run */
-	PEER_GONE, /* it left or started anew: all that it ran has ended */
+enum peer_liveness {
+	PEER_ALIVE,
+	PEER_SILENT, /* no answer; what it was sent may still be running */
+	PEER_GONE, /* it left or restarted: all that it ran has ended */
 };
 
 /*
- * How a peer stands that was sent something at sent_us, when its incarnation
- * was known as this one; asks it for a sign of life when in doubt.
+ * Whether a peer still responds that was sent a request at sent_at_us, when its
+ * incarnation was known to be this one. Pings it when in doubt.
  */
-enum peer_word remote_peer_word(struct remote *r, const char *name,
-				uint64_t incarnation, uint64_t sent_us,
-				uint64_t now_us);
+enum peer_liveness remote_peer_liveness(struct remote *r, const char *name,
+					uint64_t incarnation,
+					uint64_t sent_at_us, uint64_t now_us);
 void remote_tick(struct remote *r, uint64_t now_us);
 bool remote_idle(const struct remote *r);
-/* A word of the admin kind to another proxy; it may be lost. */
+/* Sends an admin message to another proxy; it may be lost. */
 void remote_send_word(struct remote *r, const struct member_info *to,
 		      uint64_t correlation, const char *word);
 
