--- a/packages/daemon/src/remote.c
+++ b/packages/daemon/src/remote.c
@@ -26,7 +26,7 @@
 #define WORD_PING "ping"
 #define WORD_PONG "pong"
 
-struct peer_state {
+struct peer_contact {
 	uint64_t heard_at_us; /* time of its latest message; 0: none */
 	uint64_t pinged_at_us; /* time of the latest ping to it; 0: none */
 	/* Its incarnation at its start, from a pong; 0: unknown. */
@@ -51,7 +51,7 @@
 
 struct remote {
 	struct node *node;
-	GHashTable *peers; /* name -> struct peer_state */
+	GHashTable *peers; /* name -> struct peer_contact */
 	unsigned running; /* forwarded requests that run here */
 	GQueue pending; /* of struct pending_answer, oldest first */
 };
@@ -85,15 +85,15 @@
 	g_free(r);
 }
 
-static struct peer_state *get_peer_state(struct remote *r, const char *name)
+static struct peer_contact *get_contact(struct remote *r, const char *name)
 {
-	struct peer_state *state = g_hash_table_lookup(r->peers, name);
+	struct peer_contact *contact = g_hash_table_lookup(r->peers, name);
 
-	if (!state) {
-		state = g_new0(struct peer_state, 1);
-		g_hash_table_insert(r->peers, g_strdup(name), state);
+	if (!contact) {
+		contact = g_new0(struct peer_contact, 1);
+		g_hash_table_insert(r->peers, g_strdup(name), contact);
 	}
-	return state;
+	return contact;
 }
 
 /* Sends an admin message; it may be lost. */
@@ -106,12 +106,12 @@
 	g_bytes_unref(body);
 }
 
-static void ping(struct remote *r, struct peer_state *state,
+static void ping(struct remote *r, struct peer_contact *contact,
 		 const struct member_info *m, uint64_t now_us)
 {
-	if (now_us < state->pinged_at_us + PING_AFTER_US)
+	if (now_us < contact->pinged_at_us + PING_AFTER_US)
 		return;
-	state->pinged_at_us = now_us;
+	contact->pinged_at_us = now_us;
 	remote_send_word(r, m, 0, WORD_PING);
 }
 
@@ -130,17 +130,17 @@
 					uint64_t sent_at_us, uint64_t now_us)
 {
 	const struct member_info *m = members_find(r->node->members, name);
-	struct peer_state *state = get_peer_state(r, name);
-	uint64_t since = MAX(state->heard_at_us, sent_at_us);
+	struct peer_contact *contact = get_contact(r, name);
+	uint64_t since = MAX(contact->heard_at_us, sent_at_us);
 
-	if (state->first_incarnation > incarnation)
+	if (contact->first_incarnation > incarnation)
 		return PEER_GONE;
 	if (m && m->state == MEMBER_LEFT)
 		return PEER_GONE;
 	if (!m || m->state == MEMBER_DEAD || now_us >= since + SILENT_AFTER_US)
 		return PEER_SILENT;
 	if (now_us >= since + PING_AFTER_US || m->incarnation > incarnation)
-		ping(r, state, m, now_us);
+		ping(r, contact, m, now_us);
 	return PEER_ALIVE;
 }
 
@@ -313,11 +313,13 @@
  * A pong's correlation is the peer's incarnation at its start; peers of an
  * older version send 0.
  */
-static void on_pong(struct remote *r, const char *from, uint64_t incarnation)
+static void on_pong(struct remote *r, const char *from,
+		    uint64_t first_incarnation)
 {
-	struct peer_state *state = get_peer_state(r, from);
+	struct peer_contact *contact = get_contact(r, from);
 
-	state->first_incarnation = MAX(state->first_incarnation, incarnation);
+	contact->first_incarnation =
+		MAX(contact->first_incarnation, first_incarnation);
 }
 
 static void on_admin(struct remote *r, const char *from, uint64_t correlation,
@@ -349,7 +351,7 @@
 	uint64_t now = node_now_us();
 	struct err err = { 0 };
 
-	get_peer_state(r, from)->heard_at_us = now;
+	get_contact(r, from)->heard_at_us = now;
 	switch (kind) {
 	case PEER_GOSSIP:
 		members_on_message(node->members, body, now, &err);
