--- a/packages/daemon/src/admin_items.c
+++ b/packages/daemon/src/admin_items.c
@@ -149,7 +149,7 @@
 }
 
 /*
- * Copies the present secret into a changed signing key that names none:
+ * Copies the present secret into a change of a signing key that has none:
  * operators change a key's state without ever seeing its secret.
  */
 static void copy_secret(struct node *node, const char *key,
--- a/packages/daemon/src/entry.c
+++ b/packages/daemon/src/entry.c
@@ -11,7 +11,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Retry budget: tokens that each request earns, and the most that are kept. */
+/* Retry budget: tokens earned by each first attempt, and the maximum. */
 #define RETRY_TOKENS_PER_REQUEST 0.1
 #define RETRY_TOKENS_MAX 100.0
 
--- a/packages/daemon/src/entry_private.h
+++ b/packages/daemon/src/entry_private.h
@@ -23,7 +23,7 @@
 	struct session session;
 	struct item *profile; /* reference; NULL when the request names none */
 	struct item *database;
-	unsigned caller_share;
+	unsigned caller_share; /* weight, in percent */
 	uint64_t arrived_at_us;
 	uint64_t deadline_at_us;
 	uint64_t sent_at_us; /* time of the latest attempt; 0: none yet */
--- a/packages/daemon/src/entry_send.c
+++ b/packages/daemon/src/entry_send.c
@@ -218,7 +218,7 @@
 {
 	uint64_t now = node_now_us();
 
-	/* This home knows that the key may be in use; the next one doesn't. */
+	/* An earlier attempt may have committed; the next home can't know. */
 	if (home_is_moving(a) && a->repeated)
 		x->request->resend = true;
 	if (home_is_moving(a) && is_bound(x))
--- a/packages/daemon/src/remote.c
+++ b/packages/daemon/src/remote.c
@@ -149,6 +149,7 @@
  * hear of a node that has just started before it has heard of all of them,
  * and send it requests. If it dropped their answers, an entry would still get
  * pongs, wait until the deadline and report the outcome of a write as unknown.
+ * The address arrives within moments; until then the answer is pending.
  */
 static void queue_answer(struct remote *r, const char *to, uint64_t correlation,
 			 GBytes *body)
--- a/packages/daemon/src/remote.h
+++ b/packages/daemon/src/remote.h
@@ -15,7 +15,8 @@
 extern const struct peer_events remote_peer_events;
 enum peer_liveness {
 	PEER_ALIVE,
-	PEER_SILENT, /* no answer; what it was sent may still be running */
+	/* Silent, dead or no member: what it was sent may still be running. */
+	PEER_SILENT,
 	PEER_GONE, /* it left or restarted: all that it ran has ended */
 };
 
