--- a/packages/daemon/src/access.c
+++ b/packages/daemon/src/access.c
@@ -27,7 +27,8 @@
 
 	if (!token.len) {
 		err_set(err, ERR_NO_TOKEN,
-			"an Authorization header with a bearer token is required");
+			"an Authorization header with a bearer token is "
+			"required");
 		return NULL;
 	}
 	caller = model_caller_by_token(node->model, token);
@@ -130,7 +131,8 @@
 
 	if (!token.len) {
 		err_set(err, ERR_NO_TOKEN,
-			"an Authorization header with a bearer token is required");
+			"an Authorization header with a bearer token is "
+			"required");
 		return NULL;
 	}
 	if (is_settings_operator(node, token))
@@ -138,7 +140,8 @@
 	caller = model_caller_by_token(node->model, token);
 	if (!caller)
 		err_set(err, ERR_BAD_TOKEN,
-			"the token belongs to no operator or configured caller");
+			"the token belongs to no operator or configured "
+			"caller");
 	else if (!caller->operator_rights)
 		err_set(err, ERR_FORBIDDEN, "caller %s has no operator rights",
 			caller->name);
--- a/packages/daemon/src/admin_items.c
+++ b/packages/daemon/src/admin_items.c
@@ -129,7 +129,8 @@
 								   FALSE);
 	if (!out->change || !*out->change || out->expected_revision < 0) {
 		err_set(err, ERR_BAD_FIELD,
-			"change (not empty) and expect_revision (0 or more) are required");
+			"change (not empty) and expect_revision (0 or more) "
+			"are required");
 		return false;
 	}
 	return true;
