--- a/packages/base/include/celeryquay/base/pace.h
+++ b/packages/base/include/celeryquay/base/pace.h
@@ -4,15 +4,15 @@
 #include <stdint.h>
 
 /*
- * Keeps a long job, in a thread of its own, from taking the processor from
- * others: the job rests for as long as it has run.
+ * Limits a long job in a thread of its own to about half of a processor: it
+ * sleeps for as long as it has run, so that it does not starve other threads.
  */
 struct pace {
-	unsigned steps;
-	uint64_t began_us; /* it runs since then, 0: it has not begun */
+	unsigned steps; /* calls of pace_step() */
+	uint64_t run_started_at_us; /* 0: no run yet */
 };
 
-/* Called often by the job; may sleep. NULL is ignored. */
+/* To be called often by the job; may sleep. Does nothing if p is NULL. */
 void pace_step(struct pace *p);
 
 #endif
--- a/packages/base/include/celeryquay/base/settings.h
+++ b/packages/base/include/celeryquay/base/settings.h
@@ -2,10 +2,10 @@
 #define CELERYQUAY_BASE_SETTINGS_H
 
 /*
- * Checked reading of JSON objects: settings files and configuration items.
- * Every complaint names the source (a file or an item), the key and the
- * reason. A reader collects the keys that were asked for, so that
- * settings_done() can name one that nobody knows.
+ * Validating reader of JSON objects: settings files and configuration items.
+ * Every error names the source (a file or an item), the key and the reason. A
+ * reader records the keys that were requested, so that settings_done() can
+ * reject unknown ones.
  */
 
 #include <celeryquay/base/err.h>
@@ -19,7 +19,7 @@
 struct settings *settings_from_file(const char *path, struct err *err);
 struct settings *settings_from_data(const char *source, const char *data,
 				    size_t len, struct err *err);
-/* The same for a large object: `pace` is stepped while it is read; or NULL. */
+/* The same for a large object: pauses by `pace`, which may be NULL. */
 struct settings *settings_from_data_paced(const char *source, const char *data,
 					  size_t len, struct pace *pace,
 					  struct err *err);
@@ -28,10 +28,10 @@
 unsigned settings_list_length(struct settings *s, const char *key);
 struct settings *settings_list_child(struct settings *s, const char *key,
 				     unsigned index, struct err *err);
-/* Calls `take` with each object of the list, which may be absent. */
+/* Calls `handle` with each object of the list, which may be absent. */
 bool settings_each(struct settings *s, const char *key,
-		   bool (*take)(void *ctx, struct settings *item,
-				struct err *err),
+		   bool (*handle)(void *ctx, struct settings *item,
+				  struct err *err),
 		   void *ctx, struct err *err);
 void settings_destroy(struct settings *s);
 
@@ -40,16 +40,16 @@
 		  char **out, struct err *err);
 bool settings_int(struct settings *s, const char *key, int64_t min, int64_t max,
 		  int64_t fallback, int64_t *out, struct err *err);
-/* A number that may have a fraction, from 0 on; cut to a whole one. */
+/* A number from 0 to a million; a fraction is truncated. */
 bool settings_amount(struct settings *s, const char *key, unsigned fallback,
 		     unsigned *out, struct err *err);
-/* A number from 0 on that may have a fraction; required. */
+/* A number from 0 to 1e9 that may have a fraction; required. */
 bool settings_rate(struct settings *s, const char *key, double *out,
 		   struct err *err);
-/* A count up to a million. */
+/* A whole number from 0 to a million. */
 bool settings_count(struct settings *s, const char *key, int64_t fallback,
 		    unsigned *out, struct err *err);
-/* Milliseconds up to a day, given as microseconds. */
+/* Milliseconds up to one day; returned in microseconds. */
 bool settings_ms_as_us(struct settings *s, const char *key, int64_t min,
 		       int64_t fallback, uint64_t *us, struct err *err);
 bool settings_bool(struct settings *s, const char *key, bool fallback,
@@ -60,7 +60,7 @@
 		   const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 bool settings_done(struct settings *s, struct err *err);
 
-/* No fallback: the key is required (pass as `fallback`). */
+/* Passed as `fallback`: the key is required. */
 #define SETTINGS_REQUIRED_INT INT64_MIN
 extern const char *const SETTINGS_REQUIRED_STR;
 
--- a/packages/base/src/pace.c
+++ b/packages/base/src/pace.c
@@ -3,26 +3,30 @@
 #include <celeryquay/base/clock.h>
 #include <glib.h>
 
-#define STEPS_A_LOOK 16 /* a look at the clock costs more than a step */
-#define RUN_US 4000 /* what a caller's statement may wait for the job */
-#define REST_MOST_US 50000 /* also after the VM was suspended */
+/* The clock is read once in so many steps: reading costs more than a step. */
+#define STEPS_PER_CLOCK_READ 16
+/* Bounds how long a caller's statement waits for the job. */
+#define RUN_SLICE_US 4000
+/* Bounds a sleep: time in which the VM was suspended counts as run time. */
+#define SLEEP_MAX_US 50000
 
 /*
- * Rests after RUN_US. How long it ran is taken by the wall: on a share of a
- * processor the rest is longer, too.
+ * Sleeps once the job has run for RUN_SLICE_US. The run is measured in elapsed
+ * time, so the sleep is longer, too, when the job gets only a share of a
+ * processor.
  */
 void pace_step(struct pace *p)
 {
 	uint64_t now_us, ran_us;
 
-	if (!p || ++p->steps % STEPS_A_LOOK)
+	if (!p || ++p->steps % STEPS_PER_CLOCK_READ)
 		return;
 	now_us = clock_boot_us();
-	if (!p->began_us)
-		p->began_us = now_us;
-	ran_us = now_us - p->began_us;
-	if (ran_us < RUN_US)
+	if (!p->run_started_at_us)
+		p->run_started_at_us = now_us;
+	ran_us = now_us - p->run_started_at_us;
+	if (ran_us < RUN_SLICE_US)
 		return;
-	g_usleep(MIN(ran_us, REST_MOST_US));
-	p->began_us = clock_boot_us();
+	g_usleep(MIN(ran_us, SLEEP_MAX_US));
+	p->run_started_at_us = clock_boot_us();
 }
--- a/packages/base/src/settings.c
+++ b/packages/base/src/settings.c
@@ -7,16 +7,17 @@
 #define DAY_MS (INT64_C(24) * 3600 * 1000)
 #define RATE_MAX 1e9
 #define COUNT_MAX 1000000
+/* Levels of nesting; bounds the recursion of json-glib. */
 #define DEPTH_MAX 32
 
 const char *const SETTINGS_REQUIRED_STR = "\001required";
 
 struct settings {
-	char *source; /* file or item, and the path of keys below it */
+	char *source; /* file or item, and the path of keys to this object */
 	JsonNode *root; /* owned by this reader */
 	JsonObject *object; /* within root */
-	GHashTable *known; /* keys that were asked for */
-	struct pace *pace; /* of who reads it; NULL: in one go */
+	GHashTable *requested_keys; /* set of the keys that were requested */
+	struct pace *pace; /* pauses while reading and freeing; NULL: none */
 };
 
 static struct settings *reader_create(char *source, JsonNode *node)
@@ -26,13 +27,15 @@
 	s->source = source;
 	s->root = node;
 	s->object = json_node_get_object(node);
-	s->known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	s->requested_keys =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return s;
 }
 
 /*
- * Whether the text nests deeper than any settings do. json-glib recurses for
- * each level: 100,000 brackets, in a file or an item, would end the process.
+ * Whether the JSON nests deeper than DEPTH_MAX, which no valid settings do.
+ * json-glib recurses for each level: 100,000 brackets in a file or an item
+ * would overflow the stack and crash the process.
  */
 static bool is_too_deep(const char *data, size_t len)
 {
@@ -56,7 +59,7 @@
 	return false;
 }
 
-/* The parser tells of each element that it has read. */
+/* Called by the parser after each array element. */
 static void on_element(JsonParser *parser, JsonArray *array, gint index,
 		       gpointer pace)
 {
@@ -67,8 +70,8 @@
 }
 
 /*
- * Reads one JSON object from memory. The source is what complaints name.
- * NULL and BAD_SETTINGS when it isn't JSON or isn't an object.
+ * Reads one JSON object from memory. Errors name the source. Returns NULL with
+ * BAD_SETTINGS if the data is not valid JSON, nested too deeply or no object.
  */
 struct settings *settings_from_data(const char *source, const char *data,
 				    size_t len, struct err *err)
@@ -76,7 +79,7 @@
 	return settings_from_data_paced(source, data, len, NULL, err);
 }
 
-/* The same; what is read from it by settings_each() is paced, too. */
+/* The same with pauses, also while settings_each() reads from the object. */
 struct settings *settings_from_data_paced(const char *source, const char *data,
 					  size_t len, struct pace *pace,
 					  struct err *err)
@@ -112,7 +115,7 @@
 	return s;
 }
 
-/* Reads one JSON object from a file; BAD_SETTINGS names file and reason. */
+/* Reads one JSON object from a file; NULL with BAD_SETTINGS on failure. */
 struct settings *settings_from_file(const char *path, struct err *err)
 {
 	GError *error = NULL;
@@ -132,11 +135,11 @@
 
 static JsonNode *lookup(struct settings *s, const char *key)
 {
-	g_hash_table_add(s->known, g_strdup(key));
+	g_hash_table_add(s->requested_keys, g_strdup(key));
 	return json_object_get_member(s->object, key);
 }
 
-/* Sets BAD_SETTINGS with source, key and reason; always false. */
+/* Sets BAD_SETTINGS with source, key and reason; always returns false. */
 bool settings_fail(struct settings *s, const char *key, struct err *err,
 		   const char *fmt, ...)
 {
@@ -150,21 +153,21 @@
 	return false;
 }
 
-/* The object under a key, or NULL and an error when there is none. */
+/* The object under a key; NULL and an error if there is none. */
 struct settings *settings_child(struct settings *parent, const char *key,
 				struct err *err)
 {
 	JsonNode *node = lookup(parent, key);
 
 	if (!node || !JSON_NODE_HOLDS_OBJECT(node)) {
-		settings_fail(parent, key, err, "an object is wanted");
+		settings_fail(parent, key, err, "expected an object");
 		return NULL;
 	}
 	return reader_create(g_strdup_printf("%s: %s", parent->source, key),
 			     json_node_copy(node));
 }
 
-/* How many elements the list has; 0 when there is no list. */
+/* Number of elements of the list; 0 if the key has no list. */
 unsigned settings_list_length(struct settings *s, const char *key)
 {
 	JsonNode *node = lookup(s, key);
@@ -174,7 +177,7 @@
 	return json_array_get_length(json_node_get_array(node));
 }
 
-/* The object at an index of the list; the index must be in it. */
+/* The object at an index of the list, which must be in range. */
 struct settings *settings_list_child(struct settings *s, const char *key,
 				     unsigned index, struct err *err)
 {
@@ -182,7 +185,7 @@
 	JsonNode *node = json_array_get_element(list, index);
 
 	if (!JSON_NODE_HOLDS_OBJECT(node)) {
-		settings_fail(s, key, err, "element %u is not an object",
+		settings_fail(s, key, err, "expected an object as element %u",
 			      index);
 		return NULL;
 	}
@@ -191,9 +194,9 @@
 			     json_node_copy(node));
 }
 
-/* Frees the objects of a list one by one. */
-static void empty_list(JsonObject *object, const gchar *name, JsonNode *node,
-		       gpointer pace)
+/* Frees the elements of a list one by one, with pauses. */
+static void free_list_elements(JsonObject *object, const gchar *name,
+			       JsonNode *node, gpointer pace)
 {
 	JsonArray *list;
 	unsigned n;
@@ -209,20 +212,21 @@
 	}
 }
 
-/* Frees the reader; children live on by themselves. */
+/* Frees the reader; its children stay valid. */
 void settings_destroy(struct settings *s)
 {
 	if (!s)
 		return;
 	if (s->pace)
-		json_object_foreach_member(s->object, empty_list, s->pace);
-	g_hash_table_destroy(s->known);
+		json_object_foreach_member(s->object, free_list_elements,
+					   s->pace);
+	g_hash_table_destroy(s->requested_keys);
 	json_node_unref(s->root);
 	g_free(s->source);
 	g_free(s);
 }
 
-/* Whether the key is there with a value other than null. */
+/* Whether the key is present with a value other than null. */
 bool settings_has(struct settings *s, const char *key)
 {
 	JsonNode *node = lookup(s, key);
@@ -236,7 +240,7 @@
 	       json_node_get_value_type(node) == type;
 }
 
-/* A string, copied to *out; the fallback (NULL is one) when absent. */
+/* A string, copied to *out; when absent, the fallback, which may be NULL. */
 bool settings_str(struct settings *s, const char *key, const char *fallback,
 		  char **out, struct err *err)
 {
@@ -249,7 +253,7 @@
 		return true;
 	}
 	if (!holds(node, G_TYPE_STRING))
-		return settings_fail(s, key, err, "a string is wanted");
+		return settings_fail(s, key, err, "expected a string");
 	*out = g_strdup(json_node_get_string(node));
 	return true;
 }
@@ -268,7 +272,7 @@
 		return true;
 	}
 	if (!holds(node, G_TYPE_INT64))
-		return settings_fail(s, key, err, "a whole number is wanted");
+		return settings_fail(s, key, err, "expected a whole number");
 	value = json_node_get_int(node);
 	if (value < min || value > max)
 		return settings_fail(s, key, err,
@@ -280,7 +284,7 @@
 	return true;
 }
 
-/* No unit; the fallback when absent. */
+/* A number without a unit; the fallback when absent. */
 bool settings_count(struct settings *s, const char *key, int64_t fallback,
 		    unsigned *out, struct err *err)
 {
@@ -292,7 +296,7 @@
 	return true;
 }
 
-/* Platforms write bandwidths and the like as 200 or as 200.0. */
+/* Takes fractions: platforms write bandwidths, say, as 200 or as 200.0. */
 bool settings_amount(struct settings *s, const char *key, unsigned fallback,
 		     unsigned *out, struct err *err)
 {
@@ -304,7 +308,7 @@
 		return true;
 	}
 	if (!holds(node, G_TYPE_INT64) && !holds(node, G_TYPE_DOUBLE))
-		return settings_fail(s, key, err, "a number is wanted");
+		return settings_fail(s, key, err, "expected a number");
 	value = json_node_get_double(node);
 	if (!(value >= 0 && value <= COUNT_MAX))
 		return settings_fail(s, key, err, "%g is not from 0 to %d",
@@ -313,7 +317,7 @@
 	return true;
 }
 
-/* Of something that may be 0, or less than one in a second. */
+/* Such as a rate per second, which may be 0 or less than one. */
 bool settings_rate(struct settings *s, const char *key, double *out,
 		   struct err *err)
 {
@@ -322,7 +326,7 @@
 	if (!node)
 		return settings_fail(s, key, err, "missing");
 	if (!holds(node, G_TYPE_INT64) && !holds(node, G_TYPE_DOUBLE))
-		return settings_fail(s, key, err, "a number is wanted");
+		return settings_fail(s, key, err, "expected a number");
 	*out = json_node_get_double(node);
 	if (*out >= 0 && *out <= RATE_MAX)
 		return true;
@@ -330,7 +334,7 @@
 			     RATE_MAX);
 }
 
-/* Platforms write milliseconds, and the clocks count microseconds. */
+/* Platforms write milliseconds, while the clocks count microseconds. */
 bool settings_ms_as_us(struct settings *s, const char *key, int64_t min,
 		       int64_t fallback, uint64_t *us, struct err *err)
 {
@@ -342,10 +346,10 @@
 	return true;
 }
 
-/* Ends at the first item that is not taken. */
+/* Stops at the first item for which the callback returns false. */
 bool settings_each(struct settings *s, const char *key,
-		   bool (*take)(void *ctx, struct settings *item,
-				struct err *err),
+		   bool (*handle)(void *ctx, struct settings *item,
+				  struct err *err),
 		   void *ctx, struct err *err)
 {
 	unsigned i, n = settings_list_length(s, key);
@@ -353,11 +357,11 @@
 	bool ok = true;
 
 	if (node && !JSON_NODE_HOLDS_ARRAY(node))
-		return settings_fail(s, key, err, "a list is wanted");
+		return settings_fail(s, key, err, "expected a list");
 	for (i = 0; ok && i < n; i++) {
 		struct settings *item = settings_list_child(s, key, i, err);
 
-		ok = item && take(ctx, item, err);
+		ok = item && handle(ctx, item, err);
 		settings_destroy(item);
 		pace_step(s->pace);
 	}
@@ -375,12 +379,12 @@
 		return true;
 	}
 	if (!holds(node, G_TYPE_BOOLEAN))
-		return settings_fail(s, key, err, "true or false is wanted");
+		return settings_fail(s, key, err, "expected true or false");
 	*out = json_node_get_boolean(node);
 	return true;
 }
 
-/* A NULL-ended list of strings, freed with g_strfreev(); empty if absent. */
+/* A NULL-terminated list of strings for g_strfreev(); empty if absent. */
 bool settings_str_list(struct settings *s, const char *key, char ***out,
 		       struct err *err)
 {
@@ -407,10 +411,10 @@
 	return true;
 err:
 	g_ptr_array_free(list, TRUE);
-	return settings_fail(s, key, err, "a list of strings is wanted");
+	return settings_fail(s, key, err, "expected a list of strings");
 }
 
-/* Names a key that nobody asked for: a misspelt one must not be ignored. */
+/* Rejects keys that were never requested, so that a typo is not ignored. */
 bool settings_done(struct settings *s, struct err *err)
 {
 	GList *keys = json_object_get_members(s->object);
@@ -418,7 +422,7 @@
 	GList *l;
 
 	for (l = keys; l && ok; l = l->next) {
-		if (!g_hash_table_contains(s->known, l->data))
+		if (!g_hash_table_contains(s->requested_keys, l->data))
 			ok = settings_fail(s, l->data, err, "unknown key");
 	}
 	g_list_free(keys);
--- a/packages/base/tests/test_base.c
+++ b/packages/base/tests/test_base.c
@@ -72,9 +72,9 @@
 END_TEST
 
 /*
- * Story: an operator looks up a number that a proxy answered and finds no row
- * in docs/errors.md, or another name, because a code was added in the source
- * only.
+ * Guards against a code that was added in the source only: an operator who
+ * looks up an answer's number in docs/errors.md would find no row, or another
+ * name.
  */
 START_TEST(err_page_lists_every_row)
 {
@@ -111,7 +111,7 @@
 
 	ck_assert(!settings_int(s, "port", 0, 65535, 0, &port, &err));
 	ck_assert_str_eq(err.message,
-			 "file.json: port: a whole number is wanted");
+			 "file.json: port: expected a whole number");
 	ck_assert(!settings_done(s, &err));
 	ck_assert_str_eq(err.message, "file.json: prot: unknown key");
 	settings_destroy(s);
@@ -152,12 +152,12 @@
 	ck_assert(!settings_amount(s, "c", 0, &n, &err));
 	ck_assert(strstr(err.message, "c: -1 is not from 0 to"));
 	ck_assert(!settings_amount(s, "d", 0, &n, &err));
-	ck_assert_str_eq(err.message, "file.json: d: a number is wanted");
+	ck_assert_str_eq(err.message, "file.json: d: expected a number");
 	settings_destroy(s);
 }
 END_TEST
 
-START_TEST(settings_refuse_what_is_no_object)
+START_TEST(settings_refuse_non_objects)
 {
 	struct err err = { 0 };
 
@@ -169,9 +169,9 @@
 END_TEST
 
 /*
- * Story: an operator's script writes a profile of 100,000 brackets into the
- * store, and every proxy that reads it ends at once. The cause: the JSON
- * library recurses for each level until the stack is used up.
+ * The JSON library recurses for each level of nesting. A profile of 100,000
+ * brackets in the store would overflow the stack and crash every proxy that
+ * reads it.
  */
 START_TEST(settings_refuse_deep_nesting)
 {
@@ -189,27 +189,28 @@
 }
 END_TEST
 
-/* Fails when a long job takes the processor from those that wait for it. */
-START_TEST(a_paced_job_rests_for_as_long_as_it_runs)
+/* Fails if a long job does not sleep and so starves other threads. */
+START_TEST(a_paced_job_sleeps_for_as_long_as_it_runs)
 {
-	uint64_t began_us = clock_boot_us(), busy_us = 0, from_us;
+	uint64_t started_at_us = clock_boot_us(), busy_us = 0, busy_since_us;
 	struct pace pace = { 0 };
 
 	pace_step(NULL);
 	while (busy_us < 40000) {
-		from_us = clock_boot_us();
-		while (clock_boot_us() < from_us + 1000)
+		busy_since_us = clock_boot_us();
+		while (clock_boot_us() < busy_since_us + 1000)
 			;
 		busy_us += 1000;
-		/* The clock is looked at now and then. */
+		/* The next step is the 16th, which reads the clock. */
 		pace.steps = 15;
 		pace_step(&pace);
 	}
-	ck_assert_uint_ge(clock_boot_us() - began_us, 40000 + 40000 * 3 / 4);
+	ck_assert_uint_ge(clock_boot_us() - started_at_us,
+			  40000 + 40000 * 3 / 4);
 }
 END_TEST
 
-START_TEST(a_paced_object_is_read_like_another)
+START_TEST(pacing_does_not_change_what_is_read)
 {
 	const char *text = "{\"list\": [{\"n\": 1}, {\"n\": 2}], \"m\": 3}";
 	struct pace pace = { 0 };
@@ -267,10 +268,10 @@
 	tcase_add_test(tests, settings_name_file_key_and_reason);
 	tcase_add_test(tests, settings_check_ranges_and_lists);
 	tcase_add_test(tests, settings_take_amounts_with_a_fraction);
-	tcase_add_test(tests, settings_refuse_what_is_no_object);
+	tcase_add_test(tests, settings_refuse_non_objects);
 	tcase_add_test(tests, settings_refuse_deep_nesting);
-	tcase_add_test(tests, a_paced_job_rests_for_as_long_as_it_runs);
-	tcase_add_test(tests, a_paced_object_is_read_like_another);
+	tcase_add_test(tests, a_paced_job_sleeps_for_as_long_as_it_runs);
+	tcase_add_test(tests, pacing_does_not_change_what_is_read);
 	tcase_add_test(tests, counters_write_one_family_each);
 	return suite_main("base", tests);
 }
