--- a/packages/base/include/celeryquay/base/log.h
+++ b/packages/base/include/celeryquay/base/log.h
@@ -2,9 +2,9 @@
 #define CELERYQUAY_BASE_LOG_H
 
 /*
- * JSON-lines logging over GLib's structured logging. A file defines LOG_MODULE
- * before it includes this header. A decision (routing, placement) is one line
- * with named fields, see log_decision().
+ * JSON-lines logging on top of GLib's structured logging. A source file defines
+ * LOG_MODULE before it includes this header. Each decision, such as a routing
+ * choice, is one line with named fields; see log_decision().
  */
 
 #include <glib.h>
@@ -34,12 +34,13 @@
 	__attribute__((format(printf, 3, 4)));
 
 /*
- * One line for one decision: the kind ("route", "home", "admit", "failover",
- * ...), then key, format-free string value pairs, ended by NULL, as in
+ * Writes one decision as one line: its kind ("route", "home", "admit",
+ * "failover", ...), then pairs of key and string value, terminated by NULL.
+ * Values are written as they are, not as printf formats, as in
  * log_decision("route", "database", db, "server", name, "why", why, NULL).
  */
 void log_decision(const char *kind, ...) G_GNUC_NULL_TERMINATED;
-/* Writes decisions that wait; the daemon calls it on every tick. */
+/* Writes buffered lines without blocking; called when the daemon stops. */
 void log_flush(void);
 
 #endif
--- a/packages/base/include/celeryquay/base/log_event.h
+++ b/packages/base/include/celeryquay/base/log_event.h
@@ -2,8 +2,8 @@
 #define CELERYQUAY_BASE_LOG_EVENT_H
 
 /*
- * One log line with typed fields. log_event() starts it, the others add to it,
- * log_event_end() hands it over:
+ * One log line with typed fields. log_event() starts it, the other functions
+ * add fields, and log_event_end() passes it to the log sink:
  *
  *	struct log_line *l = log_event(LOG_STATE, "server-lost");
  *
@@ -13,7 +13,7 @@
  *	log_u64(l, "silent_ms", ms);
  *	log_event_end(l);
  *
- * There is one line at a time in the process.
+ * Only one line can be under construction at a time in the process.
  */
 
 #include <celeryquay/base/log_sink.h>
@@ -21,11 +21,11 @@
 
 struct log_line;
 
-/* NULL: the budget has no room for it, which is counted. */
+/* Returns NULL if the budget is used up; the line is counted as dropped. */
 struct log_line *log_event(enum log_class class, const char *event);
 void log_event_end(struct log_line *l);
 
-/* key NULL: an element of a list. */
+/* In all of these a NULL key adds an element to a list. */
 void log_str(struct log_line *l, const char *key, struct str value);
 void log_cstr(struct log_line *l, const char *key, const char *value);
 void log_u64(struct log_line *l, const char *key, uint64_t value);
@@ -35,16 +35,16 @@
 void log_object(struct log_line *l, const char *key);
 void log_object_end(struct log_line *l);
 
-/* Names the process in every line; see log_init(). */
+/* Sets the node name that every line carries; see log_init(). */
 void log_event_set_node(const char *node);
-/* For tests: the steady clock in microseconds; NULL: the system's. */
+/* For tests: replaces the monotonic clock; NULL restores the system's. */
 void log_event_set_clock(uint64_t (*now_us)(void));
 /*
- * The line's beginning, for those that write the rest by themselves; false: no
- * room, as with log_event().
+ * Appends the common first fields of a line, for callers that write the rest
+ * themselves. Returns false if the budget is used up, as log_event() does.
  */
 bool log_event_head(enum log_class class, GString *out);
-/* Appends a JSON string with its quotes. */
+/* Appends s as a quoted and escaped JSON string. */
 void log_event_json(GString *out, const char *s, size_t len);
 
 #endif
--- a/packages/base/include/celeryquay/base/log_sink.h
+++ b/packages/base/include/celeryquay/base/log_sink.h
@@ -2,20 +2,20 @@
 #define CELERYQUAY_BASE_LOG_SINK_H
 
 /*
- * Where log lines go: a descriptor, within a budget of lines and bytes a
- * second, and without ever blocking. What doesn't fit is dropped, counted and
- * told in a line of its own. A process that has not opened it has no lines.
+ * Writes log lines to a file descriptor without blocking, within a budget of
+ * lines and bytes per second. Lines that exceed it are dropped and counted; a
+ * log line reports the counts. Until the sink is opened nothing is logged.
  */
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
-/* What goes first when the budget runs short, from least to most. */
+/* Importance of a line, ascending: lower classes are dropped first. */
 enum log_class {
-	LOG_ROUTINE, /* a request that went well */
-	LOG_FAILURE, /* one that was refused, failed or is in doubt */
-	LOG_STATE, /* what the process believes, and its life */
+	LOG_ROUTINE, /* a request that succeeded */
+	LOG_FAILURE, /* one refused, failed or of unknown outcome */
+	LOG_STATE, /* a change of state, or start and stop of the process */
 	LOG_CLASSES,
 };
 
@@ -24,19 +24,22 @@
 	uint64_t bytes_per_s;
 };
 
-/* Begins anew, at 0 lines. budget NULL: no limit but the buffer's. */
+/*
+ * Resets all counts to 0 and discards buffered lines. budget NULL: lines are
+ * limited only by the size of the buffer.
+ */
 void log_sink_open(int fd, const struct log_budget *budget);
-/* Whether a line of this class would be kept now; counts it if not. */
+/* Whether a line of this class is accepted now; counts it as dropped if not. */
 bool log_sink_has_room(enum log_class class, uint64_t now_us);
-/* The line without its line feed. */
+/* Adds a line, given without its line feed. */
 void log_sink_put(enum log_class class, const char *line, size_t len);
-/* What was dropped and not told yet; false: nothing is to be told now. */
+/* Takes the drop counts not yet reported; false: nothing to report now. */
 bool log_sink_take_dropped(uint64_t dropped[LOG_CLASSES]);
-/* Hands over as much as the reader takes now. */
+/* Writes as much as the reader accepts without blocking. */
 void log_sink_flush(void);
-/* The same if lines wait that should be seen soon, or have waited for long. */
+/* Flushes if urgent lines are buffered or the flush interval has passed. */
 void log_sink_flush_due(uint64_t now_us);
-/* Lines dropped since it was opened. */
+/* Number of lines dropped since the sink was opened. */
 uint64_t log_sink_dropped(void);
 
 #endif
--- a/packages/base/src/log.c
+++ b/packages/base/src/log.c
@@ -22,7 +22,7 @@
 	return state.line;
 }
 
-/* Hands the line over, without its end. */
+/* Closes the JSON object and passes the line to the log sink. */
 static void write_line(enum log_class class, GString *line)
 {
 	g_string_append_c(line, '}');
@@ -60,7 +60,7 @@
 	log_event_json(out, f->value, len);
 }
 
-static const char *name_of(GLogLevelFlags level)
+static const char *level_name(GLogLevelFlags level)
 {
 	if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL))
 		return level_names[LOG_LEVEL_ERR];
@@ -71,7 +71,7 @@
 	return level_names[LOG_LEVEL_INFO];
 }
 
-/* GLib's writer: one JSON object a line. */
+/* GLib log writer: writes each message as one line with a JSON object. */
 static GLogWriterOutput write_json(GLogLevelFlags level,
 				   const GLogField *fields, gsize n,
 				   gpointer data)
@@ -82,7 +82,7 @@
 	(void)data;
 	if (!log_event_head(LOG_STATE, line))
 		return G_LOG_WRITER_HANDLED;
-	append_pair(line, "level", name_of(level));
+	append_pair(line, "level", level_name(level));
 	if (!module)
 		module = find_field(fields, n, "GLIB_DOMAIN");
 	append_field(line, "module", module);
@@ -92,8 +92,9 @@
 }
 
 /*
- * Sets the node's name, the least level that is written and whether decisions
- * are. May be called again; GLib's writer is installed the first time only.
+ * Sets the node's name, the least severe level that is written and whether
+ * decisions are written. May be called again; GLib's writer is installed only
+ * the first time.
  */
 void log_init(const char *node, enum log_level level, bool decisions)
 {
@@ -105,13 +106,13 @@
 	state.ready = true;
 }
 
-/* Writes what waits, as far as somebody reads it. */
+/* Writes as many buffered lines as the reader accepts without blocking. */
 void log_flush(void)
 {
 	log_sink_flush();
 }
 
-/* Whether a message of this level would be written. */
+/* Whether messages of this level are written. */
 bool log_enabled(enum log_level level)
 {
 	return level <= state.level;
@@ -160,8 +161,9 @@
 }
 
 /*
- * Writes one decision. It goes around GLib's field lookup, since there is one
- * for each statement: kind, then pairs of key and value up to NULL.
+ * Writes one decision: its kind, then pairs of key and value up to NULL. It
+ * bypasses GLib's structured logging, whose field lookup would be paid once for
+ * each statement.
  */
 void log_decision(const char *kind, ...)
 {
--- a/packages/base/src/log_event.c
+++ b/packages/base/src/log_event.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* What a JSON string may take: six bytes for each, and two quotes. */
+/* Maximum size of a JSON string: six bytes per input byte, and two quotes. */
 #define JSON_SIZE(len) (6 * (size_t)(len) + 2)
 
 struct log_line {
 	GString *text;
 	enum log_class class;
-	bool first; /* no comma before the next field */
+	bool first; /* the next field is the first: no comma before it */
 };
 
 static uint64_t system_clock_us(void)
@@ -20,21 +20,22 @@
 static char node_name[64];
 static struct log_line line;
 
-/* Names the process in every line. */
+/* Sets the node name that every line carries. */
 void log_event_set_node(const char *node)
 {
 	g_strlcpy(node_name, node, sizeof(node_name));
 }
 
-/* For tests, which must not depend on how long they take. */
+/* Replaces the clock, so that tests do not depend on real time. */
 void log_event_set_clock(uint64_t (*now_us)(void))
 {
 	clock_us = now_us ? now_us : system_clock_us;
 }
 
 /*
- * Room for n more bytes behind the text; end_write() tells how many came.
- * GString's own calls, one for each piece, were a third of a line's cost.
+ * Reserves n bytes after the text and returns where to write them; end_write()
+ * sets the new length. Appending each piece through GString's own functions
+ * would make up a third of the cost of a line.
  */
 static char *begin_write(GString *out, size_t n)
 {
@@ -53,13 +54,13 @@
 	out->len = (gsize)(end - out->str);
 }
 
-static char *put(char *to, const char *s, size_t len)
+static char *put_bytes(char *to, const char *s, size_t len)
 {
 	memcpy(to, s, len);
 	return to + len;
 }
 
-static bool is_plain(unsigned char c)
+static bool needs_no_escape(unsigned char c)
 {
 	return c >= 0x20 && c != '"' && c != '\\';
 }
@@ -79,32 +80,32 @@
 	return to;
 }
 
-/* A JSON string; it takes up to JSON_SIZE(len) bytes. */
+/* Writes s as a JSON string of at most JSON_SIZE(len) bytes. */
 static char *put_json(char *to, const char *s, size_t len)
 {
 	size_t i, plain = 0;
 
 	*to++ = '"';
 	for (i = 0; i < len; i++) {
-		if (is_plain((unsigned char)s[i]))
+		if (needs_no_escape((unsigned char)s[i]))
 			continue;
-		to = put(to, s + plain, i - plain);
+		to = put_bytes(to, s + plain, i - plain);
 		to = put_escaped(to, (unsigned char)s[i]);
 		plain = i + 1;
 	}
-	to = put(to, s + plain, len - plain);
+	to = put_bytes(to, s + plain, len - plain);
 	*to++ = '"';
 	return to;
 }
 
-/* Appends a JSON string with its quotes. */
+/* Appends s as a quoted and escaped JSON string. */
 void log_event_json(GString *out, const char *s, size_t len)
 {
 	end_write(out, put_json(begin_write(out, JSON_SIZE(len)), s, len));
 }
 
-/* The text of a second; formatted once, since many lines fall into it. */
-static const char *second_text(gint64 second)
+/* Formats a second in UTC; cached, since many lines share the same second. */
+static const char *format_second(gint64 second)
 {
 	static gint64 last;
 	static char text[32];
@@ -123,10 +124,11 @@
 }
 
 /*
- * Starts a line: the time in UTC to the millisecond, the steady clock in
- * milliseconds, which goes on when the time of day is set, and the node.
+ * Appends the common first fields: the UTC time to the millisecond, the
+ * monotonic clock in milliseconds, which does not jump when the system time is
+ * set, and the node.
  */
-static void put_head(GString *out)
+static void put_common_fields(GString *out)
 {
 	gint64 now = g_get_real_time();
 	int ms = (int)(now % G_USEC_PER_SEC / 1000);
@@ -135,7 +137,7 @@
 			  '\0' };
 
 	g_string_append(out, "{\"time\":\"");
-	g_string_append(out, second_text(now / G_USEC_PER_SEC));
+	g_string_append(out, format_second(now / G_USEC_PER_SEC));
 	g_string_append(out, digits);
 	g_string_append(out, "Z\",\"steady_ms\":");
 	str_append_u64(out, clock_us() / 1000);
@@ -143,7 +145,7 @@
 	log_event_json(out, node_name, strlen(node_name));
 }
 
-/* The key and what is before it; keys are ours and need no escape. */
+/* Writes comma and key; keys are plain identifiers and need no escape. */
 static char *put_key(struct log_line *l, char *to, const char *key)
 {
 	if (!l->first)
@@ -152,13 +154,13 @@
 	if (!key)
 		return to;
 	*to++ = '"';
-	to = put(to, key, strlen(key));
+	to = put_bytes(to, key, strlen(key));
 	*to++ = '"';
 	*to++ = ':';
 	return to;
 }
 
-/* What a key takes with its comma, quotes and colon. */
+/* Bytes that a key takes up with its comma, quotes and colon. */
 static size_t key_size(const char *key)
 {
 	return key ? strlen(key) + 4 : 1;
@@ -171,11 +173,11 @@
 	g_string_truncate(line.text, 0);
 	line.class = class;
 	line.first = false;
-	put_head(line.text);
+	put_common_fields(line.text);
 	log_cstr(&line, "event", event);
 }
 
-static void tell_dropped(void)
+static void report_dropped(void)
 {
 	uint64_t dropped[LOG_CLASSES];
 
@@ -192,11 +194,11 @@
 {
 	bool has = log_sink_has_room(class, clock_us());
 
-	tell_dropped();
+	report_dropped();
 	return has;
 }
 
-/* Starts a line; NULL when the budget has no room for it. */
+/* Starts a line; returns NULL if the budget is used up. */
 struct log_line *log_event(enum log_class class, const char *event)
 {
 	if (!has_room(class))
@@ -205,23 +207,23 @@
 	return &line;
 }
 
-/* Starts a line of another's making; false when there is no room for it. */
+/* Appends the common first fields; returns false if the budget is used up. */
 bool log_event_head(enum log_class class, GString *out)
 {
 	if (!has_room(class))
 		return false;
-	put_head(out);
+	put_common_fields(out);
 	return true;
 }
 
-/* Hands the line over. */
+/* Closes the JSON object and passes the line to the log sink. */
 void log_event_end(struct log_line *l)
 {
 	g_string_append_c(l->text, '}');
 	log_sink_put(l->class, l->text->str, l->text->len);
 }
 
-/* A text; bytes that JSON can't hold are escaped. */
+/* Adds a string; control characters, quotes and backslashes are escaped. */
 void log_str(struct log_line *l, const char *key, struct str value)
 {
 	char *to = begin_write(l->text, key_size(key) + JSON_SIZE(value.len));
@@ -230,13 +232,13 @@
 	end_write(l->text, put_json(to, value.data, value.len));
 }
 
-/* The same of a C string; NULL is an empty one. */
+/* Adds a C string; NULL is written as an empty string. */
 void log_cstr(struct log_line *l, const char *key, const char *value)
 {
 	log_str(l, key, str_from_c(value ? value : ""));
 }
 
-/* A number. */
+/* Adds a number. */
 void log_u64(struct log_line *l, const char *key, uint64_t value)
 {
 	char *to = begin_write(l->text, key_size(key) + STR_U64_SIZE);
@@ -245,25 +247,25 @@
 	end_write(l->text, to + str_put_u64(to, value));
 }
 
-/* What JSON has without quotes. */
-static void put_word(struct log_line *l, const char *key, const char *word)
+/* Adds a token that is not quoted in JSON. */
+static void put_token(struct log_line *l, const char *key, const char *word)
 {
 	size_t len = strlen(word);
 	char *to = begin_write(l->text, key_size(key) + len);
 
 	to = put_key(l, to, key);
-	end_write(l->text, put(to, word, len));
+	end_write(l->text, put_bytes(to, word, len));
 }
 
-/* True or false. */
+/* Adds true or false. */
 void log_bool(struct log_line *l, const char *key, bool value)
 {
-	put_word(l, key, value ? "true" : "false");
+	put_token(l, key, value ? "true" : "false");
 }
 
 static void begin_nested(struct log_line *l, const char *key, const char *mark)
 {
-	put_word(l, key, mark);
+	put_token(l, key, mark);
 	l->first = true;
 }
 
--- a/packages/base/src/log_sink.c
+++ b/packages/base/src/log_sink.c
@@ -9,15 +9,20 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-/* A reader that is this far behind loses lines. */
+/* Bounds the lines not read yet; a reader that is further behind loses lines.
+ */
 #define BUFFER_MAX_BYTES ((size_t)256 * 1024)
-/* Lines that are no failure are gathered: one write costs more than a line. */
-#define GATHER_BYTES ((size_t)32 * 1024)
-#define GATHER_US ((uint64_t)500 * 1000)
+/*
+ * Limits of a batch of routine lines. They are batched since one write() costs
+ * more than one line.
+ */
+#define BATCH_MAX_BYTES ((size_t)32 * 1024)
+#define FLUSH_INTERVAL_US ((uint64_t)500 * 1000)
+/* The budget is counted per window of this length. */
 #define WINDOW_US ((uint64_t)1000 * 1000)
-/* A pipe that polls as writable takes this much without blocking. */
+/* A pipe that poll() reports as writable accepts this much without blocking. */
 #define CHUNK_BYTES ((size_t)4096)
-/* Of the budget; the rest is kept for what is more important. */
+/* Share of the budget that a class may use; the rest is for higher classes. */
 #define ROUTINE_PERCENT 50
 #define FAILURE_PERCENT 90
 
@@ -26,26 +31,26 @@
 
 static struct {
 	int fd;
-	bool private; /* a description of our own: it may be non-blocking */
+	bool private; /* own open file description, in non-blocking mode */
 	struct log_budget budget;
 	GString *buffer;
-	bool urgent;
-	uint64_t flushed_us;
-	uint64_t window_us; /* start of the second that is counted */
-	uint64_t lines; /* in it */
-	uint64_t bytes;
-	uint64_t dropped[LOG_CLASSES]; /* not told yet */
-	bool dropped_due; /* once a second */
+	bool urgent; /* the buffer holds failure or state lines */
+	uint64_t flushed_at_us;
+	uint64_t window_start_us; /* start of the current budget window */
+	uint64_t lines; /* accepted in the current window */
+	uint64_t bytes; /* accepted in the current window */
+	uint64_t dropped[LOG_CLASSES]; /* not reported yet */
+	bool drop_report_due; /* may be reported; set once per window */
 	uint64_t dropped_total;
 } sink = { .fd = -1 };
 
 /*
- * Failure: nobody reads standard output, and the process stops in write().
- * Non-blocking mode belongs to the open description, which others may share,
- * so a pipe is opened once more; where that is not possible each write is kept
- * to what poll() says will not block.
+ * If nobody reads standard output, a blocking write() would stop the process.
+ * Non-blocking mode is a property of the open file description, which other
+ * processes may share, so a pipe is opened a second time. Where that is not
+ * possible, each write is limited to what poll() says will not block.
  */
-static int open_private(int fd)
+static int reopen_nonblocking(int fd)
 {
 	struct stat st;
 	char path[32];
@@ -56,18 +61,18 @@
 	return open(path, O_WRONLY | O_NONBLOCK | O_CLOEXEC);
 }
 
-/* Lines go there from now on; no budget: as many as fit. */
+/* Writes to fd from now on; budget NULL: limited only by the buffer. */
 void log_sink_open(int fd, const struct log_budget *budget)
 {
-	int own = open_private(fd);
+	int own = reopen_nonblocking(fd);
 
 	if (sink.private)
 		close(sink.fd);
 	sink.private = own >= 0;
 	sink.fd = sink.private ? own : fd;
 	sink.budget = budget ? *budget : no_limit;
-	sink.urgent = sink.dropped_due = false;
-	sink.window_us = sink.lines = sink.bytes = sink.dropped_total = 0;
+	sink.urgent = sink.drop_report_due = false;
+	sink.window_start_us = sink.lines = sink.bytes = sink.dropped_total = 0;
 	memset(sink.dropped, 0, sizeof(sink.dropped));
 	if (sink.buffer)
 		g_string_truncate(sink.buffer, 0);
@@ -76,27 +81,28 @@
 static GString *buffer(void)
 {
 	if (!sink.buffer)
-		sink.buffer = g_string_sized_new(2 * GATHER_BYTES);
+		sink.buffer = g_string_sized_new(2 * BATCH_MAX_BYTES);
 	return sink.buffer;
 }
 
-static bool may_write(void)
+static bool is_writable(void)
 {
 	struct pollfd p = { .fd = sink.fd, .events = POLLOUT };
 
 	return sink.private || (poll(&p, 1, 0) == 1 && (p.revents & POLLOUT));
 }
 
-/* Hands over as much as the reader takes now. */
+/* Writes as much as the reader accepts without blocking. */
 void log_sink_flush(void)
 {
 	GString *b = buffer();
 	size_t done = 0;
 
-	while (sink.fd >= 0 && done < b->len && may_write()) {
-		size_t most = sink.private ? b->len - done :
-					     MIN(b->len - done, CHUNK_BYTES);
-		ssize_t n = write(sink.fd, b->str + done, most);
+	while (sink.fd >= 0 && done < b->len && is_writable()) {
+		size_t max_bytes = sink.private ?
+					   b->len - done :
+					   MIN(b->len - done, CHUNK_BYTES);
+		ssize_t n = write(sink.fd, b->str + done, max_bytes);
 
 		if (n < 0 && errno == EINTR)
 			continue;
@@ -108,12 +114,12 @@
 	sink.urgent = sink.urgent && b->len;
 }
 
-/* Hands lines over that are urgent, or have been gathered for long enough. */
+/* Flushes if urgent lines are buffered or the flush interval has passed. */
 void log_sink_flush_due(uint64_t now_us)
 {
-	if (!sink.urgent && now_us < sink.flushed_us + GATHER_US)
+	if (!sink.urgent && now_us < sink.flushed_at_us + FLUSH_INTERVAL_US)
 		return;
-	sink.flushed_us = now_us;
+	sink.flushed_at_us = now_us;
 	if (sink.buffer && sink.buffer->len)
 		log_sink_flush();
 }
@@ -122,27 +128,28 @@
 {
 	g_string_append_len(buffer(), line, (gssize)len);
 	g_string_append_c(buffer(), '\n');
-	if (buffer()->len >= GATHER_BYTES)
+	if (buffer()->len >= BATCH_MAX_BYTES)
 		log_sink_flush();
 }
 
-static void turn_window(uint64_t now_us)
+static void advance_window(uint64_t now_us)
 {
-	if (now_us < sink.window_us + WINDOW_US && now_us >= sink.window_us)
+	if (now_us < sink.window_start_us + WINDOW_US &&
+	    now_us >= sink.window_start_us)
 		return;
-	sink.window_us = now_us;
+	sink.window_start_us = now_us;
 	sink.lines = 0;
 	sink.bytes = 0;
-	sink.dropped_due = true;
+	sink.drop_report_due = true;
 }
 
-static void drop(enum log_class class)
+static void count_dropped(enum log_class class)
 {
 	sink.dropped[class]++;
 	sink.dropped_total++;
 }
 
-static bool fits(enum log_class class)
+static bool is_accepted(enum log_class class)
 {
 	static const uint64_t percent[LOG_CLASSES] = {
 		[LOG_ROUTINE] = ROUTINE_PERCENT,
@@ -156,21 +163,21 @@
 }
 
 /*
- * Whether a line of this class would be kept now; counts it as dropped if not,
- * so that nobody formats what is thrown away.
+ * Whether a line of this class is accepted now; counts it as dropped if not.
+ * Asked before a line is formatted, to save the work for dropped lines.
  */
 bool log_sink_has_room(enum log_class class, uint64_t now_us)
 {
-	turn_window(now_us);
+	advance_window(now_us);
 	if (sink.fd < 0)
 		return false;
-	if (fits(class))
+	if (is_accepted(class))
 		return true;
-	drop(class);
+	count_dropped(class);
 	return false;
 }
 
-/* Takes a line that there is room for; it goes out with a later flush. */
+/* Buffers a line for which there is room; a later flush writes it. */
 void log_sink_put(enum log_class class, const char *line, size_t len)
 {
 	sink.lines++;
@@ -181,14 +188,15 @@
 }
 
 /*
- * What was dropped and not told yet, once a second and while a reader takes
- * lines; false when there is nothing to tell. Counts as told by this.
+ * Returns the drop counts not yet reported and marks them as reported.
+ * False if there are none, if this window's counts were taken already, or if
+ * the buffer is over half full because the reader is slow.
  */
 bool log_sink_take_dropped(uint64_t dropped[LOG_CLASSES])
 {
-	if (!sink.dropped_due || buffer()->len > BUFFER_MAX_BYTES / 2)
+	if (!sink.drop_report_due || buffer()->len > BUFFER_MAX_BYTES / 2)
 		return false;
-	sink.dropped_due = false;
+	sink.drop_report_due = false;
 	if (!sink.dropped[LOG_ROUTINE] && !sink.dropped[LOG_FAILURE] &&
 	    !sink.dropped[LOG_STATE])
 		return false;
@@ -197,7 +205,7 @@
 	return true;
 }
 
-/* Lines dropped since it was opened. */
+/* Number of lines dropped since the sink was opened. */
 uint64_t log_sink_dropped(void)
 {
 	return sink.dropped_total;
--- a/packages/base/tests/test_log.c
+++ b/packages/base/tests/test_log.c
@@ -31,7 +31,7 @@
 	close(fds[1]);
 }
 
-/* All that is in the pipe now. */
+/* Reads everything that is in the pipe now. */
 static char *read_all(void)
 {
 	GString *out = g_string_new(NULL);
@@ -67,7 +67,7 @@
 	return true;
 }
 
-START_TEST(lines_are_json_whatever_they_hold)
+START_TEST(lines_are_valid_json_for_any_bytes)
 {
 	static const char odd[] = "a\"b\\c\n\x01\xff";
 	struct log_line *l;
@@ -110,10 +110,10 @@
 END_TEST
 
 /*
- * A burst of callers fills the log with statements that went well, and the
- * line that says why one of them was refused is the one that is dropped.
+ * A burst of successful statements must not use up the budget: the line which
+ * says why a request was refused would be dropped.
  */
-START_TEST(failures_and_states_go_before_what_went_well)
+START_TEST(routine_lines_are_dropped_first)
 {
 	static const struct log_budget budget = { 100, 1000000 };
 	unsigned i, kept[LOG_CLASSES] = { 0 };
@@ -138,8 +138,8 @@
 }
 END_TEST
 
-/* The next second has its own budget, and begins with what was dropped. */
-START_TEST(what_was_dropped_is_told)
+/* The next second has a new budget and starts with the drop counts. */
+START_TEST(dropped_lines_are_reported)
 {
 	static const struct log_budget budget = { 10, 1000000 };
 	unsigned i;
@@ -164,10 +164,10 @@
 END_TEST
 
 /*
- * The log collector hangs. The pipe fills, the proxy stops in write(), and all
- * its callers wait for a collector that they know nothing of.
+ * If the log collector hangs, the pipe fills. A proxy that then blocks in
+ * write() would stall all of its callers.
  */
-START_TEST(a_full_pipe_blocks_nobody)
+START_TEST(a_full_pipe_does_not_block)
 {
 	uint64_t before = log_sink_dropped();
 	unsigned i, kept = 0;
@@ -177,13 +177,13 @@
 	start(NULL);
 	flags = fcntl(fds[1], F_GETFL);
 	for (i = 0; i < 20000; i++) {
-		kept += put(LOG_FAILURE, "refused for want of a server");
+		kept += put(LOG_FAILURE, "refused for lack of a server");
 		log_sink_flush();
 	}
 	ck_assert_uint_eq(log_sink_dropped() - before, 20000 - kept);
 	ck_assert_uint_gt(kept, 1000);
 	ck_assert_uint_lt(kept, 10000);
-	/* Others that share the description still find it as it was. */
+	/* The flags of the shared open file description are unchanged. */
 	ck_assert_int_eq(fcntl(fds[1], F_GETFL), flags);
 	text = read_all();
 	ck_assert_uint_gt(strlen(text), 32768);
@@ -196,8 +196,8 @@
 }
 END_TEST
 
-/* The collector is gone; what it would have got is lost, and nothing else. */
-START_TEST(a_closed_pipe_ends_nothing)
+/* When the collector has exited, log lines are lost but the proxy goes on. */
+START_TEST(a_closed_pipe_is_not_fatal)
 {
 	unsigned i;
 
@@ -205,7 +205,7 @@
 	start(NULL);
 	close(fds[0]);
 	for (i = 0; i < 10000; i++) {
-		put(LOG_FAILURE, "refused for want of a server");
+		put(LOG_FAILURE, "refused for lack of a server");
 		log_sink_flush();
 	}
 	fds[0] = open("/dev/null", O_RDONLY | O_CLOEXEC);
@@ -217,10 +217,10 @@
 {
 	TCase *tests = tcase_create("log");
 
-	tcase_add_test(tests, lines_are_json_whatever_they_hold);
-	tcase_add_test(tests, failures_and_states_go_before_what_went_well);
-	tcase_add_test(tests, what_was_dropped_is_told);
-	tcase_add_test(tests, a_full_pipe_blocks_nobody);
-	tcase_add_test(tests, a_closed_pipe_ends_nothing);
+	tcase_add_test(tests, lines_are_valid_json_for_any_bytes);
+	tcase_add_test(tests, routine_lines_are_dropped_first);
+	tcase_add_test(tests, dropped_lines_are_reported);
+	tcase_add_test(tests, a_full_pipe_does_not_block);
+	tcase_add_test(tests, a_closed_pipe_is_not_fatal);
 	return suite_main("log", tests);
 }
