--- a/packages/base/include/celeryquay/base/clock.h
+++ b/packages/base/include/celeryquay/base/clock.h
@@ -3,7 +3,9 @@
 
 #include <stdint.h>
 
-/* Microseconds since the VM started, the time that it was suspended included.
+/*
+ * Microseconds since the VM booted, including the time during which it was
+ * suspended.
  */
 uint64_t clock_boot_us(void);
 
--- a/packages/base/include/celeryquay/base/counter.h
+++ b/packages/base/include/celeryquay/base/counter.h
@@ -2,8 +2,8 @@
 #define CELERYQUAY_BASE_COUNTER_H
 
 /*
- * The product's own metrics: counters, gauges and fixed-bucket histograms,
- * kept in one table and written as Prometheus text. All on one thread.
+ * Metrics of the process: counters, gauges and fixed-bucket histograms, kept in
+ * one table and written as Prometheus text. All of it runs on one thread.
  */
 
 #include <glib.h>
@@ -18,8 +18,9 @@
 void counter_set_destroy(struct counter_set *set);
 
 /*
- * labels: a Prometheus label list without braces, such as role="replica", or
- * NULL. A counter that exists already under name and labels is returned.
+ * Returns the metric with this name and these labels, and creates it if there
+ * is none. labels: a Prometheus label list without braces, such as
+ * role="replica", or NULL for no labels.
  */
 struct counter *counter_get(struct counter_set *set, enum counter_kind kind,
 			    const char *name, const char *labels,
--- a/packages/base/include/celeryquay/base/err.h
+++ b/packages/base/include/celeryquay/base/err.h
@@ -2,13 +2,13 @@
 #define CELERYQUAY_BASE_ERR_H
 
 /*
- * Numbered result codes and the error struct that is passed down to the code
- * that may fail. docs/errors.md is checked against ERR_LIST by a test.
+ * Numbered error codes, and the error struct which a function that can fail
+ * fills in. A test checks docs/errors.md against ERR_LIST.
  */
 
 #include <stdbool.h>
 
-/* What a caller may believe about its request after an error. */
+/* What an error tells the caller about the effect of its request. */
 enum err_outcome {
 	ERR_OUTCOME_NOT_RUN,
 	ERR_OUTCOME_ROLLED_BACK,
@@ -16,10 +16,10 @@
 };
 
 /*
- * X(name, number, HTTP status, outcome, meaning). 10xx: the request is bad;
- * 11xx: no right to it; 12xx: limits and time; 13xx: upstreams; 14xx: writes
- * and transactions; 15xx: settings and configuration; 16xx: the store;
- * 17xx: peers; 19xx: internal.
+ * X(name, number, HTTP status, outcome, meaning). Number ranges: 10xx invalid
+ * requests; 11xx authentication and authorization; 12xx limits and deadlines;
+ * 13xx upstreams; 14xx writes and transactions; 15xx settings, configuration
+ * and logs; 16xx the store; 17xx peers; 19xx internal errors.
  */
 #define ERR_LIST(X)                                                             \
 	X(BAD_JSON, 1001, 400, NOT_RUN, "the body is not valid JSON")           \
@@ -109,6 +109,7 @@
 enum err_code { ERR_NONE = 0, ERR_LIST(ERR_ENUM) };
 #undef ERR_ENUM
 
+/* With the NUL; longer messages are truncated. */
 #define ERR_MESSAGE_SIZE 256
 
 struct err {
@@ -116,7 +117,7 @@
 	char message[ERR_MESSAGE_SIZE];
 };
 
-/* One row of the table of codes. */
+/* One row of the table of error codes. */
 struct err_info {
 	enum err_code code;
 	const char *name;
--- a/packages/base/include/celeryquay/base/str.h
+++ b/packages/base/include/celeryquay/base/str.h
@@ -2,8 +2,9 @@
 #define CELERYQUAY_BASE_STR_H
 
 /*
- * Length-counted strings. struct str is a view: it owns nothing and need not
- * end in NUL. GString builds strings, GBytes shares them between owners.
+ * Strings with an explicit length. struct str is a view: it does not own its
+ * bytes and need not end in NUL. GString is used to build strings, GBytes to
+ * share them by reference.
  */
 
 #include <glib.h>
@@ -27,14 +28,14 @@
 int str_cmp(struct str a, struct str b);
 bool str_starts_with(struct str s, struct str prefix);
 char *str_dup(struct str s);
-/* "a<separator>b", with a NUL; the caller frees it. */
+/* Returns "a<separator>b", NUL-terminated; freed with g_free(). */
 char *str_join(struct str a, char separator, struct str b);
-/* Room for any number of 64 bits and a NUL. */
+/* Size of the longest 64-bit number in decimal with its NUL. */
 #define STR_U64_SIZE 21
-/* Writes the number in decimal with a NUL; its length without. */
+/* Writes the number in decimal with a NUL; returns the length without it. */
 size_t str_put_u64(char out[STR_U64_SIZE], uint64_t value);
 bool str_to_u64(struct str s, uint64_t *out);
-/* Splits off what is before the first blank; the blank goes. */
+/* Removes the first word and the space after it from *rest; returns it. */
 struct str str_take_word(struct str *rest);
 void str_append(GString *out, struct str s);
 void str_append_u64(GString *out, uint64_t value);
--- a/packages/base/src/clock.c
+++ b/packages/base/src/clock.c
@@ -6,8 +6,8 @@
 #define NS_PER_US 1000
 
 /*
- * The monotonic clock stands still while a VM is suspended, and a node that
- * woke would rely on what has run out.
+ * CLOCK_MONOTONIC does not advance while a VM is suspended, so a resumed node
+ * would still rely on deadlines that expired during the suspension.
  */
 uint64_t clock_boot_us(void)
 {
--- a/packages/base/src/counter.c
+++ b/packages/base/src/counter.c
@@ -3,7 +3,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Upper bounds in microseconds; the last bucket has none. */
+/* Upper bounds of the buckets in microseconds; the last bucket has none. */
 static const uint64_t bounds_us[] = {
 	100,   250,    500,    1000,   2500,	5000,	 10000,	  25000,
 	50000, 100000, 250000, 500000, 1000000, 2500000, 10000000
@@ -15,14 +15,14 @@
 	char *name;
 	char *labels;
 	char *help;
-	int64_t value;
+	int64_t value; /* histogram: number of observations */
 	uint64_t sum_us;
-	uint64_t buckets[N_BOUNDS + 1];
+	uint64_t buckets[N_BOUNDS + 1]; /* not cumulative */
 };
 
 struct counter_set {
-	GPtrArray *counters; /* struct counter, in order of their creation */
-	GHashTable *by_key; /* name{labels} -> struct counter, borrowed */
+	GPtrArray *counters; /* struct counter, in order of creation */
+	GHashTable *by_key; /* "name{labels}" -> struct counter, not owned */
 };
 
 static void counter_destroy(gpointer data)
@@ -35,7 +35,7 @@
 	g_free(c);
 }
 
-/* An empty table. */
+/* Creates an empty table. */
 struct counter_set *counter_set_create(void)
 {
 	struct counter_set *set = g_new0(struct counter_set, 1);
@@ -56,7 +56,7 @@
 	g_free(set);
 }
 
-/* The counter of that name and labels, made when it isn't there. */
+/* Returns the metric with this name and labels, creating it if needed. */
 struct counter *counter_get(struct counter_set *set, enum counter_kind kind,
 			    const char *name, const char *labels,
 			    const char *help)
@@ -78,7 +78,7 @@
 	return c;
 }
 
-/* Adds n to a count or gauge. */
+/* Adds n to a counter or gauge. */
 void counter_add(struct counter *c, uint64_t n)
 {
 	c->value += (int64_t)n;
@@ -90,7 +90,7 @@
 	c->value = value;
 }
 
-/* Puts one duration, in microseconds, into a histogram. */
+/* Records one duration, in microseconds, in a histogram. */
 void counter_observe_us(struct counter *c, uint64_t us)
 {
 	size_t i = 0;
@@ -102,7 +102,7 @@
 	c->value++;
 }
 
-/* The count, the gauge's value, or how many durations were observed. */
+/* Counter or gauge: its value. Histogram: the number of observations. */
 uint64_t counter_value(const struct counter *c)
 {
 	return (uint64_t)c->value;
@@ -131,7 +131,7 @@
 			       c->labels, sum);
 }
 
-/* Prometheus wants one HELP and TYPE per name, before its first sample. */
+/* Prometheus requires one HELP and TYPE per name, before its first sample. */
 static void write_head(const struct counter *c, GHashTable *seen, GString *out)
 {
 	static const char *const types[] = { "counter", "gauge", "histogram" };
@@ -160,7 +160,7 @@
 	}
 }
 
-/* Appends the table as Prometheus text, one family after the other. */
+/* Appends all metrics as Prometheus text, grouped by name. */
 void counter_write(const struct counter_set *set, GString *out)
 {
 	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
--- a/packages/base/src/err.c
+++ b/packages/base/src/err.c
@@ -14,7 +14,7 @@
 static const struct err_info table[] = { ERR_LIST(ERR_ROW) };
 #undef ERR_ROW
 
-/* Sets code and message; a NULL err is fine for callers that don't ask. */
+/* Sets code and message; err may be NULL if the caller needs no details. */
 void err_set(struct err *err, enum err_code code, const char *fmt, ...)
 {
 	va_list args;
@@ -27,7 +27,7 @@
 	va_end(args);
 }
 
-/* Puts text before the message, to say where the failure happened. */
+/* Prepends text to the message, to say where the failure happened. */
 void err_prefix(struct err *err, const char *fmt, ...)
 {
 	char old[ERR_MESSAGE_SIZE];
@@ -45,7 +45,7 @@
 			 "%s", old);
 }
 
-/* Back to "no error". */
+/* Resets to "no error". */
 void err_clear(struct err *err)
 {
 	if (!err)
@@ -54,7 +54,7 @@
 	err->message[0] = '\0';
 }
 
-/* The row of a code; that of INTERNAL for a number which has none. */
+/* Returns the row of a code; that of INTERNAL for an unknown code. */
 const struct err_info *err_info(enum err_code code)
 {
 	size_t i;
@@ -66,14 +66,14 @@
 	return &table[G_N_ELEMENTS(table) - 1];
 }
 
-/* All rows, in the order of their numbers. */
+/* Returns all rows, in ascending order of their codes. */
 const struct err_info *err_table(unsigned *count)
 {
 	*count = G_N_ELEMENTS(table);
 	return table;
 }
 
-/* The outcome as callers see it in JSON. */
+/* The outcome's name in the JSON of an error answer. */
 const char *err_outcome_name(enum err_outcome outcome)
 {
 	switch (outcome) {
--- a/packages/base/src/str.c
+++ b/packages/base/src/str.c
@@ -2,19 +2,19 @@
 
 #include <string.h>
 
-/* Views a NUL-ended string; NULL gives the empty string. */
+/* A view of a NUL-terminated string; NULL gives the empty string. */
 struct str str_from_c(const char *s)
 {
 	return (struct str){ .data = s ? s : "", .len = s ? strlen(s) : 0 };
 }
 
-/* Views what a GString holds now; void once that changes. */
+/* A view of a GString's text; invalid once the GString changes. */
 struct str str_from_gstring(const GString *s)
 {
 	return (struct str){ .data = s->str, .len = s->len };
 }
 
-/* Views the bytes for as long as the caller holds its reference. */
+/* A view of the bytes; valid while the caller holds its reference. */
 struct str str_from_bytes(GBytes *b)
 {
 	struct str s;
@@ -31,7 +31,7 @@
 	return a.len == b.len && !memcmp(a.data, b.data, a.len);
 }
 
-/* Orders by bytes, a prefix first, as strcmp() would. */
+/* Compares bytewise like strcmp(); a prefix sorts first. */
 int str_cmp(struct str a, struct str b)
 {
 	size_t common = MIN(a.len, b.len);
@@ -48,13 +48,13 @@
 	return s.len >= prefix.len && !memcmp(s.data, prefix.data, prefix.len);
 }
 
-/* Copies to a NUL-ended string of the caller's, freed with g_free(). */
+/* Copies to a new NUL-terminated string, freed with g_free(). */
 char *str_dup(struct str s)
 {
 	return g_strndup(s.data, s.len);
 }
 
-/* Both with a byte between, as a new string with a NUL behind it. */
+/* Joins both with a separator byte, as a new NUL-terminated string. */
 char *str_join(struct str a, char separator, struct str b)
 {
 	char *out = g_malloc(a.len + b.len + 2);
@@ -71,8 +71,9 @@
 }
 
 /*
- * Reads a decimal number without sign or blanks. False, and *out as it was,
- * for the empty string, another byte than a digit, or a value over 64 bits.
+ * Parses a decimal number without sign or spaces. Returns false and leaves *out
+ * unchanged for an empty string, a byte that is not a digit, or a value that
+ * does not fit in 64 bits.
  */
 bool str_to_u64(struct str s, uint64_t *out)
 {
@@ -92,7 +93,7 @@
 	return true;
 }
 
-/* The number in decimal with a NUL; returns its length without. */
+/* Writes the number in decimal with a NUL; returns the length without it. */
 size_t str_put_u64(char out[STR_U64_SIZE], uint64_t value)
 {
 	char digits[STR_U64_SIZE];
@@ -109,20 +110,20 @@
 	return len;
 }
 
-/* Without a blank all of it is the word. */
+/* Without a space the whole rest is the word. */
 struct str str_take_word(struct str *rest)
 {
 	struct str word = *rest;
-	const char *blank = memchr(rest->data, ' ', rest->len);
+	const char *space = memchr(rest->data, ' ', rest->len);
 
-	if (blank)
-		word.len = (size_t)(blank - rest->data);
-	rest->data += word.len + (blank ? 1 : 0);
-	rest->len -= word.len + (blank ? 1 : 0);
+	if (space)
+		word.len = (size_t)(space - rest->data);
+	rest->data += word.len + (space ? 1 : 0);
+	rest->len -= word.len + (space ? 1 : 0);
 	return word;
 }
 
-/* Appends the bytes as they are. */
+/* Appends the bytes unchanged. */
 void str_append(GString *out, struct str s)
 {
 	g_string_append_len(out, s.data, (gssize)s.len);
--- a/packages/client/src/http.c
+++ b/packages/client/src/http.c
@@ -9,7 +9,7 @@
 	CURL *easy;
 };
 
-/* A client with a connection of its own. */
+/* Creates a client with a connection of its own. */
 struct http *http_create(void)
 {
 	struct http *h = g_new0(struct http, 1);
@@ -18,7 +18,7 @@
 	return h;
 }
 
-/* Closes its connection. */
+/* Closes the connection and frees the client. */
 void http_destroy(struct http *h)
 {
 	if (!h)
@@ -70,7 +70,7 @@
 		reply->json = json_node_get_object(root);
 }
 
-/* One call to a port; status 0 when there was no answer. */
+/* Makes one request; status 0 if no complete answer came. */
 void http_call(struct http *h, int port, const char *path,
 	       const struct http_call *call, struct http_reply *reply)
 {
@@ -105,7 +105,7 @@
 	g_free(url);
 }
 
-/* Frees what a reply holds; it may be used again. */
+/* Frees what a reply holds and zeroes it for reuse. */
 void http_reply_clear(struct http_reply *reply)
 {
 	if (reply->body)
@@ -115,7 +115,7 @@
 	*reply = (struct http_reply){ 0 };
 }
 
-/* A string of the JSON reply; "" when it isn't there. */
+/* A string member of the JSON reply; "" if there is none. */
 const char *http_str(const struct http_reply *reply, const char *key)
 {
 	if (!reply->json)
