--- a/bench/bench_admit.c
+++ b/bench/bench_admit.c
@@ -197,7 +197,7 @@
 	struct admit_entry *e;
 	struct job *job;
 
-	while (r->policy == FAIR && (e = admit_expired(r->admit, now_us)))
+	while (r->policy == FAIR && (e = admit_pop_expired(r->admit, now_us)))
 		refuse(r, (struct job *)e);
 	while ((job = pop(r))) {
 		r->running++;
--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -161,7 +161,7 @@
 		return;
 	t->cas_running = true;
 	t->suspect_us = now_of(t);
-	sim_at(rig_sim(t->rig), SIM_WORLD, store_us(t), on_cas, t, NULL);
+	sim_at(rig_sim(t->rig), SIM_NO_NODE, store_us(t), on_cas, t, NULL);
 }
 
 /* The first of each step; of a change that begins anew, the last ones. */
@@ -210,7 +210,7 @@
 		if (c->answers && c->outcome == OUTCOME_DONE)
 			t->written_us = c->answered_us;
 	}
-	sim_at(rig_sim(t->rig), SIM_WORLD, LOOK_US, look, t, NULL);
+	sim_at(rig_sim(t->rig), SIM_NO_NODE, LOOK_US, look, t, NULL);
 }
 
 /* Callers go to a home that lives; some to one that reaches the primary. */
@@ -226,7 +226,8 @@
 	if (t->row->fault == FAULT_ISOLATED ||
 	    t->row->fault == FAULT_CUT_FROM_HOME)
 		rig_write(t->rig, 1, ++t->trip);
-	sim_at(rig_sim(t->rig), SIM_WORLD, WRITE_EVERY_US, write_one, t, NULL);
+	sim_at(rig_sim(t->rig), SIM_NO_NODE, WRITE_EVERY_US, write_one, t,
+	       NULL);
 }
 
 static void block_both(struct trial *t, int a, int b)
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -145,7 +145,8 @@
 	       "\"wire_bytes_per_s\":%.0f,\"core_percent\":%.4f",
 	       (double)c.bytes[FLEET_GOSSIP] / node_s,
 	       (double)c.bytes[FLEET_CONF] / node_s, bytes / node_s,
-	       (double)(c.bytes_most[FLEET_GOSSIP] + c.bytes_most[FLEET_CONF]) /
+	       (double)(c.max_node_bytes[FLEET_GOSSIP] +
+			c.max_node_bytes[FLEET_CONF]) /
 		       s,
 	       messages / node_s, (double)c.links_opened / node_s,
 	       (bytes + messages * MESSAGE_WIRE_BYTES +
@@ -227,22 +228,22 @@
 
 static void case_rest(struct run *r)
 {
-	uint64_t lists = fleet_store_lists(r->store);
+	uint64_t lists = fleet_store_list_count(r->store);
 
 	forget_times(r);
 	fleet_store_run(r->store, REST_S * SEC);
 	print_head(r, "rest", 0);
 	print_costs(r, REST_S * SEC);
 	printf(",\"store_watches\":%u,\"store_lists\":%" G_GUINT64_FORMAT,
-	       fleet_store_watches(r->store),
-	       fleet_store_lists(r->store) - lists);
+	       fleet_store_watch_count(r->store),
+	       fleet_store_list_count(r->store) - lists);
 	print_end();
 }
 
 /* Changes and restarts as often as on a day of the largest fleet. */
 static void case_day(struct run *r)
 {
-	uint64_t lists = fleet_store_lists(r->store);
+	uint64_t lists = fleet_store_list_count(r->store);
 	unsigned second;
 
 	forget_times(r);
@@ -260,8 +261,8 @@
 	print_head(r, "day", 0);
 	print_costs(r, DAY_S * SEC);
 	printf(",\"store_watches\":%u,\"store_lists\":%" G_GUINT64_FORMAT,
-	       fleet_store_watches(r->store),
-	       fleet_store_lists(r->store) - lists);
+	       fleet_store_watch_count(r->store),
+	       fleet_store_list_count(r->store) - lists);
 	print_end();
 	settle(r, 120);
 }
@@ -272,7 +273,7 @@
 	unsigned i, lagging;
 
 	forget_times(r);
-	fleet_loss(r->fleet, loss);
+	fleet_set_loss(r->fleet, loss);
 	for (i = 0; i < CHANGES; i++) {
 		unsigned steps = 0;
 
@@ -285,7 +286,7 @@
 		lag_us = MAX(lag_us, steps * SEC);
 		fleet_store_run(r->store, (CHANGE_GAP_S - steps) * SEC);
 	}
-	fleet_loss(r->fleet, 0);
+	fleet_set_loss(r->fleet, 0);
 	print_head(r, "change", loss);
 	print_times(r);
 	printf(",\"missing\":%u,\"all_know_within_s\":%.0f",
@@ -297,9 +298,9 @@
 static void case_loss(struct run *r, double loss)
 {
 	forget_times(r);
-	fleet_loss(r->fleet, loss);
+	fleet_set_loss(r->fleet, loss);
 	fleet_store_run(r->store, LOSS_S * SEC);
-	fleet_loss(r->fleet, 0);
+	fleet_set_loss(r->fleet, 0);
 	print_head(r, "loss", loss);
 	printf(",\"suspicions_per_node_hour\":%.3f,\"deaths\":%u",
 	       g_hash_table_size(r->suspected) * 3600.0 / LOSS_S / r->n,
@@ -313,7 +314,7 @@
 	unsigned i, victim, down = MIN(CRASHES, r->n / 4);
 
 	forget_times(r);
-	fleet_loss(r->fleet, loss);
+	fleet_set_loss(r->fleet, loss);
 	for (i = 0; i < down; i++) {
 		victim = (r->n / 2 + i * 3) % r->n;
 		r->victim = fleet_name(r->fleet, victim);
@@ -321,7 +322,7 @@
 		fleet_kill(r->fleet, victim);
 		fleet_store_run(r->store, CRASH_GAP_S * SEC);
 	}
-	fleet_loss(r->fleet, 0);
+	fleet_set_loss(r->fleet, 0);
 	print_head(r, "crash", loss);
 	print_times(r);
 	printf(",\"false_deaths\":%u", r->deaths);
@@ -341,14 +342,14 @@
 	forget_times(r);
 	for (i = 0; i < r->n; i++) {
 		if (!strcmp(fleet_region(r->fleet, i), "region-0"))
-			fleet_group(r->fleet, i, 1);
+			fleet_set_partition(r->fleet, i, 1);
 	}
 	fleet_store_run(r->store, CUT_S * SEC);
 	print_head(r, "cut", 0);
 	print_costs(r, CUT_S * SEC);
 	print_end();
 	for (i = 0; i < r->n; i++)
-		fleet_group(r->fleet, i, 0);
+		fleet_set_partition(r->fleet, i, 0);
 	forget_times(r);
 	us = settle(r, HEAL_LIMIT_S);
 	print_head(r, "heal", 0);
--- a/bench/bench_gap.c
+++ b/bench/bench_gap.c
@@ -133,7 +133,7 @@
 /* The only primary when all servers have its term and some of its writes. */
 static int primary_in_step(struct cluster *c)
 {
-	struct standing all[CLUSTER_SERVERS];
+	struct standing all[CLUSTER_SERVERS_PER_DATABASE];
 	int primary = -1;
 	unsigned i;
 
--- a/bench/bench_relay_fleet.c
+++ b/bench/bench_relay_fleet.c
@@ -144,7 +144,7 @@
 			.role = i % SERVERS_A_SERVICE ? ROLE_REPLICA :
 							ROLE_PRIMARY,
 			.slots = 3,
-			.born_ms = 1,
+			.started_at_ms = 1,
 		};
 }
 
--- a/bench/bench_speed.c
+++ b/bench/bench_speed.c
@@ -115,13 +115,13 @@
 	unsigned i;
 
 	b->plain = (struct load_pg){
-		.n_ports = CLUSTER_SERVERS,
+		.n_ports = CLUSTER_SERVERS_PER_DATABASE,
 		.connections = b->c->spec.databases[0].slots,
 		.callers = CALLERS,
 		.n_statements = 1,
 		.sql = { SELECT },
 	};
-	for (i = 0; i < CLUSTER_SERVERS; i++)
+	for (i = 0; i < CLUSTER_SERVERS_PER_DATABASE; i++)
 		b->plain.ports[i] = b->c->servers[i].port;
 	b->transaction = b->plain;
 	b->transaction.n_statements = 4;
--- a/bench/route_flow.c
+++ b/bench/route_flow.c
@@ -97,7 +97,7 @@
 		struct position p = { MODEL_TERM, job->wrote };
 		GList *next = l->next;
 
-		if (fresh_majority_has(r->fresh, p)) {
+		if (fresh_is_durable(r->fresh, p)) {
 			g_queue_delete_link(&r->unconfirmed, l);
 			acknowledge(r, job);
 		}
@@ -205,11 +205,12 @@
 			.running = admit_running(a),
 			.queued = admit_queued(a),
 		};
-		out[i].latency_us = admit_service_us(a, job->entry.profile);
-		out[i].wait_us = admit_predict_us(a, job->entry.caller,
-						  job->entry.profile,
-						  job->entry.caller_share,
-						  now(r));
+		out[i].latency_us =
+			admit_expected_service_us(a, job->entry.profile);
+		out[i].wait_us = admit_predict_wait_us(a, job->entry.caller,
+						       job->entry.profile,
+						       job->entry.caller_share,
+						       now(r));
 	}
 }
 
@@ -229,7 +230,7 @@
 	struct admit *a = r->queues[server];
 	struct admit_entry *e;
 
-	while ((e = admit_expired(a, now(r))))
+	while ((e = admit_pop_expired(a, now(r))))
 		flow_refuse(r, (struct job *)e);
 	while ((e = admit_pop(a, now(r)))) {
 		struct job *job = (struct job *)e;
--- a/packages/base/include/celeryquay/base/log_event.h
+++ b/packages/base/include/celeryquay/base/log_event.h
@@ -30,9 +30,9 @@
 void log_cstr(struct log_line *l, const char *key, const char *value);
 void log_u64(struct log_line *l, const char *key, uint64_t value);
 void log_bool(struct log_line *l, const char *key, bool value);
-void log_list(struct log_line *l, const char *key);
+void log_list_begin(struct log_line *l, const char *key);
 void log_list_end(struct log_line *l);
-void log_object(struct log_line *l, const char *key);
+void log_object_begin(struct log_line *l, const char *key);
 void log_object_end(struct log_line *l);
 
 /* Sets the node name that every line carries; see log_init(). */
@@ -43,8 +43,8 @@
  * Appends the common first fields of a line, for callers that write the rest
  * themselves. Returns false if the budget is used up, as log_event() does.
  */
-bool log_event_head(enum log_class class, GString *out);
+bool log_event_begin_custom(enum log_class class, GString *out);
 /* Appends s as a quoted and escaped JSON string. */
-void log_event_json(GString *out, const char *s, size_t len);
+void log_append_json_string(GString *out, const char *s, size_t len);
 
 #endif
--- a/packages/base/include/celeryquay/base/log_sink.h
+++ b/packages/base/include/celeryquay/base/log_sink.h
@@ -16,7 +16,7 @@
 	LOG_ROUTINE, /* a request that succeeded */
 	LOG_FAILURE, /* one refused, failed or of unknown outcome */
 	LOG_STATE, /* a change of state, or start and stop of the process */
-	LOG_CLASSES,
+	LOG_CLASS_COUNT,
 };
 
 struct log_budget {
@@ -34,7 +34,7 @@
 /* Adds a line, given without its line feed. */
 void log_sink_put(enum log_class class, const char *line, size_t len);
 /* Takes the drop counts not yet reported; false: nothing to report now. */
-bool log_sink_take_dropped(uint64_t dropped[LOG_CLASSES]);
+bool log_sink_take_drop_counts(uint64_t dropped[LOG_CLASS_COUNT]);
 /* Writes as much as the reader accepts without blocking. */
 void log_sink_flush(void);
 /* Flushes if urgent lines are buffered or the flush interval has passed. */
--- a/packages/base/include/celeryquay/base/settings.h
+++ b/packages/base/include/celeryquay/base/settings.h
@@ -4,8 +4,8 @@
 /*
  * Validating reader of JSON objects: settings files and configuration items.
  * Every error names the source (a file or an item), the key and the reason. A
- * reader records the keys that were requested, so that settings_done() can
- * reject unknown ones.
+ * reader records the keys that were requested, so that
+ * settings_reject_unknown() can reject unknown ones.
  */
 
 #include <celeryquay/base/err.h>
@@ -29,10 +29,10 @@
 struct settings *settings_list_child(struct settings *s, const char *key,
 				     unsigned index, struct err *err);
 /* Calls `handle` with each object of the list, which may be absent. */
-bool settings_each(struct settings *s, const char *key,
-		   bool (*handle)(void *ctx, struct settings *item,
-				  struct err *err),
-		   void *ctx, struct err *err);
+bool settings_for_each(struct settings *s, const char *key,
+		       bool (*handle)(void *ctx, struct settings *item,
+				      struct err *err),
+		       void *ctx, struct err *err);
 void settings_destroy(struct settings *s);
 
 bool settings_has(struct settings *s, const char *key);
@@ -41,11 +41,11 @@
 bool settings_int(struct settings *s, const char *key, int64_t min, int64_t max,
 		  int64_t fallback, int64_t *out, struct err *err);
 /* A number from 0 to a million; a fraction is truncated. */
-bool settings_amount(struct settings *s, const char *key, unsigned fallback,
-		     unsigned *out, struct err *err);
+bool settings_uint_truncated(struct settings *s, const char *key,
+			     unsigned fallback, unsigned *out, struct err *err);
 /* A number from 0 to 1e9 that may have a fraction; required. */
-bool settings_rate(struct settings *s, const char *key, double *out,
-		   struct err *err);
+bool settings_nonnegative_double(struct settings *s, const char *key,
+				 double *out, struct err *err);
 /* A whole number from 0 to a million. */
 bool settings_count(struct settings *s, const char *key, int64_t fallback,
 		    unsigned *out, struct err *err);
@@ -58,7 +58,7 @@
 		       struct err *err);
 bool settings_fail(struct settings *s, const char *key, struct err *err,
 		   const char *fmt, ...) __attribute__((format(printf, 4, 5)));
-bool settings_done(struct settings *s, struct err *err);
+bool settings_reject_unknown(struct settings *s, struct err *err);
 
 /* Passed as `fallback`: the key is required. */
 #define SETTINGS_REQUIRED_INT INT64_MIN
--- a/packages/base/include/celeryquay/base/str.h
+++ b/packages/base/include/celeryquay/base/str.h
@@ -36,7 +36,7 @@
 size_t str_put_u64(char out[STR_U64_SIZE], uint64_t value);
 bool str_to_u64(struct str s, uint64_t *out);
 /* Removes the first word and the space after it from *rest; returns it. */
-struct str str_take_word(struct str *rest);
+struct str str_split_first_word(struct str *rest);
 void str_append(GString *out, struct str s);
 void str_append_u64(GString *out, uint64_t value);
 
--- a/packages/base/src/log.c
+++ b/packages/base/src/log.c
@@ -32,9 +32,9 @@
 static void append_pair(GString *out, const char *key, const char *value)
 {
 	g_string_append_c(out, ',');
-	log_event_json(out, key, strlen(key));
+	log_append_json_string(out, key, strlen(key));
 	g_string_append_c(out, ':');
-	log_event_json(out, value, strlen(value));
+	log_append_json_string(out, value, strlen(value));
 }
 
 static const GLogField *find_field(const GLogField *fields, gsize n,
@@ -57,7 +57,7 @@
 		return;
 	len = f->length < 0 ? strlen(f->value) : (size_t)f->length;
 	g_string_append_printf(out, ",\"%s\":", name);
-	log_event_json(out, f->value, len);
+	log_append_json_string(out, f->value, len);
 }
 
 static const char *level_name(GLogLevelFlags level)
@@ -80,7 +80,7 @@
 	GString *line = empty_line();
 
 	(void)data;
-	if (!log_event_head(LOG_STATE, line))
+	if (!log_event_begin_custom(LOG_STATE, line))
 		return G_LOG_WRITER_HANDLED;
 	append_pair(line, "level", level_name(level));
 	if (!module)
@@ -171,7 +171,7 @@
 	const char *key;
 	va_list args;
 
-	if (!state.decisions || !log_event_head(LOG_ROUTINE, line))
+	if (!state.decisions || !log_event_begin_custom(LOG_ROUTINE, line))
 		return;
 	append_pair(line, "level", "info");
 	append_pair(line, "decision", kind);
--- a/packages/base/src/log_event.c
+++ b/packages/base/src/log_event.c
@@ -99,7 +99,7 @@
 }
 
 /* Appends s as a quoted and escaped JSON string. */
-void log_event_json(GString *out, const char *s, size_t len)
+void log_append_json_string(GString *out, const char *s, size_t len)
 {
 	end_write(out, put_json(begin_write(out, JSON_SIZE(len)), s, len));
 }
@@ -142,7 +142,7 @@
 	g_string_append(out, "Z\",\"steady_ms\":");
 	str_append_u64(out, clock_us() / 1000);
 	g_string_append(out, ",\"node\":");
-	log_event_json(out, node_name, strlen(node_name));
+	log_append_json_string(out, node_name, strlen(node_name));
 }
 
 /* Writes comma and key; keys are plain identifiers and need no escape. */
@@ -179,9 +179,9 @@
 
 static void report_dropped(void)
 {
-	uint64_t dropped[LOG_CLASSES];
+	uint64_t dropped[LOG_CLASS_COUNT];
 
-	if (!log_sink_take_dropped(dropped))
+	if (!log_sink_take_drop_counts(dropped))
 		return;
 	start_line(LOG_STATE, "log-dropped");
 	log_u64(&line, "routine", dropped[LOG_ROUTINE]);
@@ -208,7 +208,7 @@
 }
 
 /* Appends the common first fields; returns false if the budget is used up. */
-bool log_event_head(enum log_class class, GString *out)
+bool log_event_begin_custom(enum log_class class, GString *out)
 {
 	if (!has_room(class))
 		return false;
@@ -276,7 +276,7 @@
 }
 
 /* Starts a list; its elements have no keys. */
-void log_list(struct log_line *l, const char *key)
+void log_list_begin(struct log_line *l, const char *key)
 {
 	begin_nested(l, key, "[");
 }
@@ -288,7 +288,7 @@
 }
 
 /* Starts an object. */
-void log_object(struct log_line *l, const char *key)
+void log_object_begin(struct log_line *l, const char *key)
 {
 	begin_nested(l, key, "{");
 }
--- a/packages/base/src/log_sink.c
+++ b/packages/base/src/log_sink.c
@@ -39,7 +39,7 @@
 	uint64_t window_start_us; /* start of the current budget window */
 	uint64_t lines; /* accepted in the current window */
 	uint64_t bytes; /* accepted in the current window */
-	uint64_t dropped[LOG_CLASSES]; /* not reported yet */
+	uint64_t dropped[LOG_CLASS_COUNT]; /* not reported yet */
 	bool drop_report_due; /* may be reported; set once per window */
 	uint64_t dropped_total;
 } sink = { .fd = -1 };
@@ -151,7 +151,7 @@
 
 static bool is_accepted(enum log_class class)
 {
-	static const uint64_t percent[LOG_CLASSES] = {
+	static const uint64_t percent[LOG_CLASS_COUNT] = {
 		[LOG_ROUTINE] = ROUTINE_PERCENT,
 		[LOG_FAILURE] = FAILURE_PERCENT,
 		[LOG_STATE] = 100,
@@ -192,7 +192,7 @@
  * False if there are none, if this window's counts were taken already, or if
  * the buffer is over half full because the reader is slow.
  */
-bool log_sink_take_dropped(uint64_t dropped[LOG_CLASSES])
+bool log_sink_take_drop_counts(uint64_t dropped[LOG_CLASS_COUNT])
 {
 	if (!sink.drop_report_due || buffer()->len > BUFFER_MAX_BYTES / 2)
 		return false;
--- a/packages/base/src/settings.c
+++ b/packages/base/src/settings.c
@@ -79,7 +79,8 @@
 	return settings_from_data_paced(source, data, len, NULL, err);
 }
 
-/* The same with pauses, also while settings_each() reads from the object. */
+/* The same with pauses, also while settings_for_each() reads from the object.
+ */
 struct settings *settings_from_data_paced(const char *source, const char *data,
 					  size_t len, struct pace *pace,
 					  struct err *err)
@@ -297,8 +298,8 @@
 }
 
 /* Takes fractions: platforms write bandwidths, say, as 200 or as 200.0. */
-bool settings_amount(struct settings *s, const char *key, unsigned fallback,
-		     unsigned *out, struct err *err)
+bool settings_uint_truncated(struct settings *s, const char *key,
+			     unsigned fallback, unsigned *out, struct err *err)
 {
 	JsonNode *node = lookup(s, key);
 	double value;
@@ -318,8 +319,8 @@
 }
 
 /* Such as a rate per second, which may be 0 or less than one. */
-bool settings_rate(struct settings *s, const char *key, double *out,
-		   struct err *err)
+bool settings_nonnegative_double(struct settings *s, const char *key,
+				 double *out, struct err *err)
 {
 	JsonNode *node = lookup(s, key);
 
@@ -347,10 +348,10 @@
 }
 
 /* Stops at the first item for which the callback returns false. */
-bool settings_each(struct settings *s, const char *key,
-		   bool (*handle)(void *ctx, struct settings *item,
-				  struct err *err),
-		   void *ctx, struct err *err)
+bool settings_for_each(struct settings *s, const char *key,
+		       bool (*handle)(void *ctx, struct settings *item,
+				      struct err *err),
+		       void *ctx, struct err *err)
 {
 	unsigned i, n = settings_list_length(s, key);
 	JsonNode *node = lookup(s, key);
@@ -415,7 +416,7 @@
 }
 
 /* Rejects keys that were never requested, so that a typo is not ignored. */
-bool settings_done(struct settings *s, struct err *err)
+bool settings_reject_unknown(struct settings *s, struct err *err)
 {
 	GList *keys = json_object_get_members(s->object);
 	bool ok = true;
--- a/packages/base/src/str.c
+++ b/packages/base/src/str.c
@@ -111,7 +111,7 @@
 }
 
 /* Without a space the whole rest is the word. */
-struct str str_take_word(struct str *rest)
+struct str str_split_first_word(struct str *rest)
 {
 	struct str word = *rest;
 	const char *space = memchr(rest->data, ' ', rest->len);
--- a/packages/base/tests/test_base.c
+++ b/packages/base/tests/test_base.c
@@ -112,7 +112,7 @@
 	ck_assert(!settings_int(s, "port", 0, 65535, 0, &port, &err));
 	ck_assert_str_eq(err.message,
 			 "file.json: port: expected a whole number");
-	ck_assert(!settings_done(s, &err));
+	ck_assert(!settings_reject_unknown(s, &err));
 	ck_assert_str_eq(err.message, "file.json: prot: unknown key");
 	settings_destroy(s);
 }
@@ -143,15 +143,15 @@
 		read_json("{\"a\":200,\"b\":10.9,\"c\":-1,\"d\":\"1\"}", &err);
 	unsigned n;
 
-	ck_assert(settings_amount(s, "a", 0, &n, &err));
+	ck_assert(settings_uint_truncated(s, "a", 0, &n, &err));
 	ck_assert_uint_eq(n, 200);
-	ck_assert(settings_amount(s, "b", 0, &n, &err));
+	ck_assert(settings_uint_truncated(s, "b", 0, &n, &err));
 	ck_assert_uint_eq(n, 10);
-	ck_assert(settings_amount(s, "absent", 7, &n, &err));
+	ck_assert(settings_uint_truncated(s, "absent", 7, &n, &err));
 	ck_assert_uint_eq(n, 7);
-	ck_assert(!settings_amount(s, "c", 0, &n, &err));
+	ck_assert(!settings_uint_truncated(s, "c", 0, &n, &err));
 	ck_assert(strstr(err.message, "c: -1 is not from 0 to"));
-	ck_assert(!settings_amount(s, "d", 0, &n, &err));
+	ck_assert(!settings_uint_truncated(s, "d", 0, &n, &err));
 	ck_assert_str_eq(err.message, "file.json: d: expected a number");
 	settings_destroy(s);
 }
--- a/packages/base/tests/test_log.c
+++ b/packages/base/tests/test_log.c
@@ -80,13 +80,13 @@
 	ck_assert_ptr_nonnull(l);
 	log_str(l, "text", (struct str){ odd, sizeof(odd) - 2 });
 	log_u64(l, "number", UINT64_MAX / 2);
-	log_list(l, "list");
-	log_object(l, NULL);
+	log_list_begin(l, "list");
+	log_object_begin(l, NULL);
 	log_bool(l, "yes", true);
 	log_object_end(l);
 	log_cstr(l, NULL, NULL);
 	log_list_end(l);
-	log_object(l, "empty");
+	log_object_begin(l, "empty");
 	log_object_end(l);
 	log_event_end(l);
 	log_sink_flush();
@@ -116,7 +116,7 @@
 START_TEST(routine_lines_are_dropped_first)
 {
 	static const struct log_budget budget = { 100, 1000000 };
-	unsigned i, kept[LOG_CLASSES] = { 0 };
+	unsigned i, kept[LOG_CLASS_COUNT] = { 0 };
 	char *text;
 
 	start(&budget);
--- a/packages/core/include/celeryquay/core/admit.h
+++ b/packages/core/include/celeryquay/core/admit.h
@@ -45,18 +45,19 @@
 /* Removes a queued entry (caller gone, routed elsewhere). */
 void admit_remove(struct admit *a, struct admit_entry *e);
 /* Removes an entry whose deadline can't be met any more; NULL: none. */
-struct admit_entry *admit_expired(struct admit *a, uint64_t now_us);
+struct admit_entry *admit_pop_expired(struct admit *a, uint64_t now_us);
 /* Frees a popped entry's slot; its service time updates the estimate. */
 void admit_done(struct admit *a, struct admit_entry *e, uint64_t service_us);
 unsigned admit_queued(const struct admit *a);
 unsigned admit_running(const struct admit *a);
 /* The expected time to run all queued requests; 0 when none is queued. */
-uint64_t admit_wait_us(const struct admit *a);
+uint64_t admit_backlog_us(const struct admit *a);
 /* The expected service time of a profile's request. */
-uint64_t admit_service_us(const struct admit *a, const struct profile *profile);
+uint64_t admit_expected_service_us(const struct admit *a,
+				   const struct profile *profile);
 /* How long a request of this caller and profile would wait if pushed now. */
-uint64_t admit_predict_us(const struct admit *a, struct str caller,
-			  const struct profile *profile, unsigned caller_share,
-			  uint64_t now_us);
+uint64_t admit_predict_wait_us(const struct admit *a, struct str caller,
+			       const struct profile *profile,
+			       unsigned caller_share, uint64_t now_us);
 
 #endif
--- a/packages/core/include/celeryquay/core/fresh.h
+++ b/packages/core/include/celeryquay/core/fresh.h
@@ -46,14 +46,14 @@
 bool fresh_has_applied(const struct fresh *f, unsigned server,
 		       struct position p);
 /* Whether p was lost: the log of the current term went on without it. */
-bool fresh_lost(const struct fresh *f, struct position p);
+bool fresh_is_lost(const struct fresh *f, struct position p);
 /*
  * The time until which a majority is known to have granted no term above the
  * current one, 0: never.
  */
-uint64_t fresh_confirmed_us(const struct fresh *f);
+uint64_t fresh_confirmed_until_us(const struct fresh *f);
 /* Whether a majority has p in a way that survives every promotion. */
-bool fresh_majority_has(const struct fresh *f, struct position p);
+bool fresh_is_durable(const struct fresh *f, struct position p);
 /*
  * Estimated time until the server has applied p and everything acknowledged
  * before since_us; UINT64_MAX: not known.
--- a/packages/core/include/celeryquay/core/homes.h
+++ b/packages/core/include/celeryquay/core/homes.h
@@ -32,6 +32,6 @@
  * are its homes.
  */
 uint64_t homes_seed(const struct database_conf *db);
-uint64_t homes_draw(uint64_t seed, const char *name);
+uint64_t homes_score(uint64_t seed, const char *name);
 
 #endif
--- a/packages/core/include/celeryquay/core/member.h
+++ b/packages/core/include/celeryquay/core/member.h
@@ -62,7 +62,7 @@
 	 */
 	uint64_t suspect_timeout_us;
 	/* Members that are dead or have left are removed after this time. */
-	uint64_t forget_dead_us;
+	uint64_t dead_retention_us;
 	/* Between pings to a dead member; twice that between pings to seeds. */
 	uint64_t dead_probe_interval_us;
 	/* Between rounds of gossip messages while changes are queued. */
@@ -85,8 +85,8 @@
 			       GRand *rng, uint64_t now_us);
 void members_destroy(struct members *m);
 /* Adds a seed's address, from the settings or the platform's list. */
-void members_seed(struct members *m, const char *host, uint16_t peer_port,
-		  uint64_t now_us);
+void members_add_seed(struct members *m, const char *host, uint16_t peer_port,
+		      uint64_t now_us);
 void members_tick(struct members *m, uint64_t now_us);
 /*
  * Handles a gossip message from an authenticated peer. Fails with BAD_MESSAGE
@@ -99,14 +99,14 @@
 /* Announces that this node is leaving, so that it is given no new work. */
 void members_leave(struct members *m, uint64_t now_us);
 /* Announces to a few members that the process exits; call it last. */
-void members_left(struct members *m, uint64_t now_us);
+void members_announce_exit(struct members *m, uint64_t now_us);
 /*
  * Whether the table is complete enough to place work by: it was fetched from
  * another member, or there is no seed, or none answered for some seconds.
  */
 bool members_joined(const struct members *m);
 /* Counts the calls of ops->changed and this node's own changes of state. */
-uint64_t members_changes(const struct members *m);
+uint64_t members_change_count(const struct members *m);
 unsigned members_count(const struct members *m);
 /* Ordered by name, this node included. NULL past the end. */
 const struct member_info *members_at(const struct members *m, unsigned i);
--- a/packages/core/include/celeryquay/core/request.h
+++ b/packages/core/include/celeryquay/core/request.h
@@ -73,7 +73,7 @@
 struct request *request_ref(struct request *r);
 void request_unref(struct request *r);
 /* Copies bytes to memory that the request frees. */
-struct str request_keep(struct request *r, const char *data, size_t len);
+struct str request_copy_bytes(struct request *r, const char *data, size_t len);
 
 enum outcome {
 	OUTCOME_DONE,
--- a/packages/core/include/celeryquay/core/retry.h
+++ b/packages/core/include/celeryquay/core/retry.h
@@ -17,7 +17,7 @@
 
 void retry_budget_init(struct retry_budget *b, double tokens_per_first_try,
 		       double max_tokens);
-void retry_budget_first_try(struct retry_budget *b);
+void retry_budget_on_first_try(struct retry_budget *b);
 /* Takes a token for a retry; false: none left, don't retry. */
 bool retry_budget_take(struct retry_budget *b);
 
--- a/packages/core/include/celeryquay/core/route.h
+++ b/packages/core/include/celeryquay/core/route.h
@@ -12,7 +12,7 @@
 #include <celeryquay/core/types.h>
 
 /* Why a server, or none, was chosen. */
-enum route_why {
+enum route_reason {
 	ROUTE_PRIMARY_WRITE,
 	ROUTE_REPLICA_FRESH,
 	ROUTE_PRIMARY_ONLY_FRESH, /* no replica may serve the read */
@@ -33,7 +33,8 @@
 	ROUTE_SKIP_BEHIND_SESSION, /* lacks what the session has seen */
 	ROUTE_SKIP_TOO_OLD, /* its data may exceed the maximum age */
 	ROUTE_SKIP_SLOWER, /* a replica that may serve, but was not preferred */
-	PASS_ROLE, /* its role: a replica for a write, a primary for a read */
+	ROUTE_SKIP_ROLE, /* its role: a replica for a write, a primary for a
+			    read */
 };
 
 struct route_server {
@@ -45,8 +46,8 @@
 	unsigned queued; /* requests waiting for a slot */
 	uint64_t latency_us; /* smoothed service time of a statement */
 	/*
-	 * Predicted wait of this request for a slot, from admit_predict_us();
-	 * 0: estimated from the load.
+	 * Predicted wait of this request for a slot, from
+	 * admit_predict_wait_us(); 0: estimated from the load.
 	 */
 	uint64_t wait_us;
 };
@@ -60,7 +61,7 @@
 
 struct route_choice {
 	int server; /* index in fresh, -1: none now */
-	enum route_why why;
+	enum route_reason why;
 	uint64_t wait_us; /* with ROUTE_WAIT_*: route again after this time */
 	uint64_t age_us; /* upper bound of the data's age at the choice */
 	enum route_skip passed[FRESH_MAX_SERVERS]; /* reason by server */
@@ -74,7 +75,7 @@
 		     const struct route_server *servers, unsigned n_servers,
 		     const struct route_request *req, unsigned server,
 		     uint64_t now_us);
-const char *route_why_name(enum route_why why);
-char route_pass_letter(enum route_skip pass);
+const char *route_reason_name(enum route_reason why);
+char route_skip_letter(enum route_skip pass);
 
 #endif
--- a/packages/core/include/celeryquay/core/session.h
+++ b/packages/core/include/celeryquay/core/session.h
@@ -13,7 +13,7 @@
 /* Databases in a session; one more drops the one not seen for longest. */
 #define SESSION_MAX_DATABASES 16
 /* Length limit of a token's text form, in bytes. */
-#define SESSION_MAX_TEXT 2048
+#define SESSION_MAX_TEXT_LEN 2048
 
 struct session_entry {
 	char database[96]; /* service/database */
--- a/packages/core/include/celeryquay/core/types.h
+++ b/packages/core/include/celeryquay/core/types.h
@@ -29,7 +29,7 @@
 /*
  * The terms of a log, oldest first. Of a log with more terms than fit, the
  * newest are kept; a position before the first kept entry counts as part of
- * the history if its term is older, see history_has().
+ * the history if its term is older, see history_contains().
  */
 struct history {
 	unsigned count;
@@ -57,7 +57,7 @@
 };
 
 /* Whether a log with this history contains the position. */
-bool history_has(const struct history *h, struct position p);
+bool history_contains(const struct history *h, struct position p);
 /* The term of the entry at an index; 0 if it precedes the kept history. */
 uint64_t history_term_at(const struct history *h, uint64_t index);
 
--- a/packages/core/include/celeryquay/core/upstream.h
+++ b/packages/core/include/celeryquay/core/upstream.h
@@ -38,7 +38,7 @@
 	unsigned steps_done; /* steps that succeeded before the failed one */
 	GString *results; /* JSON elements of kept steps, comma-separated */
 	unsigned n_kept; /* number of those elements */
-	char **last_row; /* last step's first row, NULL-ended; or NULL */
+	char **last_step_row; /* last step's first row, NULL-ended; or NULL */
 	bool conn_usable; /* false: the connection is closed or must be */
 };
 
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -493,7 +493,7 @@
  * Removes and returns an entry whose deadline can't be met any more; NULL:
  * none. Call it until it returns NULL, so that each is answered at once.
  */
-struct admit_entry *admit_expired(struct admit *a, uint64_t now_us)
+struct admit_entry *admit_pop_expired(struct admit *a, uint64_t now_us)
 {
 	struct admit_entry *e;
 	uint64_t next_at_us;
@@ -550,7 +550,7 @@
 }
 
 /* The expected time to run all queued requests; 0 when none is queued. */
-uint64_t admit_wait_us(const struct admit *a)
+uint64_t admit_backlog_us(const struct admit *a)
 {
 	if (!a->queued && a->running.length < a->slots)
 		return 0;
@@ -561,9 +561,9 @@
  * How long a request of this caller and profile would wait if pushed now, for
  * routing to compare servers. 0 with a free slot and an empty queue.
  */
-uint64_t admit_predict_us(const struct admit *a, struct str caller,
-			  const struct profile *profile, unsigned caller_share,
-			  uint64_t now_us)
+uint64_t admit_predict_wait_us(const struct admit *a, struct str caller,
+			       const struct profile *profile,
+			       unsigned caller_share, uint64_t now_us)
 {
 	const struct admit_flow *flow =
 		g_hash_table_lookup(a->by_caller, &caller);
@@ -574,7 +574,8 @@
 }
 
 /* The expected service time of a profile's request on this server. */
-uint64_t admit_service_us(const struct admit *a, const struct profile *profile)
+uint64_t admit_expected_service_us(const struct admit *a,
+				   const struct profile *profile)
 {
 	static const struct admit_profile_state unknown;
 	const struct admit_profile_state *known =
--- a/packages/core/src/confsync.c
+++ b/packages/core/src/confsync.c
@@ -384,7 +384,7 @@
 
 static void watcher_tick(struct confsync *c)
 {
-	uint64_t changes = members_changes(c->members);
+	uint64_t changes = members_change_count(c->members);
 
 	if (!members_joined(c->members) || changes == c->watcher_generation)
 		return;
--- a/packages/core/src/confsync_internal.h
+++ b/packages/core/src/confsync_internal.h
@@ -149,7 +149,7 @@
 	uint64_t list_seq; /* lists begun so far */
 	bool ready; /* configuration is loaded, see confsync_ready() */
 	bool watcher;
-	/* members_changes() when watcher was computed */
+	/* members_change_count() when watcher was computed */
 	uint64_t watcher_generation;
 	char *fetch_cursor; /* last key of the initial fetch so far */
 	bool fetch_pending; /* a request awaits its answer */
--- a/packages/core/src/conn_pool.c
+++ b/packages/core/src/conn_pool.c
@@ -252,7 +252,7 @@
 }
 
 /* The earliest deadline of all connections. */
-uint64_t conn_pool_next_us(const struct conn_pool *pool)
+uint64_t conn_pool_next_deadline_us(const struct conn_pool *pool)
 {
 	uint64_t next_us = UINT64_MAX;
 	GHashTableIter iter;
@@ -280,7 +280,7 @@
 }
 
 /* Adds a step; sql must stay valid until the run has ended. */
-void conn_step(struct conn *c, struct str sql, bool keep_rows)
+void conn_add_step(struct conn *c, struct str sql, bool keep_rows)
 {
 	struct upstream_step step = { .sql = sql, .keep_rows = keep_rows };
 
@@ -291,7 +291,7 @@
  * Adds a caller's statement as a step whose rows are kept. The statement must
  * stay valid until the run has ended.
  */
-void conn_statement(struct conn *c, const struct statement *statement)
+void conn_add_statement(struct conn *c, const struct statement *statement)
 {
 	struct upstream_step step = {
 		.sql = statement->sql,
@@ -319,7 +319,7 @@
 }
 
 /* A text parameter of the step that was added last. */
-void conn_param_text(struct conn *c, struct str text)
+void conn_add_text_param(struct conn *c, struct str text)
 {
 	struct value value = { .type = VALUE_TEXT };
 
@@ -330,7 +330,7 @@
 }
 
 /* An integer parameter of the step that was added last. */
-void conn_param_int(struct conn *c, int64_t i)
+void conn_add_int_param(struct conn *c, int64_t i)
 {
 	struct value value = { .type = VALUE_INT };
 
--- a/packages/core/src/conn_pool.h
+++ b/packages/core/src/conn_pool.h
@@ -16,7 +16,7 @@
 
 enum conn_role {
 	CONN_PROBE, /* status probes and the calls of failover */
-	CONN_NEWS, /* long poll for changed positions */
+	CONN_LONG_POLL, /* long poll for changed positions */
 	CONN_WORK, /* callers' statements and the group's own runs */
 	CONN_ROLES,
 };
@@ -93,16 +93,16 @@
 /* Closes the connections past their deadlines and notifies their users. */
 void conn_pool_expire(struct conn_pool *pool, uint64_t now_us);
 /* The next deadline, UINT64_MAX for none. */
-uint64_t conn_pool_next_us(const struct conn_pool *pool);
+uint64_t conn_pool_next_deadline_us(const struct conn_pool *pool);
 unsigned conn_pool_count(const struct conn_pool *pool);
 
 /* To build a run: begin, add steps, send. */
 void conn_begin(struct conn *c);
-void conn_step(struct conn *c, struct str sql, bool keep_rows);
-void conn_statement(struct conn *c, const struct statement *statement);
+void conn_add_step(struct conn *c, struct str sql, bool keep_rows);
+void conn_add_statement(struct conn *c, const struct statement *statement);
 /* Add a parameter to the step that was added last; text is copied. */
-void conn_param_text(struct conn *c, struct str text);
-void conn_param_int(struct conn *c, int64_t i);
+void conn_add_text_param(struct conn *c, struct str text);
+void conn_add_int_param(struct conn *c, int64_t i);
 void conn_send(struct conn *c, uint64_t max_bytes, uint64_t timeout_us,
 	       conn_done_fn done, void *user, uint64_t now_us);
 /* Closes at once; a run in flight ends without its done function. */
--- a/packages/core/src/fresh.c
+++ b/packages/core/src/fresh.c
@@ -30,7 +30,7 @@
 	unsigned n_servers;
 	struct fresh_server *servers;
 	uint64_t term; /* highest term that had a primary, as far as seen */
-	uint64_t confirmed_until_us; /* see fresh_confirmed_us() */
+	uint64_t confirmed_until_us; /* see fresh_confirmed_until_us() */
 	struct fresh_samples samples; /* positions of that term's primary */
 };
 
@@ -132,7 +132,7 @@
 /*
  * What a log held before its server granted a higher term is seen by every
  * later promotion. What it holds after the grant may come from a later primary
- * and proves nothing, see fresh_majority_has().
+ * and proves nothing, see fresh_is_durable().
  */
 static void note_proof(struct fresh_server *sv, const struct server_status *s)
 {
@@ -212,7 +212,7 @@
 	struct fresh_server *sv = &f->servers[server];
 	struct server_status *s = &sv->status;
 
-	if (!sv->known || !p.term || !history_has(&s->history, p))
+	if (!sv->known || !p.term || !history_contains(&s->history, p))
 		return;
 	if (s->role == ROLE_PRIMARY && p.term == s->term) {
 		s->received = MAX(s->received, p.index);
@@ -281,7 +281,7 @@
 {
 	const struct fresh_server *sv = &f->servers[server];
 
-	if (!sv->known || !history_has(&sv->status.history, p))
+	if (!sv->known || !history_contains(&sv->status.history, p))
 		return false;
 	if (sv->status.role == ROLE_PRIMARY && p.term == sv->status.term)
 		return true;
@@ -328,7 +328,7 @@
 }
 
 /* The time until which a majority had granted no term above the current one. */
-uint64_t fresh_confirmed_us(const struct fresh *f)
+uint64_t fresh_confirmed_until_us(const struct fresh *f)
 {
 	return f->confirmed_until_us;
 }
@@ -348,7 +348,7 @@
 		return false;
 	if (p.term != term && last_term(&s->history) != term)
 		return false;
-	return s->received >= p.index && history_has(&s->history, p);
+	return s->received >= p.index && history_contains(&s->history, p);
 }
 
 /*
@@ -359,7 +359,7 @@
  * primary copied to a majority is still lost if a server is promoted whose log
  * lacks it and ends in a term between the two.
  */
-bool fresh_majority_has(const struct fresh *f, struct position p)
+bool fresh_is_durable(const struct fresh *f, struct position p)
 {
 	unsigned i, k;
 
@@ -382,7 +382,7 @@
  * current term does not contain it, and that term's first entry survives every
  * promotion.
  */
-bool fresh_lost(const struct fresh *f, struct position p)
+bool fresh_is_lost(const struct fresh *f, struct position p)
 {
 	unsigned i;
 
@@ -395,7 +395,7 @@
 		if (!f->servers[i].known || last_term(h) != f->term)
 			continue;
 		first.index = h->entries[h->count - 1].start;
-		return !history_has(h, p) && fresh_majority_has(f, first);
+		return !history_contains(h, p) && fresh_is_durable(f, first);
 	}
 	return false;
 }
--- a/packages/core/src/group.c
+++ b/packages/core/src/group.c
@@ -28,7 +28,7 @@
 }
 
 /* The safety checks, for tests that switch single ones off. */
-struct group_guards *group_guards_of(struct group *g)
+struct group_guards *group_test_guards(struct group *g)
 {
 	return &g->guards;
 }
@@ -260,7 +260,7 @@
 		run->sent_before = true;
 	if (run->type != &write_type)
 		return;
-	run->key_entered = true;
+	run->running_key_added = true;
 	if (running_key_add(run->group, run->key))
 		run->sent_before |= run->group->guards.settle_resends;
 }
@@ -275,7 +275,7 @@
 				     answer, user, now_us);
 
 	set_key(run);
-	retry_budget_first_try(&g->retries);
+	retry_budget_on_first_try(&g->retries);
 	if (refuse_early(run))
 		return;
 	if (type == &settle_type)
@@ -340,9 +340,10 @@
 {
 	struct server *s = group_primary(g);
 
-	if (!g->rank && s && server_up(s, now_us) && probe_majority_known(g) &&
-	    s->outcome_term != fresh_term(g->fresh))
-		server_prepare(s, now_us);
+	if (!g->rank && s && server_is_up(s, now_us) &&
+	    probe_majority_known(g) &&
+	    s->outcome_table_term != fresh_term(g->fresh))
+		server_ensure_outcome_table(s, now_us);
 }
 
 /* Runs all processing steps, ordered so that each uses the previous results. */
@@ -388,7 +389,7 @@
 		const struct run *run = l->data;
 
 		next_us = MIN(next_us, run->deadline_us);
-		next_us = MIN(next_us, run->look_again_us);
+		next_us = MIN(next_us, run->next_try_at_us);
 	}
 	return next_us;
 }
@@ -402,9 +403,9 @@
 	const struct server *primary = group_primary((struct group *)g);
 	uint64_t next_us = failover_next_tick_us(g->failover);
 
-	next_us = MIN(next_us, g->clean_after_us);
+	next_us = MIN(next_us, g->next_clean_at_us);
 	if (primary && !primary->preparing &&
-	    primary->outcome_term != fresh_term(g->fresh))
+	    primary->outcome_table_term != fresh_term(g->fresh))
 		next_us = MIN(next_us, primary->prepare_retry_at_us);
 	return next_us;
 }
@@ -422,7 +423,7 @@
 
 	if (g->again)
 		return 0;
-	next_us = MIN(next_us, conn_pool_next_us(g->conns));
+	next_us = MIN(next_us, conn_pool_next_deadline_us(g->conns));
 	next_us = MIN(next_us, route_next_us(mutable));
 	next_us = MIN(next_us, txn_next_us(mutable));
 	if (group_is_home(g))
--- a/packages/core/src/group_clean.c
+++ b/packages/core/src/group_clean.c
@@ -20,7 +20,7 @@
 #define CLAIM_STATUS_AGE_MAX_US (60 * USEC_PER_SEC)
 /*
  * Added to a log index to give a row's "at". It is above every time in
- * milliseconds since 1970, see clean_row_at().
+ * milliseconds since 1970, see clean_at_value().
  */
 #define ROW_AT_BASE ((int64_t)1 << 53)
 
@@ -33,10 +33,10 @@
 	bool commit_known;
 
 	g->cleaning = false;
-	g->clean_after_us = now_us + CLEAN_IDLE_INTERVAL_US;
+	g->next_clean_at_us = now_us + CLEAN_IDLE_INTERVAL_US;
 	if (!result->conn_usable)
 		return;
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	commit_known = server_record_commit(c, result);
 	if (commit_known) {
 		g->outcome_index_term = fresh_term(g->fresh);
@@ -47,9 +47,9 @@
 	}
 	g->counts.outcome_rows_removed += removed;
 	if (removed >= g->settings.outcome_removals_per_s)
-		g->clean_after_us = now_us + CLEAN_INTERVAL_US;
+		g->next_clean_at_us = now_us + CLEAN_INTERVAL_US;
 	if (commit_known || result->steps_done < g->clean_commit_step)
-		server_give(c, now_us);
+		server_release_conn(c, now_us);
 	else
 		conn_close(c);
 }
@@ -60,7 +60,7 @@
  * in milliseconds that an older version wrote there. If it is not known, the
  * greatest value, with which the row is never removed.
  */
-int64_t clean_row_at(const struct server *s)
+int64_t clean_at_value(const struct server *s)
 {
 	const struct server_status *st =
 		s->index < 0 ?
@@ -114,7 +114,7 @@
 
 		if (now_us < mark->us + kept_us)
 			break;
-		if (history_has(&st->history, mark->at) &&
+		if (history_contains(&st->history, mark->at) &&
 		    mark->at.index <= st->received)
 			before = ROW_AT_BASE + (int64_t)mark->at.index;
 	}
@@ -144,16 +144,16 @@
 	g->clean_commit_step = 2;
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN, false);
+	conn_add_step(c, SQL_BEGIN, false);
 	if (g->outcome_index_term != fresh_term(g->fresh)) {
-		conn_step(c, SQL_OUTCOME_INDEX, false);
+		conn_add_step(c, SQL_OUTCOME_INDEX, false);
 		g->clean_commit_step++;
 	}
-	conn_step(c, SQL_OUTCOME_REMOVE, true);
-	conn_param_int(c, removable_before(g, s, now_us));
-	conn_param_int(c, (int64_t)g->settings.outcome_removals_per_s);
-	conn_step(c, SQL_COMMIT, false);
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_OUTCOME_REMOVE, true);
+	conn_add_int_param(c, removable_before(g, s, now_us));
+	conn_add_int_param(c, (int64_t)g->settings.outcome_removals_per_s);
+	conn_add_step(c, SQL_COMMIT, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, 0, CLEAN_TIMEOUT_US, on_cleaned, s, now_us);
 }
 
@@ -171,14 +171,15 @@
 		note_mark(g, s, now_us);
 		drop_marks(g, now_us);
 	}
-	if (now_us < g->clean_after_us || g->cleaning)
+	if (now_us < g->next_clean_at_us || g->cleaning)
 		return;
-	g->clean_after_us = now_us + CLEAN_INTERVAL_US;
+	g->next_clean_at_us = now_us + CLEAN_INTERVAL_US;
 	if (g->rank || g->stopping || g->hold_writes || !s ||
 	    !g->settings.outcome_removals_per_s ||
-	    s->outcome_term != fresh_term(g->fresh) || admit_queued(s->admit))
+	    s->outcome_table_term != fresh_term(g->fresh) ||
+	    admit_queued(s->admit))
 		return;
-	c = server_take(s, now_us);
+	c = server_acquire_conn(s, now_us);
 	if (c)
 		start(s, c, now_us);
 }
--- a/packages/core/src/group_conf.c
+++ b/packages/core/src/group_conf.c
@@ -60,7 +60,7 @@
 /* Removes a server: no new requests; connections are closed when idle. */
 static void remove_server(struct server *s, uint64_t now_us)
 {
-	route_leave_server(s, false, now_us);
+	route_drain_queue(s, false, now_us);
 	s->removed = true;
 	s->index = -1;
 	server_close_unused(s);
--- a/packages/core/src/group_confirm.c
+++ b/packages/core/src/group_confirm.c
@@ -9,7 +9,7 @@
 		return true;
 	if (!g->guards.confirm_reads && !run->type->writes)
 		return true;
-	return fresh_majority_has(g->fresh, run->position);
+	return fresh_is_durable(g->fresh, run->position);
 }
 
 /*
@@ -45,7 +45,7 @@
 	if (run->type->writes)
 		settle_begin(run, now_us);
 	else if (run_may_retry(run, now_us))
-		run_requeue(run, 0, now_us);
+		run_reroute(run, 0, now_us);
 	else
 		run_fail(run, ERR_NO_SERVER, 0,
 			 "the server that was read is no longer the primary");
--- a/packages/core/src/group_internal.h
+++ b/packages/core/src/group_internal.h
@@ -19,7 +19,7 @@
  * Added to the caller's limit on result bytes: room for the element that
  * cq_read_position() appends to the results.
  */
-#define POSITION_BYTES 128
+#define POSITION_RESULT_MAX_BYTES 128
 
 /*
  * Safety checks, all on in production. Tests switch single ones off to show
@@ -99,8 +99,8 @@
 	uint64_t open_backoff_us; /* next back-off; 0: the least */
 	uint64_t latency_us; /* smoothed service time of a request */
 
-	uint64_t
-		outcome_term; /* term for which the outcome table was ensured */
+	uint64_t outcome_table_term; /* term for which the outcome table was
+					ensured */
 	bool preparing; /* its creation is in flight */
 	uint64_t prepare_retry_at_us; /* no creation is sent before this */
 };
@@ -148,7 +148,7 @@
 
 	uint64_t arrived_us;
 	uint64_t deadline_us;
-	uint64_t look_again_us; /* time of the next try while it waits */
+	uint64_t next_try_at_us; /* time of the next try while it waits */
 	uint64_t began_us; /* start of the present try; 0: not started */
 	unsigned tries; /* how often it was queued at a server */
 	enum err_code wait_code; /* error if it still waits at the deadline */
@@ -165,7 +165,7 @@
 	struct position floor; /* what the server had applied at its start */
 	bool uncertain; /* its commit, or another try's, may have been sent */
 	bool sent_before; /* another try may have inserted its key or may yet */
-	bool key_entered; /* counted in group->running_keys */
+	bool running_key_added; /* counted in group->running_keys */
 
 	struct answer *reply; /* the answer, sent once confirmed */
 	struct position position; /* a majority must have it to confirm */
@@ -235,7 +235,7 @@
 	uint64_t tracking_started_us; /* when fresh and failover were created */
 	uint64_t lag_since_us; /* when lag_position was noted; 0: no lag */
 	struct position lag_position; /* log end that no majority has yet */
-	uint64_t clean_after_us; /* time of the next outcome removal */
+	uint64_t next_clean_at_us; /* time of the next outcome removal */
 	uint64_t outcome_index_term; /* term for which the index was ensured */
 	GQueue clean_marks; /* struct clean_mark, oldest first */
 	unsigned clean_commit_step; /* steps before COMMIT in the removal */
@@ -243,7 +243,7 @@
 };
 
 /* group.c */
-struct group_guards *group_guards_of(struct group *g);
+struct group_guards *group_test_guards(struct group *g);
 void group_process(struct group *g, uint64_t now_us);
 struct server *group_server(struct group *g, int index);
 struct server *group_primary(struct group *g);
@@ -261,20 +261,20 @@
 struct upstream_target server_target(const struct server *s);
 unsigned server_slots(const struct server *s);
 bool server_may_long_poll(const struct server *s);
-bool server_up(const struct server *s, uint64_t now_us);
-void server_heard(struct server *s, uint64_t started_us, uint64_t now_us);
-struct conn *server_take(struct server *s, uint64_t now_us);
-void server_give(struct conn *c, uint64_t now_us);
+bool server_is_up(const struct server *s, uint64_t now_us);
+void server_mark_alive(struct server *s, uint64_t started_us, uint64_t now_us);
+struct conn *server_acquire_conn(struct server *s, uint64_t now_us);
+void server_release_conn(struct conn *c, uint64_t now_us);
 bool server_record_commit(struct conn *c, const struct upstream_result *result);
-void server_prepare(struct server *s, uint64_t now_us);
+void server_ensure_outcome_table(struct server *s, uint64_t now_us);
 void server_tick(struct server *s, uint64_t now_us);
 uint64_t server_next_us(const struct server *s);
 void server_close_unused(struct server *s);
 extern const struct conn_events server_conn_events;
 
 /* group_probe.c: status probes, long polls and failover calls */
-void probe_want(struct group *g, uint64_t since_us);
-void probe_want_one(struct server *s, uint64_t since_us);
+void probe_request_all(struct group *g, uint64_t since_us);
+void probe_request(struct server *s, uint64_t since_us);
 void probe_tick(struct server *s, uint64_t now_us);
 void probe_call(struct server *s, const struct server_call *call);
 void probe_forget_calls(struct server *s);
@@ -300,26 +300,26 @@
 void run_refuse(struct run *run, struct answer *refusal);
 void run_confirm(struct run *run, struct answer *reply, struct position p,
 		 uint64_t now_us);
-void run_requeue(struct run *run, uint64_t wait_us, uint64_t now_us);
+void run_reroute(struct run *run, uint64_t wait_us, uint64_t now_us);
 bool run_may_retry(struct run *run, uint64_t now_us);
 void run_detach(struct run *run, uint64_t now_us);
 void run_drop_conn(struct run *run);
 void run_free_slot(struct run *run, uint64_t now_us);
 void run_flush(struct group *g);
-struct answer *run_done(struct run *run, const GString *results);
-struct answer *run_statement_error(const struct upstream_result *result);
+struct answer *run_success_answer(struct run *run, const GString *results);
+struct answer *run_statement_error_answer(const struct upstream_result *result);
 
 /* group_unknown.c: keys answered as unknown, keys of running writes */
-void unknown_note(struct group *g, const char *key);
-void unknown_forget(struct group *g, const char *key);
+void unknown_key_add(struct group *g, const char *key);
+void unknown_key_remove(struct group *g, const char *key);
 bool unknown_key_has(const struct group *g, const char *key);
 bool running_key_add(struct group *g, const char *key);
-void unknown_leave(struct group *g, const char *key);
+void running_key_remove(struct group *g, const char *key);
 
 /* group_route.c: choice of a server, and the queues before its slots */
 void route_waiting(struct group *g, uint64_t now_us);
 void route_queued(struct group *g, uint64_t now_us);
-void route_leave_server(struct server *s, bool writes_only, uint64_t now_us);
+void route_drain_queue(struct server *s, bool writes_only, uint64_t now_us);
 uint64_t route_next_us(struct group *g);
 
 /* group_confirm.c: acknowledgement once a majority has a position */
@@ -335,7 +335,7 @@
 extern const struct run_type commit_type;
 bool read_may_run(const struct run *run, const struct server *s,
 		  uint64_t now_us);
-void read_note_start(struct run *run, const struct server *s);
+void read_record_start_position(struct run *run, const struct server *s);
 bool read_check_position(const struct run *run, const struct server *s,
 			 struct position p);
 void write_add_key(struct run *run, struct conn *c, const char *state);
@@ -348,7 +348,7 @@
 		     const struct upstream_result *result);
 void write_on_split(struct run *run, uint64_t now_us);
 void write_roll_back(struct run *run, struct answer *refusal, uint64_t now_us);
-bool write_is_new(const struct conn *c, struct position p);
+bool write_is_new_commit(const struct conn *c, struct position p);
 void write_send_commit(struct run *run, uint64_t now_us);
 void settle_begin(struct run *run, uint64_t now_us);
 void settle_all(struct group *g, uint64_t now_us);
@@ -363,7 +363,7 @@
 void txn_on_closed(struct txn *txn);
 
 /* group_clean.c: removal of old outcome rows */
-int64_t clean_row_at(const struct server *s);
+int64_t clean_at_value(const struct server *s);
 void clean_tick(struct group *g, uint64_t now_us);
 
 #endif
--- a/packages/core/src/group_probe.c
+++ b/packages/core/src/group_probe.c
@@ -36,10 +36,10 @@
 		return;
 	st = fresh_status(g->fresh, (unsigned)primary);
 	last = (struct position){ st->term, st->received };
-	if (fresh_majority_has(g->fresh, last)) {
+	if (fresh_is_durable(g->fresh, last)) {
 		g->lag_since_us = 0;
 	} else if (!g->lag_since_us || g->lag_position.term != last.term ||
-		   fresh_majority_has(g->fresh, g->lag_position)) {
+		   fresh_is_durable(g->fresh, g->lag_position)) {
 		g->lag_since_us = now_us;
 		g->lag_position = last;
 	}
@@ -48,7 +48,7 @@
 /* Whether a majority ever confirmed the present primary. */
 bool probe_majority_known(struct group *g)
 {
-	return fresh_confirmed_us(g->fresh) != 0;
+	return fresh_confirmed_until_us(g->fresh) != 0;
 }
 
 /*
@@ -59,7 +59,7 @@
 bool probe_majority_stale(struct group *g, uint64_t now_us)
 {
 	uint64_t since_us =
-		MAX(fresh_confirmed_us(g->fresh), g->tracking_started_us);
+		MAX(fresh_confirmed_until_us(g->fresh), g->tracking_started_us);
 	uint64_t wait_limit_us =
 		MAJORITY_STALE_US + 2 * g->settings.probe_interval_us;
 
@@ -69,7 +69,7 @@
 }
 
 /* Requests a probe started at since_us or later; one serves all requests. */
-void probe_want_one(struct server *s, uint64_t since_us)
+void probe_request(struct server *s, uint64_t since_us)
 {
 	if (s->probe_requested && s->probe_earliest_us >= since_us)
 		return;
@@ -78,12 +78,12 @@
 }
 
 /* Requests such a probe of all servers. */
-void probe_want(struct group *g, uint64_t since_us)
+void probe_request_all(struct group *g, uint64_t since_us)
 {
 	unsigned i;
 
 	for (i = 0; i < g->n_active; i++)
-		probe_want_one(group_server(g, (int)i), since_us);
+		probe_request(group_server(g, (int)i), since_us);
 }
 
 /* Queues a failover call for the server's probe connection. */
@@ -121,9 +121,9 @@
 {
 	struct err err = { 0 };
 
-	if (!result->conn_usable || result->err.code || !result->last_row)
+	if (!result->conn_usable || result->err.code || !result->last_step_row)
 		return false;
-	if (!parse_status(s, result->last_row[0], out, &err)) {
+	if (!parse_status(s, result->last_step_row[0], out, &err)) {
 		LOG_WARN("%s: %s: %s", s->group->label, s->name, err.message);
 		return false;
 	}
@@ -218,9 +218,9 @@
 	else if (s->call.kind == CALL_PROMOTE)
 		sql = SQL_PROMOTE;
 	conn_begin(c);
-	conn_step(c, sql, false);
-	conn_param_int(c, (int64_t)s->call.term);
-	conn_param_text(c, str_from_c(s->call.name));
+	conn_add_step(c, sql, false);
+	conn_add_int_param(c, (int64_t)s->call.term);
+	conn_add_text_param(c, str_from_c(s->call.name));
 	conn_send(c, 0, s->group->settings.failover.call_timeout_us, on_status,
 		  s, now_us);
 }
@@ -231,7 +231,7 @@
 	s->probe_earliest_us = 0;
 	s->probe_started_us = now_us;
 	conn_begin(s->probe);
-	conn_step(s->probe, SQL_STATUS, false);
+	conn_add_step(s->probe, SQL_STATUS, false);
 	conn_send(s->probe, 0, s->group->settings.failover.call_timeout_us,
 		  on_status, s, now_us);
 }
@@ -290,7 +290,7 @@
 	}
 	refused = is_refusal(err);
 	if (strstr(err->message, "FATAL"))
-		server_heard(s, s->probe_started_us, now_us);
+		server_mark_alive(s, s->probe_started_us, now_us);
 	s->probe_requested = s->probe_urgent = false;
 	s->probe_failed = true;
 	report_failure(s, CALL_PROBE, refused, now_us);
@@ -305,7 +305,7 @@
 {
 	if (s->index >= 0)
 		fresh_forget(s->group->fresh, (unsigned)s->index);
-	probe_want_one(s, now_us);
+	probe_request(s, now_us);
 	s->group->news = true;
 }
 
@@ -318,7 +318,7 @@
 
 	if (s->index < 0 || !read_status(s, result, &status))
 		return;
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	fresh_on_status(g->fresh, (unsigned)s->index, c->started_us, &status);
 	note_status_change(g, now_us);
 }
@@ -333,12 +333,12 @@
 	struct conn *c = s->long_poll;
 
 	conn_begin(c);
-	conn_step(c, SQL_WAIT, false);
-	conn_param_int(c, (int64_t)known->term);
-	conn_param_int(c, (int64_t)known->received);
-	conn_param_int(c, (int64_t)known->applied);
-	conn_param_int(c, (int64_t)known->granted);
-	conn_param_int(c, LONG_POLL_MS);
+	conn_add_step(c, SQL_WAIT, false);
+	conn_add_int_param(c, (int64_t)known->term);
+	conn_add_int_param(c, (int64_t)known->received);
+	conn_add_int_param(c, (int64_t)known->applied);
+	conn_add_int_param(c, (int64_t)known->granted);
+	conn_add_int_param(c, LONG_POLL_MS);
 	conn_send(c, 0, LONG_POLL_TIMEOUT_US, on_long_poll, s, now_us);
 }
 
@@ -352,10 +352,11 @@
 	if (s->group->rank || !known || known->role != ROLE_REPLICA ||
 	    !server_may_long_poll(s))
 		return;
-	if (!s->long_poll && now_us >= s->open_after_us && server_up(s, now_us))
-		s->long_poll = conn_pool_open(s->group->conns, s, CONN_NEWS,
-					      &target, LONG_POLL_TIMEOUT_US,
-					      now_us);
+	if (!s->long_poll && now_us >= s->open_after_us &&
+	    server_is_up(s, now_us))
+		s->long_poll = conn_pool_open(s->group->conns, s,
+					      CONN_LONG_POLL, &target,
+					      LONG_POLL_TIMEOUT_US, now_us);
 	else if (s->long_poll && s->long_poll->state == CONN_IDLE)
 		send_long_poll(s, known, now_us);
 }
@@ -366,7 +367,7 @@
 	bool listens = s->long_poll && s->long_poll->state == CONN_BUSY;
 
 	if (s->group->runs[RUN_CONFIRMING].length && !listens)
-		probe_want_one(s, 0);
+		probe_request(s, 0);
 }
 
 /*
@@ -406,7 +407,7 @@
 	if (s->index < 0)
 		return;
 	if (now_us >= periodic_probe_at_us(s))
-		probe_want_one(s, now_us);
+		probe_request(s, now_us);
 	probe_for_confirming(s);
 	probe = now_us >= requested_probe_at_us(s);
 	if (!s->probe && (probe || s->calls.length))
--- a/packages/core/src/group_read.c
+++ b/packages/core/src/group_read.c
@@ -27,7 +27,7 @@
 }
 
 /* Records the last known applied position of the server as the read begins. */
-void read_note_start(struct run *run, const struct server *s)
+void read_record_start_position(struct run *run, const struct server *s)
 {
 	const struct server_status *st =
 		fresh_status(run->group->fresh, (unsigned)s->index);
@@ -45,7 +45,7 @@
 {
 	if (!needed.term)
 		return true;
-	return p.index >= needed.index && history_has(h, needed);
+	return p.index >= needed.index && history_contains(h, needed);
 }
 
 /*
@@ -66,7 +66,7 @@
 	if (s->index < 0)
 		return false;
 	st = fresh_status(run->group->fresh, (unsigned)s->index);
-	return st && history_has(&st->history, p) &&
+	return st && history_contains(&st->history, p) &&
 	       covers(&st->history, p, run->request->seen) &&
 	       covers(&st->history, p, run->floor);
 }
@@ -83,9 +83,9 @@
 
 	run_detach(run, now_us);
 	if (code == ERR_CONNECTION_LOST && run_may_retry(run, now_us))
-		run_requeue(run, 0, now_us);
+		run_reroute(run, 0, now_us);
 	else
-		run_refuse(run, run_statement_error(result));
+		run_refuse(run, run_statement_error_answer(result));
 }
 
 static bool is_conflict(const struct upstream_result *result)
@@ -99,9 +99,9 @@
 {
 	run_detach(run, now_us);
 	if (is_conflict(result) && run_may_retry(run, now_us))
-		run_requeue(run, 0, now_us);
+		run_reroute(run, 0, now_us);
 	else
-		run_refuse(run, run_statement_error(result));
+		run_refuse(run, run_statement_error_answer(result));
 }
 
 /* The server went back to an older state: probes it and repeats the read. */
@@ -109,10 +109,10 @@
 {
 	struct server *s = run->server;
 
-	probe_want_one(s, now_us);
+	probe_request(s, now_us);
 	run_detach(run, now_us);
 	if (run_may_retry(run, now_us))
-		run_requeue(run, SERVER_RESET_RETRY_US, now_us);
+		run_reroute(run, SERVER_RESET_RETRY_US, now_us);
 	else
 		run_fail(run, ERR_NO_SERVER, SERVER_RESET_RETRY_US,
 			 "the server %s lost a part of what it had", s->name);
@@ -130,19 +130,19 @@
 		on_conn_failed(run, result, now_us);
 		return;
 	}
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	if (result->err.code) {
 		on_error(run, result, now_us);
 		return;
 	}
 	c->in_block = false;
-	if (!outcome_cut_position(result->results, &p) ||
+	if (!outcome_take_position(result->results, &p) ||
 	    !read_check_position(run, s, p)) {
 		on_server_reset(run, now_us);
 		return;
 	}
 	fresh_on_applied(run->group->fresh, (unsigned)s->index, p);
-	reply = run_done(run, result->results);
+	reply = run_success_answer(run, result->results);
 	reply->seen = p;
 	run_detach(run, now_us);
 	if (run->by_primary)
@@ -159,17 +159,17 @@
 	struct conn *c = run->conn;
 	unsigned i;
 
-	read_note_start(run, run->server);
+	read_record_start_position(run, run->server);
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN_READ, false);
+	conn_add_step(c, SQL_BEGIN_READ, false);
 	for (i = 0; i < r->n_statements; i++) {
-		conn_statement(c, &r->statements[i]);
+		conn_add_statement(c, &r->statements[i]);
 		c->dirty |= group_sql_leaves_state(r->statements[i].sql);
 	}
-	conn_step(c, SQL_READ_POSITION, true);
-	conn_step(c, SQL_COMMIT, false);
-	conn_send(c, max_bytes ? max_bytes + POSITION_BYTES : 0,
+	conn_add_step(c, SQL_READ_POSITION, true);
+	conn_add_step(c, SQL_COMMIT, false);
+	conn_send(c, max_bytes ? max_bytes + POSITION_RESULT_MAX_BYTES : 0,
 		  run->deadline_us - now_us, on_read, run, now_us);
 }
 
--- a/packages/core/src/group_route.c
+++ b/packages/core/src/group_route.c
@@ -23,9 +23,9 @@
 	out->latency_us = s->latency_us;
 	if (!run->profile)
 		return;
-	out->wait_us = admit_predict_us(s->admit, caller, run->profile,
-					run->share, now_us);
-	out->latency_us = admit_service_us(s->admit, run->profile);
+	out->wait_us = admit_predict_wait_us(s->admit, caller, run->profile,
+					     run->share, now_us);
+	out->latency_us = admit_expected_service_us(s->admit, run->profile);
 }
 
 /* Fills in the candidates for the choice of one run's server. */
@@ -41,7 +41,7 @@
 		const struct server_status *st = fresh_status(g->fresh, i);
 
 		out[i] = (struct route_server){
-			.up = server_up(s, now_us),
+			.up = server_is_up(s, now_us),
 			.leaving = s->leaving || (st && st->leaving),
 			.is_primary = (int)i == primary,
 			.slots = server_slots(s),
@@ -66,14 +66,14 @@
 	if (!log_decisions_enabled())
 		return;
 	for (i = 0; i < g->n_active; i++)
-		passed[i] = route_pass_letter(choice->passed[i]);
+		passed[i] = route_skip_letter(choice->passed[i]);
 	passed[g->n_active] = '\0';
 	str_put_u64(age, age_us / USEC_PER_MSEC);
 	str_put_u64(queue, s ? admit_queued(s->admit) : 0);
 	id = str_dup(run->request->key);
 	log_decision("route", "id", id, "database", g->label, "kind",
 		     run->type->name, "server", s ? s->name : "", "why",
-		     route_why_name(choice->why), "age_ms", age, "passed",
+		     route_reason_name(choice->why), "age_ms", age, "passed",
 		     passed, "queue", queue, NULL);
 	g_free(id);
 }
@@ -87,7 +87,7 @@
 {
 	run->wait_code = code;
 	run->wait_text = text;
-	run->look_again_us = until_us;
+	run->next_try_at_us = until_us;
 }
 
 /* Puts the run into the server's queue, or refuses it. */
@@ -140,11 +140,11 @@
 			 "no majority of the servers confirms writes now");
 		return false;
 	}
-	if (s->outcome_term != fresh_term(g->fresh)) {
+	if (s->outcome_table_term != fresh_term(g->fresh)) {
 		wait_for(run, ERR_NO_PRIMARY,
 			 "the primary is not ready for writes",
 			 now_us + PREPARE_RECHECK_US);
-		server_prepare(s, now_us);
+		server_ensure_outcome_table(s, now_us);
 		return false;
 	}
 	return true;
@@ -158,7 +158,7 @@
 
 	switch (choice->why) {
 	case ROUTE_WAIT_CONFIRM:
-		probe_want(run->group, run->arrived_us);
+		probe_request_all(run->group, run->arrived_us);
 		wait_for(run, ERR_NO_MAJORITY,
 			 "no majority of the servers confirms the primary",
 			 MAX(recheck_at_us, now_us + USEC_PER_MSEC));
@@ -243,7 +243,7 @@
 				 "too many requests wait for a server");
 			continue;
 		}
-		if (!news && now_us < run->look_again_us)
+		if (!news && now_us < run->next_try_at_us)
 			continue;
 		fill_servers(run, servers, now_us);
 		route_one(run, servers, now_us);
@@ -280,7 +280,7 @@
 	run_set_state(run, RUN_RUNNING);
 	if (!may_start(run, s, now_us)) {
 		if (run->state == RUN_RUNNING)
-			run_requeue(run, REROUTE_DELAY_US, now_us);
+			run_reroute(run, REROUTE_DELAY_US, now_us);
 		return;
 	}
 	note_age(run, s, now_us);
@@ -296,9 +296,9 @@
 {
 	struct admit_entry *e;
 
-	while ((e = admit_expired(s->admit, now_us))) {
+	while ((e = admit_pop_expired(s->admit, now_us))) {
 		struct run *run = e->user;
-		uint64_t wait_us = admit_wait_us(s->admit);
+		uint64_t wait_us = admit_backlog_us(s->admit);
 
 		g_clear_pointer(&run->entry, g_free);
 		run_fail(run, ERR_DEADLINE, MAX(wait_us, USEC_PER_MSEC),
@@ -314,7 +314,7 @@
 
 	while (admit_queued(s->admit) &&
 	       admit_running(s->admit) < server_slots(s)) {
-		c = server_take(s, now_us);
+		c = server_acquire_conn(s, now_us);
 		if (!c)
 			return;
 		e = admit_pop(s->admit, now_us);
@@ -325,7 +325,7 @@
 }
 
 /* Takes runs out of the server's queue, to be routed again. */
-void route_leave_server(struct server *s, bool writes_only, uint64_t now_us)
+void route_drain_queue(struct server *s, bool writes_only, uint64_t now_us)
 {
 	GList *l, *next;
 
@@ -334,7 +334,7 @@
 
 		next = l->next;
 		if (run->server == s && (run->type->to_primary || !writes_only))
-			run_requeue(run, 0, now_us);
+			run_reroute(run, 0, now_us);
 	}
 }
 
@@ -348,10 +348,10 @@
 		struct server *s = group_server(g, (int)i);
 
 		expire(s, now_us);
-		if (admit_queued(s->admit) && !server_up(s, now_us))
-			route_leave_server(s, false, now_us);
+		if (admit_queued(s->admit) && !server_is_up(s, now_us))
+			route_drain_queue(s, false, now_us);
 		else if (admit_queued(s->admit) && s != primary)
-			route_leave_server(s, true, now_us);
+			route_drain_queue(s, true, now_us);
 		start_queued(s, now_us);
 	}
 }
@@ -366,7 +366,7 @@
 		const struct run *run = l->data;
 
 		next_us = MIN(next_us, run->deadline_us);
-		next_us = MIN(next_us, run->look_again_us);
+		next_us = MIN(next_us, run->next_try_at_us);
 	}
 	for (l = g->runs[RUN_QUEUED].head; l; l = l->next)
 		next_us = MIN(next_us, ((struct run *)l->data)->deadline_us);
--- a/packages/core/src/group_run.c
+++ b/packages/core/src/group_run.c
@@ -35,7 +35,7 @@
 	run->user = user;
 	run->arrived_us = now_us;
 	run->deadline_us = now_us + request->deadline_left_us;
-	run->look_again_us = now_us;
+	run->next_try_at_us = now_us;
 	run->wait_code = ERR_DEADLINE;
 	run->wait_text = "the deadline passed";
 	run->link.data = run;
@@ -54,8 +54,8 @@
 	answer_unref(run->refusal);
 	if (run->results)
 		g_string_free(run->results, TRUE);
-	if (run->key_entered)
-		unknown_leave(run->group, run->key);
+	if (run->running_key_added)
+		running_key_remove(run->group, run->key);
 	g_free(run->key);
 	g_free(run->entry);
 	g_free(run);
@@ -117,7 +117,7 @@
 	run_free_slot(run, now_us);
 	run->conn = NULL;
 	if (c && c->state == CONN_IDLE)
-		server_give(c, now_us);
+		server_release_conn(c, now_us);
 }
 
 static void count_outcome(struct run *run, const struct answer *a)
@@ -155,9 +155,9 @@
 static void update_unknown_keys(struct run *run, const struct answer *a)
 {
 	if (a->outcome == OUTCOME_UNKNOWN)
-		unknown_note(run->group, run->key);
+		unknown_key_add(run->group, run->key);
 	else if (a->outcome == OUTCOME_DONE || run->uncertain)
-		unknown_forget(run->group, run->key);
+		unknown_key_remove(run->group, run->key);
 }
 
 /*
@@ -213,7 +213,7 @@
 	answer_unref(run->refusal);
 	run->refusal = refusal;
 	run->uncertain = true;
-	run->look_again_us = 0;
+	run->next_try_at_us = 0;
 	run->group->again = true;
 	run_set_state(run, RUN_SETTLE_WAIT);
 }
@@ -235,7 +235,7 @@
 }
 
 /* Creates the answer to a failed statement, with code, text and SQLSTATE. */
-struct answer *run_statement_error(const struct upstream_result *result)
+struct answer *run_statement_error_answer(const struct upstream_result *result)
 {
 	struct answer *a =
 		answer_error(result->err.code, "%s", result->err.message);
@@ -245,7 +245,7 @@
 }
 
 /* Creates a successful answer with the results; NULL: an empty list. */
-struct answer *run_done(struct run *run, const GString *results)
+struct answer *run_success_answer(struct run *run, const GString *results)
 {
 	struct answer *a = answer_create(OUTCOME_DONE);
 	GString *list = g_string_sized_new((results ? results->len : 0) + 2);
@@ -293,11 +293,11 @@
 }
 
 /* Returns the run to RUN_WAITING, to be routed again after wait_us. */
-void run_requeue(struct run *run, uint64_t wait_us, uint64_t now_us)
+void run_reroute(struct run *run, uint64_t wait_us, uint64_t now_us)
 {
 	run_detach(run, now_us);
 	run->server = NULL;
-	run->look_again_us = now_us + wait_us;
+	run->next_try_at_us = now_us + wait_us;
 	run->began_us = 0;
 	run_set_state(run, RUN_WAITING);
 	run->group->again = true;
--- a/packages/core/src/group_server.c
+++ b/packages/core/src/group_server.c
@@ -128,7 +128,7 @@
 }
 
 /* Whether the server answered recently enough to be taken for alive. */
-bool server_up(const struct server *s, uint64_t now_us)
+bool server_is_up(const struct server *s, uint64_t now_us)
 {
 	const struct group_settings *set = &s->group->settings;
 	uint64_t wait_limit_us =
@@ -139,7 +139,7 @@
 }
 
 /* Records that the server answered what was sent at started_us. */
-void server_heard(struct server *s, uint64_t started_us, uint64_t now_us)
+void server_mark_alive(struct server *s, uint64_t started_us, uint64_t now_us)
 {
 	s->heard_us = now_us;
 	if (s->index >= 0)
@@ -180,9 +180,9 @@
 
 	if (!result->conn_usable)
 		return;
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	c->suspect = false;
-	server_give(c, now_us);
+	server_release_conn(c, now_us);
 }
 
 /*
@@ -193,7 +193,7 @@
 static void check(struct conn *c, uint64_t now_us)
 {
 	conn_begin(c);
-	conn_step(c, SQL_CHECK, false);
+	conn_add_step(c, SQL_CHECK, false);
 	conn_send(c, 0, IDLE_CHECK_TIMEOUT_US, on_checked, c->server, now_us);
 }
 
@@ -202,7 +202,7 @@
  * ready. In that case suspect ones are being checked, or one more is being
  * opened if the limit allows it.
  */
-struct conn *server_take(struct server *s, uint64_t now_us)
+struct conn *server_acquire_conn(struct server *s, uint64_t now_us)
 {
 	GList *l, *next;
 
@@ -230,7 +230,7 @@
 
 	if (!result->conn_usable)
 		return;
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	if (result->err.code) {
 		conn_close(c);
 		return;
@@ -239,7 +239,7 @@
 		c->in_block = false;
 	else
 		c->dirty = false;
-	server_give(c, now_us);
+	server_release_conn(c, now_us);
 }
 
 /*
@@ -248,7 +248,7 @@
  * that neither reaches the next caller. A connection on which that fails is
  * closed.
  */
-void server_give(struct conn *c, uint64_t now_us)
+void server_release_conn(struct conn *c, uint64_t now_us)
 {
 	struct server *s = c->server;
 	bool clean = s->group->guards.clean_state;
@@ -260,7 +260,8 @@
 	}
 	if (clean && (c->in_block || c->dirty)) {
 		conn_begin(c);
-		conn_step(c, c->in_block ? SQL_ROLLBACK : SQL_DISCARD, false);
+		conn_add_step(c, c->in_block ? SQL_ROLLBACK : SQL_DISCARD,
+			      false);
 		conn_send(c, 0, CLEANUP_TIMEOUT_US, on_cleaned, s, now_us);
 		return;
 	}
@@ -279,8 +280,8 @@
  */
 bool server_record_commit(struct conn *c, const struct upstream_result *result)
 {
-	if (result->err.code || !result->last_row ||
-	    !position_parse(str_from_c(result->last_row[0]), &c->commit))
+	if (result->err.code || !result->last_step_row ||
+	    !position_parse(str_from_c(result->last_step_row[0]), &c->commit))
 		return false;
 	c->in_block = false;
 	return true;
@@ -297,40 +298,40 @@
 	s->prepare_retry_at_us = now_us + PREPARE_RETRY_US;
 	if (!result->conn_usable)
 		return;
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	st = s->index < 0 ? NULL :
 			    fresh_status(s->group->fresh, (unsigned)s->index);
 	commit_known = server_record_commit(c, result);
 	if (commit_known && st) {
-		s->outcome_term = st->term;
+		s->outcome_table_term = st->term;
 		s->group->news = true;
 	} else {
 		LOG_WARN("%s: no outcome table at %s: %s", s->group->label,
 			 s->name, result->err.message);
 	}
 	if (commit_known || result->steps_done < PREPARE_COMMIT_STEP)
-		server_give(c, now_us);
+		server_release_conn(c, now_us);
 	else
 		conn_close(c);
 }
 
 /* Creates the outcome table if it is missing; once per server and term. */
-void server_prepare(struct server *s, uint64_t now_us)
+void server_ensure_outcome_table(struct server *s, uint64_t now_us)
 {
 	struct conn *c;
 
 	if (s->preparing || now_us < s->prepare_retry_at_us)
 		return;
-	c = server_take(s, now_us);
+	c = server_acquire_conn(s, now_us);
 	if (!c)
 		return;
 	s->preparing = true;
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN, false);
-	conn_step(c, SQL_OUTCOME_CREATE, false);
-	conn_step(c, SQL_COMMIT, false);
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_BEGIN, false);
+	conn_add_step(c, SQL_OUTCOME_CREATE, false);
+	conn_add_step(c, SQL_COMMIT, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, 0, PREPARE_TIMEOUT_US, on_prepared, s, now_us);
 }
 
--- a/packages/core/src/group_settle.c
+++ b/packages/core/src/group_settle.c
@@ -36,7 +36,7 @@
 	run_drop_conn(run);
 	run_free_slot(run, now_us);
 	run->uncertain = true;
-	run->look_again_us = now_us;
+	run->next_try_at_us = now_us;
 	run->group->again = true;
 	if (!run->group->guards.settle) {
 		run_answer(run, answer_error(ERR_SETTLED_NOT_RUN,
@@ -50,8 +50,8 @@
 static void schedule_retry(struct run *run, uint64_t now_us)
 {
 	run_detach(run, now_us);
-	run->look_again_us = now_us + SETTLE_RETRY_DELAY_US;
-	probe_want(run->group, now_us);
+	run->next_try_at_us = now_us + SETTLE_RETRY_DELAY_US;
+	probe_request_all(run->group, now_us);
 	run_set_state(run, RUN_SETTLE_WAIT);
 }
 
@@ -141,13 +141,13 @@
 		schedule_retry(run, now_us);
 		return;
 	}
-	server_heard(run->server, c->started_us, now_us);
+	server_mark_alive(run->server, c->started_us, now_us);
 	if (result->err.code) {
 		schedule_retry(run, now_us);
 		return;
 	}
 	c->in_block = false;
-	ok = outcome_cut_position(result->results, &p) &&
+	ok = outcome_take_position(result->results, &p) &&
 	     outcome_row_parse(result->results, &row);
 	if (!ok || row.state == OUTCOME_ROW_NONE) {
 		schedule_retry(run, now_us);
@@ -169,12 +169,12 @@
 	struct conn *c = run->conn;
 
 	conn_begin(c);
-	conn_step(c, SQL_ROLLBACK, false);
-	conn_step(c, SQL_BEGIN_READ, false);
-	conn_step(c, SQL_OUTCOME_READ, true);
-	conn_param_text(c, str_from_c(run->key));
-	conn_step(c, SQL_READ_POSITION, true);
-	conn_step(c, SQL_COMMIT, false);
+	conn_add_step(c, SQL_ROLLBACK, false);
+	conn_add_step(c, SQL_BEGIN_READ, false);
+	conn_add_step(c, SQL_OUTCOME_READ, true);
+	conn_add_text_param(c, str_from_c(run->key));
+	conn_add_step(c, SQL_READ_POSITION, true);
+	conn_add_step(c, SQL_COMMIT, false);
 	conn_send(c, 0, try_timeout_us(run, now_us), on_row, run, now_us);
 }
 
@@ -189,10 +189,10 @@
 		schedule_retry(run, now_us);
 		return;
 	}
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	if (result->err.code) {
 		if (result->steps_done == STEPS_BEFORE_KEY &&
-		    !strcmp(result->sqlstate, STATE_DUPLICATE_KEY) &&
+		    !strcmp(result->sqlstate, SQLSTATE_DUPLICATE_KEY) &&
 		    now_us < run->deadline_us)
 			read_row(run, now_us);
 		else
@@ -200,9 +200,9 @@
 		return;
 	}
 	c->in_block = false;
-	if (!result->last_row || s->index < 0 ||
-	    !position_parse(str_from_c(result->last_row[0]), &p) ||
-	    !write_is_new(c, p)) {
+	if (!result->last_step_row || s->index < 0 ||
+	    !position_parse(str_from_c(result->last_step_row[0]), &p) ||
+	    !write_is_new_commit(c, p)) {
 		run_drop_conn(run);
 		schedule_retry(run, now_us);
 		return;
@@ -222,10 +222,10 @@
 	c->pinned = true;
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN, false);
+	conn_add_step(c, SQL_BEGIN, false);
 	write_add_key(run, c, "tombstone");
-	conn_step(c, SQL_COMMIT, false);
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_COMMIT, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, 0, try_timeout_us(run, now_us), on_tombstone, run, now_us);
 }
 
@@ -238,14 +238,14 @@
 		settle_give_up(run);
 		return;
 	}
-	if ((!g->news && now_us < run->look_again_us) || !s ||
-	    !server_up(s, now_us))
+	if ((!g->news && now_us < run->next_try_at_us) || !s ||
+	    !server_is_up(s, now_us))
 		return;
-	if (s->outcome_term != fresh_term(g->fresh)) {
-		server_prepare(s, now_us);
+	if (s->outcome_table_term != fresh_term(g->fresh)) {
+		server_ensure_outcome_table(s, now_us);
 		return;
 	}
-	run->conn = server_take(s, now_us);
+	run->conn = server_acquire_conn(s, now_us);
 	if (!run->conn)
 		return;
 	run->server = s;
--- a/packages/core/src/group_sql.h
+++ b/packages/core/src/group_sql.h
@@ -57,7 +57,7 @@
 	    "ORDER BY at LIMIT $2)")
 
 /* SQLSTATEs on which the handling of an error depends. */
-#define STATE_DUPLICATE_KEY "23505"
+#define SQLSTATE_DUPLICATE_KEY "23505"
 #define SQLSTATE_READ_ONLY "25006"
 #define SQLSTATE_SERIALIZATION "40001"
 #define SQLSTATE_DEADLOCK "40P01"
--- a/packages/core/src/group_status.c
+++ b/packages/core/src/group_status.c
@@ -47,7 +47,7 @@
 			       "\"connections\":%u,\"busy\":%u,"
 			       "\"latency_us\":%" PRIu64,
 			       s->name, role_name(g, i),
-			       server_up(s, now_us) ? "true" : "false",
+			       server_is_up(s, now_us) ? "true" : "false",
 			       leaving ? "true" : "false", server_slots(s),
 			       admit_running(s->admit), admit_queued(s->admit),
 			       s->pinned, s->work_conns.length, count_busy(s),
--- a/packages/core/src/group_txn.c
+++ b/packages/core/src/group_txn.c
@@ -69,7 +69,7 @@
 	struct group *g = txn->group;
 
 	if (c && c->state == CONN_IDLE)
-		server_give(c, now_us);
+		server_release_conn(c, now_us);
 	else if (c && c->state == CONN_BUSY)
 		conn_close(c);
 	if (txn->entry) {
@@ -126,8 +126,8 @@
 static bool check_read(struct run *run, const struct server *s,
 		       const struct upstream_result *result, struct position *p)
 {
-	return result->last_row &&
-	       position_parse(str_from_c(result->last_row[0]), p) &&
+	return result->last_step_row &&
+	       position_parse(str_from_c(result->last_step_row[0]), p) &&
 	       read_check_position(run, s, *p);
 }
 
@@ -143,7 +143,7 @@
 	reply->seen = seen;
 	run->type = &txn_type;
 	if (seen.term && run->by_primary &&
-	    !fresh_majority_has(run->group->fresh, seen))
+	    !fresh_is_durable(run->group->fresh, seen))
 		run_confirm(run, reply, seen, now_us);
 	else
 		run_answer(run, reply);
@@ -152,7 +152,7 @@
 static void on_begun(struct run *run, struct upstream_result *result,
 		     struct position seen, uint64_t now_us)
 {
-	struct answer *reply = run_done(run, result->results);
+	struct answer *reply = run_success_answer(run, result->results);
 	char *id = str_dup(run->digest);
 	struct txn *txn = create(run, id, now_us);
 
@@ -171,7 +171,7 @@
 		write_on_body_lost(run, result, now_us);
 		return;
 	}
-	server_heard(run->server, c->started_us, now_us);
+	server_mark_alive(run->server, c->started_us, now_us);
 	if (result->err.code)
 		write_on_body_error(run, result, now_us);
 	else if (write_was_split(run, c, result))
@@ -190,13 +190,13 @@
 		write_on_body_lost(run, result, now_us);
 		return;
 	}
-	server_heard(run->server, c->started_us, now_us);
+	server_mark_alive(run->server, c->started_us, now_us);
 	if (result->err.code) {
 		run_detach(run, now_us);
-		run_refuse(run, run_statement_error(result));
+		run_refuse(run, run_statement_error_answer(result));
 	} else if (!check_read(run, run->server, result, &p)) {
-		probe_want_one(run->server, now_us);
-		run_requeue(run, USEC_PER_MSEC, now_us);
+		probe_request(run->server, now_us);
+		run_reroute(run, USEC_PER_MSEC, now_us);
 	} else {
 		on_begun(run, result, p, now_us);
 	}
@@ -208,7 +208,7 @@
 	unsigned i;
 
 	for (i = 0; i < r->n_statements; i++) {
-		conn_statement(c, &r->statements[i]);
+		conn_add_statement(c, &r->statements[i]);
 		c->dirty |= group_sql_leaves_state(r->statements[i].sql);
 	}
 }
@@ -230,7 +230,7 @@
 {
 	char *id = make_id(run->group);
 
-	run->digest = request_keep(run->request, id, strlen(id));
+	run->digest = request_copy_bytes(run->request, id, strlen(id));
 	g_free(run->key);
 	run->key = outcome_transaction_key(run->request->caller, run->digest);
 	g_free(id);
@@ -245,11 +245,11 @@
 	set_id(run);
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN, false);
+	conn_add_step(c, SQL_BEGIN, false);
 	if (run->group->guards.outcome_key)
 		write_add_key(run, c, "done");
 	add_statements(run, c);
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, run->profile->max_answer_bytes, run->deadline_us - now_us,
 		  on_begun_write, run, now_us);
 }
@@ -261,12 +261,12 @@
 	if (refuse_if_too_many(run, now_us))
 		return;
 	set_id(run);
-	read_note_start(run, run->server);
+	read_record_start_position(run, run->server);
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN_READ, false);
+	conn_add_step(c, SQL_BEGIN_READ, false);
 	add_statements(run, c);
-	conn_step(c, SQL_READ_POSITION, false);
+	conn_add_step(c, SQL_READ_POSITION, false);
 	conn_send(c, run->profile->max_answer_bytes, run->deadline_us - now_us,
 		  on_begun_read, run, now_us);
 }
@@ -297,8 +297,8 @@
 	struct position none = { 0, 0 };
 	struct position p;
 
-	if (!outcome_cut_position(result->results, &p) ||
-	    !fresh_majority_has(run->group->fresh, p))
+	if (!outcome_take_position(result->results, &p) ||
+	    !fresh_is_durable(run->group->fresh, p))
 		return none;
 	return p;
 }
@@ -316,15 +316,16 @@
 	txn->busy_us += now_us - c->started_us;
 	txn->used_us = now_us;
 	if (result->conn_usable)
-		server_heard(txn->server, c->started_us, now_us);
+		server_mark_alive(txn->server, c->started_us, now_us);
 	if (!result->conn_usable) {
 		txn_end(txn, now_us);
-		run_refuse(run, run_statement_error(result));
+		run_refuse(run, run_statement_error_answer(result));
 		return;
 	}
 	if (result->err.code) {
 		take_over_slot(run, txn, now_us);
-		write_roll_back(run, run_statement_error(result), now_us);
+		write_roll_back(run, run_statement_error_answer(result),
+				now_us);
 		return;
 	}
 	if (writes && write_was_split(run, c, result)) {
@@ -341,7 +342,8 @@
 			 "the server lost a part of what it had; rolled back");
 		return;
 	}
-	answer_with_position(run, run_done(run, result->results), p, now_us);
+	answer_with_position(run, run_success_answer(run, result->results), p,
+			     now_us);
 }
 
 /* Upper bound of the data's age: it may be as old as the first snapshot. */
@@ -367,10 +369,10 @@
 	txn->run = run;
 	conn_begin(c);
 	add_statements(run, c);
-	conn_step(c, SQL_READ_POSITION, writes);
+	conn_add_step(c, SQL_READ_POSITION, writes);
 	if (writes)
-		conn_step(c, SQL_COMMIT_POSITION, false);
-	conn_send(c, max_bytes ? max_bytes + POSITION_BYTES : 0,
+		conn_add_step(c, SQL_COMMIT_POSITION, false);
+	conn_send(c, max_bytes ? max_bytes + POSITION_RESULT_MAX_BYTES : 0,
 		  run->deadline_us - now_us, on_statements, run, now_us);
 }
 
@@ -381,7 +383,7 @@
 	run->server = txn->server;
 	run->type = &txn_type;
 	txn_end(txn, now_us);
-	run_answer(run, run_done(run, NULL));
+	run_answer(run, run_success_answer(run, NULL));
 }
 
 /* Commits. After this the run is handled like any write, in group_write.c. */
@@ -406,7 +408,7 @@
 	run->type = &txn_type;
 	run->server = txn->server;
 	txn_end(txn, now_us);
-	run_answer(run, run_done(run, NULL));
+	run_answer(run, run_success_answer(run, NULL));
 }
 
 /*
--- a/packages/core/src/group_unknown.c
+++ b/packages/core/src/group_unknown.c
@@ -12,7 +12,7 @@
 #define MAX_UNKNOWN_KEYS 4096
 
 /* Remembers a key that was answered as unknown. */
-void unknown_note(struct group *g, const char *key)
+void unknown_key_add(struct group *g, const char *key)
 {
 	char *copy;
 
@@ -28,7 +28,7 @@
 }
 
 /* Forgets a key whose outcome is known by now. */
-void unknown_forget(struct group *g, const char *key)
+void unknown_key_remove(struct group *g, const char *key)
 {
 	gpointer own = g_hash_table_lookup(g->unknown, key);
 
@@ -63,7 +63,7 @@
 }
 
 /* Removes a write with this key, which was answered. */
-void unknown_leave(struct group *g, const char *key)
+void running_key_remove(struct group *g, const char *key)
 {
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(g->running_keys, key));
 
--- a/packages/core/src/group_write.c
+++ b/packages/core/src/group_write.c
@@ -37,24 +37,24 @@
 /* Adds the step that inserts the run's key with a state. */
 void write_add_key(struct run *run, struct conn *c, const char *state)
 {
-	conn_step(c, SQL_OUTCOME_INSERT, false);
-	conn_param_text(c, str_from_c(run->key));
-	conn_param_text(c, run->digest);
-	conn_param_text(c, str_from_c(state));
-	conn_param_int(c, clean_row_at(c->server));
+	conn_add_step(c, SQL_OUTCOME_INSERT, false);
+	conn_add_text_param(c, str_from_c(run->key));
+	conn_add_text_param(c, run->digest);
+	conn_add_text_param(c, str_from_c(state));
+	conn_add_int_param(c, clean_at_value(c->server));
 }
 
 /* The server is no longer the primary; nothing was committed. */
 static void on_deposed(struct run *run, const struct upstream_result *result,
 		       uint64_t now_us)
 {
-	probe_want(run->group, now_us);
+	probe_request_all(run->group, now_us);
 	if (run->type->start) {
-		run_requeue(run, DEPOSED_RETRY_US, now_us);
+		run_reroute(run, DEPOSED_RETRY_US, now_us);
 		return;
 	}
 	run_detach(run, now_us);
-	run_refuse(run, run_statement_error(result));
+	run_refuse(run, run_statement_error_answer(result));
 }
 
 /* Nothing was committed: retries the write, or answers with the error. */
@@ -64,9 +64,9 @@
 {
 	run_detach(run, now_us);
 	if (run_may_retry(run, now_us))
-		run_requeue(run, 0, now_us);
+		run_reroute(run, 0, now_us);
 	else
-		run_refuse(run, run_statement_error(result));
+		run_refuse(run, run_statement_error_answer(result));
 }
 
 /*
@@ -82,8 +82,8 @@
 
 	if (!run->group->guards.check_split)
 		return false;
-	if (!result->last_row ||
-	    !position_parse(str_from_c(result->last_row[0]), &last))
+	if (!result->last_step_row ||
+	    !position_parse(str_from_c(result->last_step_row[0]), &last))
 		return true;
 	return last.term != c->commit.term || last.index != c->commit.index;
 }
@@ -108,7 +108,7 @@
 	struct answer *refusal = g_steal_pointer(&run->reply);
 
 	if (result->conn_usable && !result->err.code) {
-		server_heard(run->server, c->started_us, now_us);
+		server_mark_alive(run->server, c->started_us, now_us);
 		c->in_block = false;
 		if (write_was_split(run, c, result)) {
 			answer_unref(refusal);
@@ -133,8 +133,8 @@
 	answer_unref(run->reply);
 	run->reply = refusal;
 	conn_begin(c);
-	conn_step(c, SQL_ROLLBACK, false);
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_ROLLBACK, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, 0, MIN(left_us, ROLLBACK_TIMEOUT_US), on_rolled_back, run,
 		  now_us);
 }
@@ -146,18 +146,19 @@
 	bool at_key = run->group->guards.outcome_key &&
 		      result->steps_done == STEPS_BEFORE_KEY;
 
-	if (at_key && has_sqlstate(result, STATE_DUPLICATE_KEY)) {
+	if (at_key && has_sqlstate(result, SQLSTATE_DUPLICATE_KEY)) {
 		write_read_outcome(run, now_us);
 	} else if (has_sqlstate(result, SQLSTATE_READ_ONLY)) {
 		on_deposed(run, result, now_us);
 	} else if (at_key) {
-		run->server->outcome_term = 0;
+		run->server->outcome_table_term = 0;
 		retry_or_refuse(run, result, now_us);
 	} else if (has_sqlstate(result, SQLSTATE_SERIALIZATION) ||
 		   has_sqlstate(result, SQLSTATE_DEADLOCK)) {
 		retry_or_refuse(run, result, now_us);
 	} else {
-		write_roll_back(run, run_statement_error(result), now_us);
+		write_roll_back(run, run_statement_error_answer(result),
+				now_us);
 	}
 }
 
@@ -170,7 +171,7 @@
 		return;
 	}
 	run_detach(run, now_us);
-	run_refuse(run, run_statement_error(result));
+	run_refuse(run, run_statement_error_answer(result));
 }
 
 static void on_body(void *user, struct conn *c, struct upstream_result *result,
@@ -182,7 +183,7 @@
 		write_on_body_lost(run, result, now_us);
 		return;
 	}
-	server_heard(run->server, c->started_us, now_us);
+	server_mark_alive(run->server, c->started_us, now_us);
 	if (result->err.code) {
 		write_on_body_error(run, result, now_us);
 	} else if (write_was_split(run, c, result)) {
@@ -210,14 +211,14 @@
 	run->results = NULL;
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_BEGIN, false);
+	conn_add_step(c, SQL_BEGIN, false);
 	if (run->group->guards.outcome_key)
 		write_add_key(run, c, "done");
 	for (i = 0; i < r->n_statements; i++) {
-		conn_statement(c, &r->statements[i]);
+		conn_add_statement(c, &r->statements[i]);
 		c->dirty |= group_sql_leaves_state(r->statements[i].sql);
 	}
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, run->profile->max_answer_bytes, run->deadline_us - now_us,
 		  on_body, run, now_us);
 }
@@ -274,11 +275,11 @@
 		return;
 	}
 	run_detach(run, now_us);
-	run_refuse(run, run_statement_error(result));
+	run_refuse(run, run_statement_error_answer(result));
 }
 
 /* Whether a commit position is later than the connection's last one. */
-bool write_is_new(const struct conn *c, struct position p)
+bool write_is_new_commit(const struct conn *c, struct position p)
 {
 	return p.term > c->commit.term ||
 	       (p.term == c->commit.term && p.index > c->commit.index);
@@ -289,10 +290,10 @@
 				 const struct upstream_result *result,
 				 struct position *p)
 {
-	if (!result->last_row ||
-	    !position_parse(str_from_c(result->last_row[0]), p))
+	if (!result->last_step_row ||
+	    !position_parse(str_from_c(result->last_step_row[0]), p))
 		return false;
-	return write_is_new(c, *p);
+	return write_is_new_commit(c, *p);
 }
 
 static void on_commit(void *user, struct conn *c,
@@ -307,7 +308,7 @@
 		settle_begin(run, now_us);
 		return;
 	}
-	server_heard(s, c->started_us, now_us);
+	server_mark_alive(s, c->started_us, now_us);
 	if (result->err.code) {
 		on_commit_error(run, c, result, now_us);
 		return;
@@ -319,7 +320,7 @@
 	c->in_block = false;
 	c->commit = p;
 	fresh_on_applied(run->group->fresh, (unsigned)s->index, p);
-	reply = run_done(run, run->results);
+	reply = run_success_answer(run, run->results);
 	reply->seen = p;
 	reply->age_us = 0;
 	run_detach(run, now_us);
@@ -340,13 +341,13 @@
 	run_set_state(run, RUN_COMMITTING);
 	conn_begin(c);
 	if (run->group->guards.outcome_key) {
-		conn_step(c, SQL_OUTCOME_FINISH, false);
-		conn_param_text(c, str_from_c(run->key));
-		conn_param_int(c, clean_row_at(c->server));
-		conn_param_text(c, str_from_gstring(summary));
+		conn_add_step(c, SQL_OUTCOME_FINISH, false);
+		conn_add_text_param(c, str_from_c(run->key));
+		conn_add_int_param(c, clean_at_value(c->server));
+		conn_add_text_param(c, str_from_gstring(summary));
 	}
-	conn_step(c, SQL_COMMIT, false);
-	conn_step(c, SQL_COMMIT_POSITION, false);
+	conn_add_step(c, SQL_COMMIT, false);
+	conn_add_step(c, SQL_COMMIT_POSITION, false);
 	conn_send(c, 0, MIN(left_us / 2, COMMIT_TIMEOUT_US), on_commit, run,
 		  now_us);
 	g_string_free(summary, TRUE);
@@ -364,13 +365,13 @@
 		settle_begin(run, now_us);
 		return;
 	}
-	server_heard(run->server, c->started_us, now_us);
+	server_mark_alive(run->server, c->started_us, now_us);
 	if (result->err.code) {
 		settle_begin(run, now_us);
 		return;
 	}
 	c->in_block = false;
-	ok = outcome_cut_position(result->results, &p) &&
+	ok = outcome_take_position(result->results, &p) &&
 	     outcome_row_parse(result->results, &row);
 	run_detach(run, now_us);
 	if (!ok || row.state == OUTCOME_ROW_NONE)
@@ -392,12 +393,12 @@
 
 	c->in_block = true;
 	conn_begin(c);
-	conn_step(c, SQL_ROLLBACK, false);
-	conn_step(c, SQL_BEGIN_READ, false);
-	conn_step(c, SQL_OUTCOME_READ, true);
-	conn_param_text(c, str_from_c(run->key));
-	conn_step(c, SQL_READ_POSITION, true);
-	conn_step(c, SQL_COMMIT, false);
+	conn_add_step(c, SQL_ROLLBACK, false);
+	conn_add_step(c, SQL_BEGIN_READ, false);
+	conn_add_step(c, SQL_OUTCOME_READ, true);
+	conn_add_text_param(c, str_from_c(run->key));
+	conn_add_step(c, SQL_READ_POSITION, true);
+	conn_add_step(c, SQL_COMMIT, false);
 	conn_send(c, 0, run->deadline_us - now_us, on_outcome, run, now_us);
 }
 
--- a/packages/core/src/homes.c
+++ b/packages/core/src/homes.c
@@ -87,7 +87,7 @@
 }
 
 /* The score of a candidate that no server is near. */
-uint64_t homes_draw(uint64_t seed, const char *name)
+uint64_t homes_score(uint64_t seed, const char *name)
 {
 	return highest_score(seed, name, BASE_HASHES);
 }
--- a/packages/core/src/item.c
+++ b/packages/core/src/item.c
@@ -101,7 +101,7 @@
 	if (c->connections < c->slots)
 		return settings_fail(s, "connections", err,
 				     "must not be fewer than the slots");
-	return settings_done(s, err);
+	return settings_reject_unknown(s, err);
 }
 
 static bool check_server(const struct database_conf *db, unsigned index,
@@ -398,7 +398,7 @@
 		return false;
 	ok = field_text(s, "change", SETTINGS_REQUIRED_STR, &item->change, err);
 	ok = ok && kinds[item->kind].read(item, parts + 1, s, err);
-	ok = ok && settings_done(s, err);
+	ok = ok && settings_reject_unknown(s, err);
 	settings_destroy(s);
 	return ok;
 }
--- a/packages/core/src/member.c
+++ b/packages/core/src/member.c
@@ -30,7 +30,7 @@
 		.probe_interval_us = 500 * USEC_PER_MSEC,
 		.probe_timeout_us = 400 * USEC_PER_MSEC,
 		.suspect_timeout_us = USEC_PER_SEC,
-		.forget_dead_us = FORGET_DEAD_S * USEC_PER_SEC,
+		.dead_retention_us = FORGET_DEAD_S * USEC_PER_SEC,
 		.dead_probe_interval_us = 5 * USEC_PER_SEC,
 		.gossip_interval_us = 200 * USEC_PER_MSEC,
 		.sync_interval_us = 5 * USEC_PER_SEC,
@@ -143,8 +143,8 @@
  * Adds an address to ping for as long as no present member has it, so that this
  * node finds the first member, or members it has lost.
  */
-void members_seed(struct members *m, const char *host, uint16_t peer_port,
-		  uint64_t now_us)
+void members_add_seed(struct members *m, const char *host, uint16_t peer_port,
+		      uint64_t now_us)
 {
 	const struct member_info *self = &m->self->info;
 
@@ -420,7 +420,7 @@
  * Announces that the process exits to a few members, which pass it on. Nothing
  * is sent or handled after this.
  */
-void members_left(struct members *m, uint64_t now_us)
+void members_announce_exit(struct members *m, uint64_t now_us)
 {
 	if (m->left)
 		return;
@@ -493,7 +493,7 @@
 }
 
 /* Rises with each change, so that a caller can tell if the table changed. */
-uint64_t members_changes(const struct members *m)
+uint64_t members_change_count(const struct members *m)
 {
 	return m->changes;
 }
--- a/packages/core/src/member_internal.h
+++ b/packages/core/src/member_internal.h
@@ -225,7 +225,7 @@
 	unsigned n_live; /* alive, suspect or leaving; self included */
 	unsigned n_dead; /* dead, without those that left */
 	uint32_t buckets[MEMBER_BUCKETS]; /* digests of the table's parts */
-	uint64_t changes; /* see members_changes() */
+	uint64_t changes; /* see members_change_count() */
 	bool left; /* this node announced its exit */
 	uint64_t last_tick_at_us;
 	uint64_t next_forget_at_us;
--- a/packages/core/src/member_table.c
+++ b/packages/core/src/member_table.c
@@ -135,7 +135,7 @@
 	m->buckets[member_bucket(member)] ^= table_digest(member);
 }
 
-/* Removes members that have been dead or left for forget_dead_us. */
+/* Removes members that have been dead or left for dead_retention_us. */
 void member_table_forget(struct members *m, uint64_t now_us)
 {
 	unsigned i = m->table->len;
@@ -147,7 +147,7 @@
 
 		if (member == m->self || !member_is_gone(member->info.state) ||
 		    now_us - member->state_since_us <
-			    m->settings.forget_dead_us)
+			    m->settings.dead_retention_us)
 			continue;
 		member_gossip_drop(m, member);
 		member_probe_forget(m, member);
--- a/packages/core/src/outcome.c
+++ b/packages/core/src/outcome.c
@@ -95,7 +95,7 @@
 {
 	GString *out;
 
-	if (results->len + 2 <= OUTCOME_SUMMARY_MAX) {
+	if (results->len + 2 <= MAX_OUTCOME_SUMMARY_BYTES) {
 		out = g_string_sized_new(results->len + 2);
 		g_string_append_c(out, '[');
 		g_string_append_len(out, results->str, (gssize)results->len);
@@ -103,7 +103,7 @@
 		return out;
 	}
 	out = strip_rows(results);
-	if (out->len > OUTCOME_SUMMARY_MAX)
+	if (out->len > MAX_OUTCOME_SUMMARY_BYTES)
 		g_string_assign(out, "[]");
 	return out;
 }
@@ -199,11 +199,11 @@
 
 /*
  * The position is the last kept step, since the step after it, the COMMIT, has
- * overwritten last_row. Quotes within strings are escaped, so the last
+ * overwritten last_step_row. Quotes within strings are escaped, so the last
  * ELEMENT_START is the start of the last element, whatever the caller's own
  * rows contain.
  */
-bool outcome_cut_position(GString *results, struct position *out)
+bool outcome_take_position(GString *results, struct position *out)
 {
 	static const char row_start[] = "\"rows\":[[\"";
 	char *at = find_last_element(results);
--- a/packages/core/src/outcome.h
+++ b/packages/core/src/outcome.h
@@ -10,7 +10,7 @@
 #include <celeryquay/core/request.h>
 
 /* Maximum bytes of a summary; a longer answer is stored without its rows. */
-#define OUTCOME_SUMMARY_MAX 4096
+#define MAX_OUTCOME_SUMMARY_BYTES 4096
 
 enum outcome_state {
 	OUTCOME_ROW_NONE,
@@ -53,7 +53,7 @@
  * cq_read_position(), and removes it. False, with the results unchanged, if it
  * is not a position.
  */
-bool outcome_cut_position(GString *results, struct position *out);
+bool outcome_take_position(GString *results, struct position *out);
 /* Number of rows changed by the first kept step; 0 if malformed. */
 uint64_t outcome_rows_affected(const GString *results);
 
--- a/packages/core/src/request.c
+++ b/packages/core/src/request.c
@@ -43,7 +43,7 @@
 }
 
 /* Copies bytes and a trailing NUL into the request's arena. */
-struct str request_keep(struct request *r, const char *data, size_t len)
+struct str request_copy_bytes(struct request *r, const char *data, size_t len)
 {
 	struct str s;
 
--- a/packages/core/src/retry.c
+++ b/packages/core/src/retry.c
@@ -12,7 +12,7 @@
 }
 
 /* Each first try earns tokens, up to max_tokens. */
-void retry_budget_first_try(struct retry_budget *b)
+void retry_budget_on_first_try(struct retry_budget *b)
 {
 	b->tokens += b->tokens_per_first_try;
 	if (b->tokens > b->max_tokens)
--- a/packages/core/src/route.c
+++ b/packages/core/src/route.c
@@ -93,7 +93,7 @@
 	if (c->servers[i].leaving && (int)i != c->primary)
 		return ROUTE_SKIP_LEAVING;
 	if (was_deposed(c, i))
-		return PASS_ROLE;
+		return ROUTE_SKIP_ROLE;
 	if (!fresh_has_applied(c->fresh, i, c->req->seen))
 		return ROUTE_SKIP_BEHIND_SESSION;
 	if (!fresh_enough(c, i, wait_us))
@@ -101,7 +101,8 @@
 	return ROUTE_SKIP_NONE;
 }
 
-static void set_choice(struct choice_context *c, int server, enum route_why why)
+static void set_choice(struct choice_context *c, int server,
+		       enum route_reason why)
 {
 	c->out->server = server;
 	c->out->why = why;
@@ -111,7 +112,7 @@
 	c->out->age_us = fresh_age_us(c->fresh, (unsigned)server, c->now_us);
 }
 
-static void set_wait(struct choice_context *c, enum route_why why,
+static void set_wait(struct choice_context *c, enum route_reason why,
 		     uint64_t wait_us)
 {
 	set_choice(c, -1, why);
@@ -154,7 +155,7 @@
 	for (i = 0; i < c->n_servers; i++) {
 		if (c->out->passed[i] != ROUTE_SKIP_NONE || (int)i == best)
 			continue;
-		c->out->passed[i] = (int)i == c->primary ? PASS_ROLE :
+		c->out->passed[i] = (int)i == c->primary ? ROUTE_SKIP_ROLE :
 							   ROUTE_SKIP_SLOWER;
 	}
 }
@@ -291,7 +292,7 @@
 	unsigned i;
 
 	for (i = 0; i < c->n_servers; i++)
-		c->out->passed[i] = PASS_ROLE;
+		c->out->passed[i] = ROUTE_SKIP_ROLE;
 	if (c->primary < 0) {
 		set_choice(c, -1, ROUTE_NONE_NO_PRIMARY);
 		return;
@@ -329,7 +330,7 @@
 	};
 
 	*out = (struct route_choice){ .server = -1 };
-	if (fresh_lost(fresh, req->seen))
+	if (fresh_is_lost(fresh, req->seen))
 		set_choice(&c, -1, ROUTE_NONE_LOST_HISTORY);
 	else if (req->profile->access == ACCESS_WRITE)
 		choose_write(&c);
@@ -359,7 +360,7 @@
 }
 
 /* The reason's name in the decision log. */
-const char *route_why_name(enum route_why why)
+const char *route_reason_name(enum route_reason why)
 {
 	static const char *const names[] = {
 		[ROUTE_PRIMARY_WRITE] = "primary_write",
@@ -377,13 +378,13 @@
 }
 
 /* The letter in the decision log for why a server was not chosen. */
-char route_pass_letter(enum route_skip pass)
+char route_skip_letter(enum route_skip pass)
 {
 	static const char letters[] = {
 		[ROUTE_SKIP_NONE] = '-',    [ROUTE_SKIP_DOWN] = 'd',
 		[ROUTE_SKIP_LEAVING] = 'l', [ROUTE_SKIP_BEHIND_SESSION] = 'b',
 		[ROUTE_SKIP_TOO_OLD] = 'o', [ROUTE_SKIP_SLOWER] = 's',
-		[PASS_ROLE] = 'r',
+		[ROUTE_SKIP_ROLE] = 'r',
 	};
 
 	return letters[pass];
--- a/packages/core/src/session.c
+++ b/packages/core/src/session.c
@@ -17,7 +17,7 @@
 #define SECRET_LEN 32
 #define KEY_ID_MAX_LEN 47
 #define HEADER_LEN 2 /* the version and the id's length */
-#define MAX_RAW_LEN (SESSION_MAX_TEXT / 4 * 3)
+#define MAX_RAW_LEN (SESSION_MAX_TEXT_LEN / 4 * 3)
 #define ENTRY_FIELDS 3 /* elements of the list per entry */
 /* Hashed first, so that the MAC of another message is no valid signature. */
 #define MAC_CONTEXT "celeryquay session"
@@ -291,7 +291,7 @@
 	out->count = 0;
 	if (!text.len)
 		return true;
-	if (text.len > SESSION_MAX_TEXT)
+	if (text.len > SESSION_MAX_TEXT_LEN)
 		return fail(err, "is too long");
 	raw = decode_base64url(text, &len);
 	if (!raw)
@@ -333,7 +333,7 @@
 
 /*
  * Appends the token, signed with the signing key of the highest revision. What
- * doesn't fit into SESSION_MAX_TEXT is left out, the oldest entries first.
+ * doesn't fit into SESSION_MAX_TEXT_LEN is left out, the oldest entries first.
  * Fails with INTERNAL when there is no key to sign with.
  */
 bool session_encode(struct model *keys, const struct session *session,
--- a/packages/core/src/types.c
+++ b/packages/core/src/types.c
@@ -18,7 +18,7 @@
  * only rise along a log, so a position before the first kept entry can be part
  * of it only with an older term.
  */
-bool history_has(const struct history *h, struct position p)
+bool history_contains(const struct history *h, struct position p)
 {
 	if (!p.term || !p.index)
 		return true;
--- a/packages/core/tests/support_fake_session.c
+++ b/packages/core/tests/support_fake_session.c
@@ -182,7 +182,8 @@
  */
 static void commit_maintenance(struct fake_session *s)
 {
-	if (!s->maintenance || !fake_sql_take_late_failure(s->sql, s->server))
+	if (!s->maintenance ||
+	    !fake_sql_take_failure_after_commit(s->sql, s->server))
 		return;
 	fdb_insert(fake_sql_db(s->sql), s->server, fake_sql_nonce(s->sql),
 		   FDB_EMPTY, &s->last_commit);
@@ -567,7 +568,7 @@
 	}
 	if (run->result.err.code)
 		return;
-	run->result.last_row = run->row[0] ? run->row : NULL;
+	run->result.last_step_row = run->row[0] ? run->row : NULL;
 }
 
 enum fake_progress fake_session_run(struct fake_session *s,
--- a/packages/core/tests/support_fake_sql.h
+++ b/packages/core/tests/support_fake_sql.h
@@ -82,9 +82,9 @@
 /* Marks the outcome rows with an earlier "at" as removed. */
 void fake_sql_note_removal(struct fake_sql *sql, int64_t before);
 /*
- * Whether this maintenance block is one of the n of fake_sql_fail_late();
- * decrements n if so.
+ * Whether this maintenance block is one of the n of
+ * fake_sql_fail_after_commit(); decrements n if so.
  */
-bool fake_sql_take_late_failure(struct fake_sql *sql, unsigned server);
+bool fake_sql_take_failure_after_commit(struct fake_sql *sql, unsigned server);
 
 #endif
--- a/packages/core/tests/support_fake_upstream.c
+++ b/packages/core/tests/support_fake_upstream.c
@@ -128,12 +128,13 @@
 	return g_hash_table_contains(sql->removed, GSIZE_TO_POINTER(trip));
 }
 
-void fake_sql_fail_late(struct fake_sql *sql, unsigned server, unsigned n)
+void fake_sql_fail_after_commit(struct fake_sql *sql, unsigned server,
+				unsigned n)
 {
 	sql->servers[server].late_failures = n;
 }
 
-bool fake_sql_take_late_failure(struct fake_sql *sql, unsigned server)
+bool fake_sql_take_failure_after_commit(struct fake_sql *sql, unsigned server)
 {
 	if (!sql->servers[server].late_failures)
 		return false;
@@ -219,7 +220,8 @@
 	sql->servers[server].service_us = service_us;
 }
 
-void fake_sql_lose_commits(struct fake_sql *sql, unsigned server, unsigned n)
+void fake_sql_lose_commit_replies(struct fake_sql *sql, unsigned server,
+				  unsigned n)
 {
 	sql->servers[server].lost_commit_replies = n;
 }
@@ -232,7 +234,8 @@
 		sql->servers[i].connection_limit = connection_limit;
 }
 
-unsigned fake_sql_refused(const struct fake_sql *sql, unsigned server)
+unsigned fake_sql_refused_connections(const struct fake_sql *sql,
+				      unsigned server)
 {
 	return sql->servers[server].refused_connections;
 }
@@ -242,7 +245,7 @@
 	return sql->servers[server].connections;
 }
 
-unsigned fake_sql_most_connections(const struct fake_sql *sql, unsigned server)
+unsigned fake_sql_max_connections(const struct fake_sql *sql, unsigned server)
 {
 	return sql->servers[server].max_connections;
 }
@@ -478,7 +481,8 @@
 	if (c->muted && c->close_tries == CLOSE_MAX_TRIES)
 		end_session(c);
 	send_to_server(c, 0, on_close);
-	sim_at(c->u->sql->sim, SIM_WORLD, CLOSE_RETRY_US, retry_close, c, NULL);
+	sim_at(c->u->sql->sim, SIM_NO_NODE, CLOSE_RETRY_US, retry_close, c,
+	       NULL);
 }
 
 static void close_conn(struct upstream *u, conn_id id)
@@ -490,7 +494,7 @@
 	c->closed = true;
 	g_hash_table_remove(u->conns, &c->id);
 	send_to_server(c, 0, on_close);
-	sim_at(u->sql->sim, SIM_WORLD, CLOSE_RETRY_US, retry_close, c, NULL);
+	sim_at(u->sql->sim, SIM_NO_NODE, CLOSE_RETRY_US, retry_close, c, NULL);
 }
 
 const struct upstream_ops fake_upstream_ops = {
--- a/packages/core/tests/support_fake_upstream.h
+++ b/packages/core/tests/support_fake_upstream.h
@@ -37,21 +37,24 @@
  * Loses the answers to the next n runs that commit, together with their
  * connections. The commits themselves succeed.
  */
-void fake_sql_lose_commits(struct fake_sql *sql, unsigned server, unsigned n);
+void fake_sql_lose_commit_replies(struct fake_sql *sql, unsigned server,
+				  unsigned n);
 /* Whether a removal of outcome rows covered the trip's row. */
 bool fake_sql_removed(struct fake_sql *sql, uint64_t trip);
 /*
  * The next n maintenance blocks of proxies (which remove outcome rows or create
  * their table) commit, but the query for their commit position is refused.
  */
-void fake_sql_fail_late(struct fake_sql *sql, unsigned server, unsigned n);
+void fake_sql_fail_after_commit(struct fake_sql *sql, unsigned server,
+				unsigned n);
 /* Sets the connection limit of each server; more are refused. */
 void fake_sql_set_limit(struct fake_sql *sql, unsigned limit);
 /* Number of connections refused at the limit. */
-unsigned fake_sql_refused(const struct fake_sql *sql, unsigned server);
+unsigned fake_sql_refused_connections(const struct fake_sql *sql,
+				      unsigned server);
 unsigned fake_sql_connections(const struct fake_sql *sql, unsigned server);
 /* The highest number of connections open at once. */
-unsigned fake_sql_most_connections(const struct fake_sql *sql, unsigned server);
+unsigned fake_sql_max_connections(const struct fake_sql *sql, unsigned server);
 
 /* Creates one proxy's connections; node is the proxy's in the simulation. */
 struct upstream *fake_upstream_create(struct fake_sql *sql, int node,
--- a/packages/core/tests/support_fleet.c
+++ b/packages/core/tests/support_fleet.c
@@ -374,8 +374,8 @@
 		if (i == node->index)
 			continue;
 		make_info(&f->nodes[i], &seed);
-		members_seed(node->members, seed.host, seed.peer_port,
-			     f->now_us);
+		members_add_seed(node->members, seed.host, seed.peer_port,
+				 f->now_us);
 	}
 }
 
@@ -414,7 +414,7 @@
 }
 
 /* Sets the clock error that the node's next process starts with. */
-void fleet_clock(struct fleet *f, unsigned node, int64_t offset_us)
+void fleet_set_clock_offset(struct fleet *f, unsigned node, int64_t offset_us)
 {
 	f->nodes[node].clock_offset_us = offset_us;
 }
@@ -426,7 +426,7 @@
 }
 
 /* A resumed process first runs its timers, then reads the queued messages. */
-void fleet_pause(struct fleet *f, unsigned index, bool paused)
+void fleet_set_paused(struct fleet *f, unsigned index, bool paused)
 {
 	struct node *node = &f->nodes[index];
 	struct fleet_event *e;
@@ -443,13 +443,13 @@
 }
 
 /* Messages between nodes of different partitions are lost. */
-void fleet_group(struct fleet *f, unsigned node, unsigned partition)
+void fleet_set_partition(struct fleet *f, unsigned node, unsigned partition)
 {
 	f->nodes[node].partition = partition;
 }
 
 /* Sets the share of messages that are lost. */
-void fleet_loss(struct fleet *f, double loss)
+void fleet_set_loss(struct fleet *f, double loss)
 {
 	f->settings.loss = loss;
 }
@@ -569,8 +569,9 @@
 	*out = f->counts;
 	for (i = 0; i < f->settings.n; i++) {
 		for (kind = 0; kind < FLEET_KIND_COUNT; kind++)
-			out->bytes_most[kind] = MAX(out->bytes_most[kind],
-						    f->nodes[i].bytes[kind]);
+			out->max_node_bytes[kind] =
+				MAX(out->max_node_bytes[kind],
+				    f->nodes[i].bytes[kind]);
 	}
 }
 
--- a/packages/core/tests/support_fleet.h
+++ b/packages/core/tests/support_fleet.h
@@ -40,7 +40,8 @@
 struct fleet_counts {
 	uint64_t messages[FLEET_KIND_COUNT];
 	uint64_t bytes[FLEET_KIND_COUNT];
-	uint64_t bytes_most[FLEET_KIND_COUNT]; /* the most sent by one node */
+	uint64_t max_node_bytes[FLEET_KIND_COUNT]; /* the most sent by one node
+						    */
 	uint64_t largest[FLEET_KIND_COUNT]; /* size of the largest message */
 	/* Transport links: opened on use, closed after 15 s without use. */
 	uint64_t links_opened;
@@ -65,15 +66,15 @@
 /* Starts n nodes from node `first` on. */
 void fleet_start_all(struct fleet *f, unsigned first, unsigned n);
 /* Sets the clock error that the node's next process starts with. */
-void fleet_clock(struct fleet *f, unsigned node, int64_t offset_us);
+void fleet_set_clock_offset(struct fleet *f, unsigned node, int64_t offset_us);
 /* Ends the process without notice to the other nodes. */
 void fleet_kill(struct fleet *f, unsigned node);
 /* Stops or resumes the process; messages queue up while it is paused. */
-void fleet_pause(struct fleet *f, unsigned node, bool paused);
+void fleet_set_paused(struct fleet *f, unsigned node, bool paused);
 /* Messages between partitions are lost. All nodes begin in partition 0. */
-void fleet_group(struct fleet *f, unsigned node, unsigned partition);
+void fleet_set_partition(struct fleet *f, unsigned node, unsigned partition);
 /* Sets the share of messages that are lost. */
-void fleet_loss(struct fleet *f, double loss);
+void fleet_set_loss(struct fleet *f, double loss);
 
 unsigned fleet_size(const struct fleet *f);
 /* Counts the node's processes from 1; 0 while the node is not running. */
--- a/packages/core/tests/support_fleet_store.c
+++ b/packages/core/tests/support_fleet_store.c
@@ -177,7 +177,7 @@
 }
 
 /* The number of nodes that have a watch. */
-unsigned fleet_store_watches(const struct fleet_store *s)
+unsigned fleet_store_watch_count(const struct fleet_store *s)
 {
 	unsigned i, n = 0;
 
@@ -187,7 +187,7 @@
 }
 
 /* The number of lists answered so far. */
-uint64_t fleet_store_lists(const struct fleet_store *s)
+uint64_t fleet_store_list_count(const struct fleet_store *s)
 {
 	return s->list_count;
 }
--- a/packages/core/tests/support_fleet_store.h
+++ b/packages/core/tests/support_fleet_store.h
@@ -24,9 +24,9 @@
 				 bool unreachable);
 /* Whether a node has a watch, and the number of nodes that have one. */
 bool fleet_store_watched_by(const struct fleet_store *s, unsigned node);
-unsigned fleet_store_watches(const struct fleet_store *s);
+unsigned fleet_store_watch_count(const struct fleet_store *s);
 /* The number of lists answered so far. */
-uint64_t fleet_store_lists(const struct fleet_store *s);
+uint64_t fleet_store_list_count(const struct fleet_store *s);
 /* The revision of the last change. */
 uint64_t fleet_store_revision(const struct fleet_store *s);
 /* The number of running nodes whose own revision is below this one. */
--- a/packages/core/tests/support_group.c
+++ b/packages/core/tests/support_group.c
@@ -310,7 +310,7 @@
 	c->request = request_create(REQUEST_RUN);
 	c->request->caller = STR("van");
 	g_snprintf(key, sizeof(key), "k%" PRIu64, trip);
-	c->request->key = request_keep(c->request, key, strlen(key));
+	c->request->key = request_copy_bytes(c->request, key, strlen(key));
 	c->request->digest = c->request->key;
 	c->request->deadline_left_us = DEADLINE_US;
 	c->request->statements = g_new0(struct statement, 8);
@@ -327,7 +327,7 @@
 	struct request *q = c->request;
 	struct statement *s = &q->statements[q->n_statements++];
 
-	s->sql = request_keep(q, sql, strlen(sql));
+	s->sql = request_copy_bytes(q, sql, strlen(sql));
 	s->n_params = 1;
 	s->params = g_new0(struct value, 1);
 	s->params[0].type = VALUE_INT;
@@ -391,7 +391,7 @@
 	return c;
 }
 
-bool rig_sees(const struct rig_call *c, uint64_t trip)
+bool rig_result_contains(const struct rig_call *c, uint64_t trip)
 {
 	char before[32], first[32];
 
--- a/packages/core/tests/support_group.h
+++ b/packages/core/tests/support_group.h
@@ -82,6 +82,6 @@
 struct rig_call *rig_read(struct rig *r, unsigned home, uint64_t max_age_us,
 			  struct position seen);
 /* Whether the call's results contain the trip. */
-bool rig_sees(const struct rig_call *c, uint64_t trip);
+bool rig_result_contains(const struct rig_call *c, uint64_t trip);
 
 #endif
--- a/packages/core/tests/support_history.c
+++ b/packages/core/tests/support_history.c
@@ -124,7 +124,7 @@
 		struct group *g = rig_group(h->rig, i);
 
 		if (g)
-			fn(group_guards_of(g));
+			fn(group_test_guards(g));
 	}
 }
 
@@ -166,8 +166,8 @@
 	else if (op->kind == OP_COMMIT)
 		r->kind = REQUEST_COMMIT;
 	if (op->kind == OP_IN_TRANSACTION || op->kind == OP_COMMIT)
-		r->transaction =
-			request_keep(r, s->transaction, strlen(s->transaction));
+		r->transaction = request_copy_bytes(r, s->transaction,
+						    strlen(s->transaction));
 	c->profile.max_age_us = op->max_age_us;
 	r->seen = s->seen;
 	r->resend = op->resent;
@@ -239,7 +239,7 @@
 	for (i = 0; i < s->written->len; i++) {
 		uint64_t trip = g_array_index(s->written, uint64_t, i);
 
-		if (!rig_sees(op->call, trip))
+		if (!rig_result_contains(op->call, trip))
 			violate(h, "own trip %" PRIu64 " not read from %s",
 				trip, op->call->server);
 	}
@@ -250,7 +250,7 @@
 		    !w->done_at_us || w->outcome != OUTCOME_DONE ||
 		    w->done_at_us >= fresh_from_at_us || !w->trip)
 			continue;
-		if (!rig_sees(op->call, w->trip))
+		if (!rig_result_contains(op->call, w->trip))
 			violate(h,
 				"trip %" PRIu64 " of %" PRIu64
 				" not read from %s at %" PRIu64
@@ -420,7 +420,7 @@
 {
 	rig_restart_home(h->rig, home);
 	if (h->guards)
-		h->guards(group_guards_of(rig_group(h->rig, home)));
+		h->guards(group_test_guards(rig_group(h->rig, home)));
 }
 
 static void fault_link(struct history_run *h, unsigned server)
@@ -483,7 +483,8 @@
 		break;
 	case 6:
 	case 7:
-		fake_sql_lose_commits(rig_sql(r), server, 1 + pick(h, 3));
+		fake_sql_lose_commit_replies(rig_sql(r), server,
+					     1 + pick(h, 3));
 		break;
 	case 8:
 		fdb_set_lag(rig_db(r), server, pick(h, 200000));
--- a/packages/core/tests/support_sim.c
+++ b/packages/core/tests/support_sim.c
@@ -3,7 +3,7 @@
 struct sim_event {
 	uint64_t at_us;
 	uint64_t sequence; /* order among events of the same time */
-	int from; /* sending node, SIM_WORLD: not a message */
+	int from; /* sending node, SIM_NO_NODE: not a message */
 	int node; /* where it runs */
 	unsigned epoch; /* of the node when the event was scheduled */
 	sim_fn fn;
@@ -111,8 +111,8 @@
 
 static void run_event(struct sim *s, struct sim_event *e)
 {
-	struct sim_node *node = e->node == SIM_WORLD ? NULL :
-						       &s->nodes[e->node];
+	struct sim_node *node = e->node == SIM_NO_NODE ? NULL :
+							 &s->nodes[e->node];
 
 	if (node && !node->down && node->paused_until_us > s->now_us) {
 		e->at_us = node->paused_until_us;
@@ -147,7 +147,7 @@
 		.at_us = s->now_us + delay_us,
 		.from = from,
 		.node = node,
-		.epoch = node == SIM_WORLD ? 0 : s->nodes[node].epoch,
+		.epoch = node == SIM_NO_NODE ? 0 : s->nodes[node].epoch,
 		.fn = fn,
 		.ctx = ctx,
 		.data = data,
@@ -159,7 +159,7 @@
 void sim_at(struct sim *s, int node, uint64_t delay_us, sim_fn fn, void *ctx,
 	    void *data)
 {
-	schedule(s, SIM_WORLD, node, delay_us, fn, ctx, data);
+	schedule(s, SIM_NO_NODE, node, delay_us, fn, ctx, data);
 }
 
 /* Delay of one message, with its retransmissions; UINT64_MAX: lost. */
--- a/packages/core/tests/support_sim.h
+++ b/packages/core/tests/support_sim.h
@@ -12,7 +12,7 @@
 #include <glib.h>
 
 #define SIM_MAX_NODES 16
-#define SIM_WORLD (-1) /* for events that no fault affects */
+#define SIM_NO_NODE (-1) /* for events that no fault affects */
 
 struct sim;
 
--- a/packages/core/tests/test_admit.c
+++ b/packages/core/tests/test_admit.c
@@ -88,7 +88,7 @@
 	ck_assert_ptr_null(admit_pop(a, 0));
 	ck_assert_uint_eq(admit_running(a), 2);
 	ck_assert_uint_eq(admit_queued(a), 1);
-	ck_assert_uint_gt(admit_wait_us(a), 0);
+	ck_assert_uint_gt(admit_backlog_us(a), 0);
 	admit_done(a, e, 5 * MS);
 	ck_assert_ptr_eq(admit_pop(a, 0), &entries[2]);
 	ck_assert_ptr_null(admit_pop(a, 0));
@@ -278,10 +278,10 @@
 	push("a", &normal, 0, 1000);
 	push("a", &normal, 0, 50);
 	push("b", &normal, 0, 50);
-	ck_assert_ptr_null(admit_expired(a, 10 * MS));
-	ck_assert_ptr_eq(admit_expired(a, 50 * MS), &entries[1]);
-	ck_assert_ptr_eq(admit_expired(a, 50 * MS), &entries[2]);
-	ck_assert_ptr_null(admit_expired(a, 50 * MS));
+	ck_assert_ptr_null(admit_pop_expired(a, 10 * MS));
+	ck_assert_ptr_eq(admit_pop_expired(a, 50 * MS), &entries[1]);
+	ck_assert_ptr_eq(admit_pop_expired(a, 50 * MS), &entries[2]);
+	ck_assert_ptr_null(admit_pop_expired(a, 50 * MS));
 	ck_assert_uint_eq(admit_queued(a), 1);
 	ck_assert_ptr_eq(serve(60, 5), &entries[0]);
 }
@@ -291,7 +291,7 @@
 {
 	push("a", &normal, 0, 50);
 	ck_assert_ptr_null(admit_pop(a, 50 * MS));
-	ck_assert_ptr_eq(admit_expired(a, 50 * MS), &entries[0]);
+	ck_assert_ptr_eq(admit_pop_expired(a, 50 * MS), &entries[0]);
 }
 END_TEST
 
@@ -350,7 +350,7 @@
 				  ERR_NONE;
 		else if (action < 9 && (e = admit_pop(a, ms * MS)))
 			g_ptr_array_add(running, e);
-		while ((e = admit_expired(a, ms * MS)))
+		while ((e = admit_pop_expired(a, ms * MS)))
 			finished++;
 		if (running->len && g_rand_int_range(rng, 0, 2)) {
 			e = g_ptr_array_remove_index(running, 0);
--- a/packages/core/tests/test_confsync.c
+++ b/packages/core/tests/test_confsync.c
@@ -82,7 +82,7 @@
 	settings.data_centres = 10;
 	settings.regions = 4;
 	s = start_fleet(&settings, &f);
-	ck_assert_uint_eq(fleet_store_watches(s), 8);
+	ck_assert_uint_eq(fleet_store_watch_count(s), 8);
 	put_limit(s, "a", 10);
 	revision = fleet_store_put(s, "limit/b", NULL);
 	fleet_store_run(s, 3 * SEC);
@@ -108,7 +108,7 @@
 	fleet_settings_default(&settings, 60);
 	settings.data_centres = 4;
 	s = start_fleet(&settings, &f);
-	fleet_loss(f, 0.2);
+	fleet_set_loss(f, 0.2);
 	for (i = 0; i < 20; i++) {
 		put_limit(s, "a", 100 + (int)i);
 		fleet_store_run(s, SEC / 5);
@@ -244,7 +244,7 @@
 	fleet_settings_default(&settings, 6);
 	settings.spread.max_tombstones = 4;
 	s = start_fleet(&settings, &f);
-	fleet_group(f, 3, 1);
+	fleet_set_partition(f, 3, 1);
 	fleet_store_set_unreachable(s, 3, true);
 	fleet_store_run(s, 60 * SEC);
 	fleet_store_put(s, "limit/a", NULL);
@@ -263,7 +263,7 @@
 	ck_assert_uint_eq(stats.tombstones, 4);
 	ck_assert_int_eq(limit_at(f, 3, "a"), 1);
 	fleet_store_set_down(s, true);
-	fleet_group(f, 3, 0);
+	fleet_set_partition(f, 3, 0);
 	for (i = 0; i < 60; i++) {
 		fleet_store_run(s, SEC);
 		ck_assert_int_eq(limit_at(f, i % 3, "a"), -1);
@@ -318,7 +318,7 @@
 	settings.data_centres = settings.regions = 2;
 	s = start_fleet(&settings, &f);
 	for (i = 0; i < settings.n; i += 2)
-		fleet_group(f, i, 1);
+		fleet_set_partition(f, i, 1);
 	fleet_store_set_down(s, true);
 	fleet_store_run(s, 30 * SEC);
 	/* One region gets both changes, the other keeps the old values. */
@@ -335,7 +335,7 @@
 	ck_assert_int_eq(limit_at(f, 3, "a"), 8);
 	ck_assert_int_eq(limit_at(f, 2, "a"), 1);
 	for (i = 0; i < settings.n; i += 2)
-		fleet_group(f, i, 0);
+		fleet_set_partition(f, i, 0);
 	fleet_store_run(s, 60 * SEC);
 	for (i = 0; i < settings.n; i++) {
 		ck_assert_int_eq(limit_at(f, i, "a"), 8);
@@ -392,14 +392,14 @@
 
 	fleet_settings_default(&settings, 20);
 	s = start_fleet(&settings, &f);
-	ck_assert_uint_eq(fleet_store_watches(s), 2);
-	lists = fleet_store_lists(s);
+	ck_assert_uint_eq(fleet_store_watch_count(s), 2);
+	lists = fleet_store_list_count(s);
 	while (!fleet_store_watched_by(s, victim))
 		victim++;
 	fleet_kill(f, victim);
 	fleet_store_run(s, 15 * SEC);
-	ck_assert_uint_eq(fleet_store_watches(s), 2);
-	ck_assert_uint_eq(fleet_store_lists(s), lists + 1);
+	ck_assert_uint_eq(fleet_store_watch_count(s), 2);
+	ck_assert_uint_eq(fleet_store_list_count(s), lists + 1);
 	put_limit(s, "a", 77);
 	fleet_store_run(s, 3 * SEC);
 	for (i = 0; i < settings.n; i++) {
@@ -425,7 +425,7 @@
 
 	fleet_settings_default(&settings, 8);
 	s = start_fleet(&settings, &f);
-	fleet_group(f, 6, 1);
+	fleet_set_partition(f, 6, 1);
 	fleet_store_set_unreachable(s, 6, true);
 	for (i = 0; i < 30; i++) {
 		revision = put_limit(s, i % 2 ? "a" : "b", (int)i);
@@ -445,7 +445,7 @@
 	ck_assert_uint_lt(confsync_member_revision(fleet_confsync(f, 0),
 						   "n0006"),
 			  revision);
-	fleet_group(f, 6, 0);
+	fleet_set_partition(f, 6, 0);
 	fleet_store_run(s, 30 * SEC);
 	ck_assert_uint_eq(fleet_store_lagging(s, revision), 0);
 	ck_assert_uint_eq(confsync_member_revision(fleet_confsync(f, 0),
--- a/packages/core/tests/test_conn_pool.c
+++ b/packages/core/tests/test_conn_pool.c
@@ -137,7 +137,7 @@
 static void send_one(struct conn *c, struct request_mock *m, uint64_t now_us)
 {
 	conn_begin(c);
-	conn_step(c, STR("SELECT 1"), true);
+	conn_add_step(c, STR("SELECT 1"), true);
 	conn_send(c, 0, 100, on_done, m, now_us);
 }
 
@@ -237,7 +237,7 @@
 	struct upstream_target target = { 0 };
 
 	conn_pool_open(pool, NULL, CONN_WORK, &target, 1000, 0);
-	ck_assert_uint_eq(conn_pool_next_us(pool), 1000);
+	ck_assert_uint_eq(conn_pool_next_deadline_us(pool), 1000);
 	conn_pool_expire(pool, 999);
 	ck_assert_uint_eq(n_failed, 0);
 	conn_pool_expire(pool, 1000);
--- a/packages/core/tests/test_failover_group.c
+++ b/packages/core/tests/test_failover_group.c
@@ -98,7 +98,7 @@
 	struct link_restore m = { .a = a, .from = from, .to = to };
 
 	sim_block(sim, from, to, true);
-	sim_at(sim, SIM_WORLD, (20 + pick(a, 400)) * USEC_PER_MSEC,
+	sim_at(sim, SIM_NO_NODE, (20 + pick(a, 400)) * USEC_PER_MSEC,
 	       restore_link, a, g_memdup2(&m, sizeof(m)));
 }
 
@@ -138,7 +138,7 @@
 	case 5:
 		server = rig_primary(a->rig);
 		block_link(a, (int)server, (int)(server + 1) % 3);
-		sim_at(sim, SIM_WORLD, pick(a, 200) * USEC_PER_MSEC,
+		sim_at(sim, SIM_NO_NODE, pick(a, 200) * USEC_PER_MSEC,
 		       block_second_replica, a,
 		       g_memdup2(&server, sizeof(server)));
 		break;
@@ -165,13 +165,13 @@
 		    (f->phase == FAILOVER_GRANT ||
 		     f->phase == FAILOVER_PROMOTE) &&
 		    pick(a, 2))
-			sim_at(rig_sim(a->rig), SIM_WORLD, pick(a, 3000),
+			sim_at(rig_sim(a->rig), SIM_NO_NODE, pick(a, 3000),
 			       inject_fault, a, g_memdup2(&i, sizeof(i)));
 		if (f)
 			a->last_phase[i] = f->phase;
 	}
 	if (sim_now(rig_sim(a->rig)) < a->until_us)
-		sim_at(rig_sim(a->rig), SIM_WORLD, POLL_US, poll_failovers, a,
+		sim_at(rig_sim(a->rig), SIM_NO_NODE, POLL_US, poll_failovers, a,
 		       NULL);
 }
 
@@ -193,7 +193,7 @@
 					   sim_now(sim), &err);
 	}
 	if (sim_now(sim) < a->until_us)
-		sim_at(sim, SIM_WORLD, MOVE_INTERVAL_US, request_moves, a,
+		sim_at(sim, SIM_NO_NODE, MOVE_INTERVAL_US, request_moves, a,
 		       NULL);
 }
 
--- a/packages/core/tests/test_failover_histories.c
+++ b/packages/core/tests/test_failover_histories.c
@@ -122,8 +122,8 @@
 	if (p->duration_us < MOVE_INTERVAL_US)
 		return;
 	p->duration_us -= MOVE_INTERVAL_US;
-	sim_at(cluster_sim(ctx), SIM_WORLD, MOVE_INTERVAL_US, move_to_next, ctx,
-	       g_memdup2(p, sizeof(*p)));
+	sim_at(cluster_sim(ctx), SIM_NO_NODE, MOVE_INTERVAL_US, move_to_next,
+	       ctx, g_memdup2(p, sizeof(*p)));
 }
 
 static void begin_fault(void *ctx, void *data)
@@ -156,7 +156,7 @@
 		break;
 	case FAULT_SPLIT_ONE_BY_ONE:
 		sim_block(sim, (int)p->server, (int)(p->server + 1) % 3, true);
-		sim_at(sim, SIM_WORLD, p->duration_us / 4, block_last_replica,
+		sim_at(sim, SIM_NO_NODE, p->duration_us / 4, block_last_replica,
 		       c, g_memdup2(p, sizeof(*p)));
 		break;
 	case FAULT_PAUSE_SERVER:
@@ -221,8 +221,8 @@
 		(p->server + 1 + pick(rng, 2 + run->homes)) % (3 + run->homes);
 	/* From 50 ms to about 3 s. */
 	p->duration_us = (50 * USEC_PER_MSEC) << pick(rng, 7);
-	sim_at(sim, SIM_WORLD, start_us, begin_fault, run->c, p);
-	sim_at(sim, SIM_WORLD, start_us + p->duration_us, end_fault, run->c,
+	sim_at(sim, SIM_NO_NODE, start_us, begin_fault, run->c, p);
+	sim_at(sim, SIM_NO_NODE, start_us + p->duration_us, end_fault, run->c,
 	       g_memdup2(p, sizeof(*p)));
 }
 
--- a/packages/core/tests/test_fresh.c
+++ b/packages/core/tests/test_fresh.c
@@ -63,12 +63,12 @@
 {
 	ck_assert_int_eq(fresh_primary(f), -1);
 	ck_assert_uint_eq(fresh_term(f), 0);
-	ck_assert_uint_eq(fresh_confirmed_us(f), 0);
+	ck_assert_uint_eq(fresh_confirmed_until_us(f), 0);
 	ck_assert_uint_eq(age_ms(0, 50), UNKNOWN);
 	ck_assert_ptr_null(fresh_status(f, 0));
 	ck_assert(!fresh_has_applied(f, 0, at(0, 0)));
-	ck_assert(!fresh_majority_has(f, at(1, 1)));
-	ck_assert(!fresh_lost(f, at(1, 1)));
+	ck_assert(!fresh_is_durable(f, at(1, 1)));
+	ck_assert(!fresh_is_lost(f, at(1, 1)));
 }
 END_TEST
 
@@ -79,10 +79,10 @@
 	on_primary(0, 10, 1, 5, h);
 	on_replica(1, 9, 1, 5, 5, h);
 	ck_assert_int_eq(fresh_primary(f), 0);
-	ck_assert_uint_eq(fresh_confirmed_us(f), 9 * MS);
+	ck_assert_uint_eq(fresh_confirmed_until_us(f), 9 * MS);
 	ck_assert_uint_eq(age_ms(1, 20), UNKNOWN);
 	on_replica(2, 12, 1, 5, 5, h);
-	ck_assert_uint_eq(fresh_confirmed_us(f), 10 * MS);
+	ck_assert_uint_eq(fresh_confirmed_until_us(f), 10 * MS);
 	ck_assert_uint_eq(age_ms(0, 20), 10);
 	ck_assert_uint_eq(age_ms(1, 20), 10);
 	ck_assert_uint_eq(age_ms(2, 25), 15);
@@ -136,7 +136,7 @@
 	probe_all(10, 5);
 	for (ms = 20; ms <= 5000; ms += 10)
 		on_primary(0, ms, 1, 5, h);
-	ck_assert_uint_eq(fresh_confirmed_us(f), 10 * MS);
+	ck_assert_uint_eq(fresh_confirmed_until_us(f), 10 * MS);
 	ck_assert_uint_eq(age_ms(0, 5000), 4990);
 	ck_assert_uint_eq(age_ms(1, 5000), 4990);
 }
@@ -152,7 +152,7 @@
 	on_primary(0, 20, 1, 6, h);
 	on_replica(2, 20, 1, 6, 6, h);
 	ck_assert_int_eq(fresh_primary(f), 0);
-	ck_assert_uint_eq(fresh_confirmed_us(f), 20 * MS);
+	ck_assert_uint_eq(fresh_confirmed_until_us(f), 20 * MS);
 	on_replica(2, 30, 2, 6, 6, h);
 	on_primary(0, 30, 1, 7, h);
 	ck_assert_int_eq(fresh_primary(f), -1);
@@ -176,7 +176,7 @@
 	ck_assert_int_eq(fresh_primary(f), 1);
 	ck_assert_uint_eq(age_ms(2, 40), 30);
 	on_replica(2, 35, 2, 6, 5, h2);
-	ck_assert_uint_eq(fresh_confirmed_us(f), 30 * MS);
+	ck_assert_uint_eq(fresh_confirmed_until_us(f), 30 * MS);
 	ck_assert_uint_eq(age_ms(1, 40), 10);
 	ck_assert_uint_eq(age_ms(2, 40), 30);
 	/* The old primary answers again and still reports itself as primary. */
@@ -246,14 +246,14 @@
 	struct history h = history_of(1, 1, 0);
 
 	probe_all(10, 5);
-	ck_assert(fresh_majority_has(f, at(1, 5)));
-	ck_assert(!fresh_majority_has(f, at(1, 6)));
+	ck_assert(fresh_is_durable(f, at(1, 5)));
+	ck_assert(!fresh_is_durable(f, at(1, 6)));
 	fresh_on_applied(f, 0, at(1, 6));
-	ck_assert(!fresh_majority_has(f, at(1, 6)));
+	ck_assert(!fresh_is_durable(f, at(1, 6)));
 	on_replica(1, 20, 1, 6, 5, h);
-	ck_assert(fresh_majority_has(f, at(1, 6)));
+	ck_assert(fresh_is_durable(f, at(1, 6)));
 	fresh_forget(f, 1);
-	ck_assert(!fresh_majority_has(f, at(1, 6)));
+	ck_assert(!fresh_is_durable(f, at(1, 6)));
 }
 END_TEST
 
@@ -268,8 +268,8 @@
 	probe_all(10, 5);
 	on_primary(0, 15, 1, 9, h);
 	on_replica(1, 20, 2, 9, 5, h);
-	ck_assert(fresh_majority_has(f, at(1, 5)));
-	ck_assert(!fresh_majority_has(f, at(1, 9)));
+	ck_assert(fresh_is_durable(f, at(1, 5)));
+	ck_assert(!fresh_is_durable(f, at(1, 9)));
 }
 END_TEST
 
@@ -289,11 +289,11 @@
 	on_replica(2, 10, 2, 5, 5, h2);
 	on_primary(0, 20, 3, 6, h3);
 	on_replica(1, 20, 3, 5, 5, h1);
-	ck_assert(!fresh_majority_has(f, at(1, 5)));
+	ck_assert(!fresh_is_durable(f, at(1, 5)));
 	/* Once the copy includes the first entry of term 3, it is safe. */
 	on_replica(1, 30, 3, 6, 6, h3);
-	ck_assert(fresh_majority_has(f, at(1, 5)));
-	ck_assert(!fresh_majority_has(f, at(2, 5)));
+	ck_assert(fresh_is_durable(f, at(1, 5)));
+	ck_assert(!fresh_is_durable(f, at(2, 5)));
 }
 END_TEST
 
@@ -306,15 +306,15 @@
 	struct history h2 = history_of(1, 1, 2, 6, 0);
 
 	probe_all(10, 5);
-	ck_assert(!fresh_lost(f, at(1, 7)));
+	ck_assert(!fresh_is_lost(f, at(1, 7)));
 	on_primary(1, 20, 2, 6, h2);
-	ck_assert(!fresh_lost(f, at(1, 7)));
+	ck_assert(!fresh_is_lost(f, at(1, 7)));
 	on_replica(2, 20, 2, 6, 5, h2);
-	ck_assert(fresh_lost(f, at(1, 7)));
-	ck_assert(!fresh_lost(f, at(1, 5)));
-	ck_assert(!fresh_lost(f, at(2, 9)));
-	ck_assert(!fresh_lost(f, at(3, 1)));
-	ck_assert(!fresh_lost(f, at(0, 0)));
+	ck_assert(fresh_is_lost(f, at(1, 7)));
+	ck_assert(!fresh_is_lost(f, at(1, 5)));
+	ck_assert(!fresh_is_lost(f, at(2, 9)));
+	ck_assert(!fresh_is_lost(f, at(3, 1)));
+	ck_assert(!fresh_is_lost(f, at(0, 0)));
 }
 END_TEST
 
--- a/packages/core/tests/test_fresh_histories.c
+++ b/packages/core/tests/test_fresh_histories.c
@@ -62,7 +62,7 @@
 	struct probe probes[PROBES_MAX];
 	struct fresh *fresh;
 	struct claims acked; /* received by a majority within their term */
-	struct claims lost; /* reported by fresh_lost() */
+	struct claims lost; /* reported by fresh_is_lost() */
 	unsigned seed;
 	unsigned ages_checked;
 	unsigned claims_checked;
@@ -318,12 +318,12 @@
 
 static void check_position(struct position p)
 {
-	if (fresh_majority_has(g.fresh, p)) {
+	if (fresh_is_durable(g.fresh, p)) {
 		g.claims_checked++;
 		require(is_acked(p), "no majority has it as reported");
 		claim(&g.acked, p);
 	}
-	if (fresh_lost(g.fresh, p) && g.lost.count < CLAIMS_MAX)
+	if (fresh_is_lost(g.fresh, p) && g.lost.count < CLAIMS_MAX)
 		g.lost.list[g.lost.count++] = (struct claim){ p, g.now_us };
 }
 
--- a/packages/core/tests/test_group.c
+++ b/packages/core/tests/test_group.c
@@ -49,7 +49,7 @@
 	c = rig_read(r, 0, 5 * USEC_PER_SEC, w->seen);
 	ck_assert(rig_wait(r, c, USEC_PER_SEC));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-	ck_assert(rig_sees(c, 7));
+	ck_assert(rig_result_contains(c, 7));
 	ck_assert(!c->by_primary);
 	ck_assert_uint_ge(c->seen.index, w->seen.index);
 	rig_destroy(r);
@@ -69,7 +69,7 @@
 		c = rig_read(r, 0, 0, nothing);
 		ck_assert(rig_wait(r, c, USEC_PER_SEC));
 		ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-		ck_assert(rig_sees(c, trip));
+		ck_assert(rig_result_contains(c, trip));
 	}
 	rig_destroy(r);
 }
@@ -134,7 +134,7 @@
 	ck_assert_int_eq(other->outcome, OUTCOME_NOT_RUN);
 	ck_assert_uint_eq(fake_count_trip(rig_sql(r), 0, 8), 0);
 
-	group_guards_of(rig_group(r, 0))->check_digest = false;
+	group_test_guards(rig_group(r, 0))->check_digest = false;
 	other = rig_call(r, 0, ACCESS_WRITE, 7);
 	rig_add(other, "WRITE $1", 8);
 	other->request->digest = STR("another body");
--- a/packages/core/tests/test_group_conns.c
+++ b/packages/core/tests/test_group_conns.c
@@ -53,9 +53,10 @@
 		}
 		rig_run_for(r, 2 * USEC_PER_SEC);
 		for (k = 0; k < 3; k++) {
-			ck_assert_uint_eq(fake_sql_refused(rig_sql(r), k), 0);
-			ck_assert_uint_le(fake_sql_most_connections(rig_sql(r),
-								    k),
+			ck_assert_uint_eq(
+				fake_sql_refused_connections(rig_sql(r), k), 0);
+			ck_assert_uint_le(fake_sql_max_connections(rig_sql(r),
+								   k),
 					  limits[i]);
 		}
 		ck_assert_uint_eq(group_counts(rig_group(r, 0))->writes_done,
@@ -107,7 +108,7 @@
 		c = run_statement(r, ACCESS_WRITE, "SHOW", 0);
 		ck_assert_ptr_nonnull(strstr(c->results, "[\"\"]"));
 	}
-	group_guards_of(rig_group(r, 0))->clean_state = false;
+	group_test_guards(rig_group(r, 0))->clean_state = false;
 	for (i = 0; i < 20; i++) {
 		run_statement(r, ACCESS_WRITE, "SET x $1", 42);
 		c = run_statement(r, ACCESS_WRITE, "SHOW", 0);
@@ -127,12 +128,12 @@
 	struct database_conf *conf = rig_conf(r);
 	struct rig_call *c;
 
-	group_guards_of(rig_group(r, 0))->check_name = guard;
+	group_test_guards(rig_group(r, 0))->check_name = guard;
 	conf->servers[1].port = conf->servers[0].port;
 	conf->servers[2].port = conf->servers[0].port;
 	rig_crash_home(r, 0);
 	rig_restart_home(r, 0);
-	group_guards_of(rig_group(r, 0))->check_name = guard;
+	group_test_guards(rig_group(r, 0))->check_name = guard;
 	sim_isolate(rig_sim(r), 1, true);
 	sim_isolate(rig_sim(r), 2, true);
 	rig_run_for(r, 500 * USEC_PER_MSEC);
@@ -258,10 +259,10 @@
 	struct rig_call *c;
 	uint64_t trip;
 
-	fake_sql_fail_late(rig_sql(r), 0, 1);
-	rig_group(r, 0)->clean_after_us = 0;
+	fake_sql_fail_after_commit(rig_sql(r), 0, 1);
+	rig_group(r, 0)->next_clean_at_us = 0;
 	rig_run_for(r, 50 * USEC_PER_MSEC);
-	ck_assert(!fake_sql_take_late_failure(rig_sql(r), 0));
+	ck_assert(!fake_sql_take_failure_after_commit(rig_sql(r), 0));
 	for (trip = 1; trip <= 5; trip++) {
 		c = rig_write(r, 0, trip);
 		ck_assert(rig_wait(r, c, USEC_PER_SEC));
@@ -285,9 +286,9 @@
 	rig_settings_default(&s);
 	for (i = 0; i < 2; i++) {
 		r = rig_create(1, &s);
-		fake_sql_fail_late(rig_sql(r), 0, i);
+		fake_sql_fail_after_commit(rig_sql(r), 0, i);
 		rig_run_for(r, 800 * USEC_PER_MSEC);
-		ck_assert(!fake_sql_take_late_failure(rig_sql(r), 0));
+		ck_assert(!fake_sql_take_failure_after_commit(rig_sql(r), 0));
 		opened[i] = group_counts(rig_group(r, 0))->conns_opened;
 		rig_destroy(r);
 	}
--- a/packages/core/tests/test_group_reads.c
+++ b/packages/core/tests/test_group_reads.c
@@ -42,7 +42,7 @@
 	for (trip = 1; trip < 20; trip++) {
 		w = wait_done(rig_write(r, 0, trip));
 		c = wait_done(rig_read(r, 1, 60 * USEC_PER_SEC, w->seen));
-		ck_assert(rig_sees(c, trip));
+		ck_assert(rig_result_contains(c, trip));
 	}
 	rig_destroy(r);
 }
@@ -118,9 +118,9 @@
 	ck_assert(read_may_run(run, s, now_us));
 	run->arrived_us = now_us + 400 * USEC_PER_MSEC;
 	ck_assert(!read_may_run(run, s, now_us + 500 * USEC_PER_MSEC));
-	group_guards_of(g)->check_age = false;
+	group_test_guards(g)->check_age = false;
 	ck_assert(read_may_run(run, s, now_us + 500 * USEC_PER_MSEC));
-	group_guards_of(g)->check_age = true;
+	group_test_guards(g)->check_age = true;
 	c->request->seen.index += 100;
 	ck_assert(!read_may_run(run, s, now_us));
 	run_answer(run, answer_error(ERR_DEADLINE, "not sent"));
@@ -150,7 +150,7 @@
 	c->request->seen = w->seen;
 	run = run_create(g, &read_type, c->request, &c->profile, 100, NULL,
 			 NULL, sim_now(rig_sim(r)));
-	read_note_start(run, s);
+	read_record_start_position(run, s);
 	ck_assert(read_check_position(run, s, p));
 	p.index--;
 	ck_assert(!read_check_position(run, s, p));
@@ -159,7 +159,7 @@
 	p = w->seen;
 	p.term++;
 	ck_assert(!read_check_position(run, s, p));
-	group_guards_of(g)->check_read_position = false;
+	group_test_guards(g)->check_read_position = false;
 	ck_assert(read_check_position(run, s, p));
 	run_answer(run, answer_error(ERR_DEADLINE, "not sent"));
 	g_queue_unlink(&g->runs[RUN_ANSWERED], &run->link);
@@ -199,18 +199,18 @@
 	ck_assert_uint_eq(c->answers, 0);
 	sim_heal(rig_sim(r));
 	wait_done(c);
-	ck_assert(rig_sees(c, 7));
-	ck_assert(fresh_majority_has(group_fresh(rig_group(r, 0)), c->seen));
+	ck_assert(rig_result_contains(c, 7));
+	ck_assert(fresh_is_durable(group_fresh(rig_group(r, 0)), c->seen));
 	rig_destroy(r);
 
 	r = create_rig(1);
-	group_guards_of(rig_group(r, 0))->confirm_reads = false;
+	group_test_guards(rig_group(r, 0))->confirm_reads = false;
 	cut_off_primary(r);
 	rig_write(r, 0, 7);
 	rig_run_for(r, 10 * USEC_PER_MSEC);
 	c = wait_done(rig_read(r, 0, 0, nothing));
-	ck_assert(rig_sees(c, 7));
-	ck_assert(!fresh_majority_has(group_fresh(rig_group(r, 0)), c->seen));
+	ck_assert(rig_result_contains(c, 7));
+	ck_assert(!fresh_is_durable(group_fresh(rig_group(r, 0)), c->seen));
 	rig_destroy(r);
 }
 END_TEST
@@ -281,7 +281,7 @@
 	}
 	for (i = 0; i < G_N_ELEMENTS(c); i++) {
 		wait_done(c[i]);
-		if (rig_sees(c[i], 7))
+		if (rig_result_contains(c[i], 7))
 			continue;
 		/* The age is that at the statement's start, 100 ms ago. */
 		ck_assert_uint_ge(c[i]->age_us + 150 * USEC_PER_MSEC,
--- a/packages/core/tests/test_group_transactions.c
+++ b/packages/core/tests/test_group_transactions.c
@@ -37,8 +37,8 @@
 	struct request *q = c->request;
 
 	q->kind = kind;
-	q->transaction = request_keep(q, began_call->transaction,
-				      strlen(began_call->transaction));
+	q->transaction = request_copy_bytes(q, began_call->transaction,
+					    strlen(began_call->transaction));
 	return c;
 }
 
@@ -110,7 +110,7 @@
 	struct rig_call *c;
 
 	send_and_wait(write_in_transaction(b, 7));
-	fake_sql_lose_commits(rig_sql(r), 0, 1);
+	fake_sql_lose_commit_replies(rig_sql(r), 0, 1);
 	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 	c = send_and_wait(in_transaction(b, REQUEST_COMMIT));
@@ -186,12 +186,12 @@
 	ck_assert_uint_eq(c->answers, 0);
 	sim_heal(rig_sim(r));
 	ck_assert(rig_wait(r, c, USEC_PER_SEC));
-	ck_assert(rig_sees(c, 7));
-	ck_assert(fresh_majority_has(group_fresh(rig_group(r, 0)), c->seen));
+	ck_assert(rig_result_contains(c, 7));
+	ck_assert(fresh_is_durable(group_fresh(rig_group(r, 0)), c->seen));
 	rig_destroy(r);
 
 	r = create_rig();
-	group_guards_of(rig_group(r, 0))->confirm_reads = false;
+	group_test_guards(rig_group(r, 0))->confirm_reads = false;
 	for (i = 1; i < 3; i++) {
 		sim_block(rig_sim(r), 0, i, true);
 		sim_block(rig_sim(r), i, 0, true);
@@ -226,7 +226,7 @@
 	c = send_and_wait(write_in_transaction(b, 7));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
 
-	group_guards_of(rig_group(r, 0))->check_caller = false;
+	group_test_guards(rig_group(r, 0))->check_caller = false;
 	c = write_in_transaction(b, 8);
 	c->request->caller = STR("truck");
 	send_and_wait(c);
@@ -353,7 +353,7 @@
 	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "READ", 0);
 	send_and_wait(c);
-	ck_assert(rig_sees(c, 7));
+	ck_assert(rig_result_contains(c, 7));
 	ck_assert_str_eq(c->server, b->server);
 	/* Its data may be as old as the transaction's first snapshot. */
 	rig_run_for(r, 300 * USEC_PER_MSEC);
@@ -386,12 +386,12 @@
 	c = in_transaction(b, REQUEST_IN_TRANSACTION);
 	rig_add(c, "READ", 0);
 	send_and_wait(c);
-	ck_assert(rig_sees(c, 7));
+	ck_assert(rig_result_contains(c, 7));
 	send_and_wait(in_transaction(b, REQUEST_ROLLBACK));
 	c = rig_read(r, 0, 60 * USEC_PER_SEC, c->seen);
 	ck_assert(rig_wait(r, c, 3 * USEC_PER_SEC));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
-	ck_assert(rig_sees(c, 7));
+	ck_assert(rig_result_contains(c, 7));
 	rig_destroy(r);
 }
 END_TEST
--- a/packages/core/tests/test_group_writes.c
+++ b/packages/core/tests/test_group_writes.c
@@ -19,7 +19,7 @@
 
 static struct group_guards *guards(struct rig *r, unsigned home)
 {
-	return group_guards_of(rig_group(r, home));
+	return group_test_guards(rig_group(r, home));
 }
 
 /*
@@ -32,7 +32,7 @@
 	struct rig *r = create_rig(1);
 	struct rig_call *c;
 
-	fake_sql_lose_commits(rig_sql(r), 0, 1);
+	fake_sql_lose_commit_replies(rig_sql(r), 0, 1);
 	c = rig_write(r, 0, 7);
 	ck_assert(rig_wait(r, c, 5 * USEC_PER_SEC));
 	ck_assert_int_eq(c->outcome, OUTCOME_DONE);
@@ -40,7 +40,7 @@
 	ck_assert_uint_eq(group_counts(rig_group(r, 0))->settled_done, 1);
 
 	guards(r, 0)->settle = false;
-	fake_sql_lose_commits(rig_sql(r), 0, 1);
+	fake_sql_lose_commit_replies(rig_sql(r), 0, 1);
 	c = rig_write(r, 0, 8);
 	ck_assert(rig_wait(r, c, 5 * USEC_PER_SEC));
 	ck_assert_int_eq(c->outcome, OUTCOME_NOT_RUN);
--- a/packages/core/tests/test_history.c
+++ b/packages/core/tests/test_history.c
@@ -5,7 +5,7 @@
 
 static bool has(const struct history *h, uint64_t term, uint64_t index)
 {
-	return history_has(h, (struct position){ term, index });
+	return history_contains(h, (struct position){ term, index });
 }
 
 START_TEST(test_term_at)
--- a/packages/core/tests/test_member.c
+++ b/packages/core/tests/test_member.c
@@ -102,7 +102,7 @@
 	ck_assert_uint_le(counts.largest[FLEET_GOSSIP],
 			  s.members.max_message_bytes);
 	/* At rest two probes and two answers a second: far below 1 KB/s. */
-	ck_assert_uint_le(counts.bytes_most[FLEET_GOSSIP], 30000);
+	ck_assert_uint_le(counts.max_node_bytes[FLEET_GOSSIP], 30000);
 	fleet_destroy(f);
 }
 END_TEST
@@ -169,11 +169,11 @@
 	fleet_settings_default(&s, 8);
 	f = start_fleet(&s, &hook_state);
 	before = members_self(fleet_members(f, 3))->incarnation;
-	fleet_pause(f, 3, true);
+	fleet_set_paused(f, 3, true);
 	fleet_run(f, 60 * SEC);
 	ck_assert_uint_eq(hook_state.deaths, 7);
 	ck_assert_int_eq(fleet_view(f, 0, 3), MEMBER_DEAD);
-	fleet_pause(f, 3, false);
+	fleet_set_paused(f, 3, false);
 	ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10, 10 * SEC));
 	fleet_run(f, 30 * SEC);
 	ck_assert_uint_eq(fleet_wrong_views(f), 0);
@@ -201,14 +201,14 @@
 	fleet_settings_default(&s, 8);
 	f = start_fleet(&s, &hook_state);
 	old = members_find(fleet_members(f, 0), "n0005")->incarnation;
-	changes = members_changes(fleet_members(f, 0));
+	changes = members_change_count(fleet_members(f, 0));
 	fleet_kill(f, 5);
 	fleet_run(f, SEC / 2);
 	fleet_start(f, 5);
 	fleet_run(f, 3 * SEC);
 	ck_assert_uint_gt(
 		members_find(fleet_members(f, 0), "n0005")->incarnation, old);
-	ck_assert_uint_gt(members_changes(fleet_members(f, 0)), changes);
+	ck_assert_uint_gt(members_change_count(fleet_members(f, 0)), changes);
 	ck_assert_uint_eq(fleet_wrong_views(f), 0);
 	fleet_run(f, 30 * SEC);
 	ck_assert_uint_eq(hook_state.deaths, 0);
@@ -232,7 +232,7 @@
 	fleet_kill(f, 2);
 	fleet_run(f, 20 * SEC);
 	ck_assert_int_eq(fleet_view(f, 0, 2), MEMBER_DEAD);
-	fleet_clock(f, 2, -3600 * (int64_t)SEC);
+	fleet_set_clock_offset(f, 2, -3600 * (int64_t)SEC);
 	fleet_start(f, 2);
 	ck_assert(fleet_run_until(f, views_agree, NULL, SEC / 10, 10 * SEC));
 	fleet_run(f, 30 * SEC);
@@ -259,12 +259,12 @@
 	s.regions = 2;
 	f = start_fleet(&s, &hook_state);
 	for (i = 0; i < s.n; i += 2)
-		fleet_group(f, i, 1);
+		fleet_set_partition(f, i, 1);
 	fleet_run(f, 3600 * SEC);
 	ck_assert_uint_eq(hook_state.deaths, 800);
 	ck_assert_int_eq(fleet_view(f, 0, 1), MEMBER_DEAD);
 	for (i = 0; i < s.n; i += 2)
-		fleet_group(f, i, 0);
+		fleet_set_partition(f, i, 0);
 	ck_assert(fleet_run_until(f, views_agree, NULL, SEC, 60 * SEC));
 	fleet_run(f, 60 * SEC);
 	ck_assert_uint_eq(hook_state.deaths, 800);
@@ -285,14 +285,14 @@
 	unsigned i;
 
 	fleet_settings_default(&s, 12);
-	s.members.forget_dead_us = 120 * SEC;
+	s.members.dead_retention_us = 120 * SEC;
 	f = start_fleet(&s, &hook_state);
 	for (i = 6; i < s.n; i++)
-		fleet_group(f, i, 1);
+		fleet_set_partition(f, i, 1);
 	fleet_run(f, 600 * SEC);
 	ck_assert_uint_eq(members_count(fleet_members(f, 8)), 6);
 	for (i = 6; i < s.n; i++)
-		fleet_group(f, i, 0);
+		fleet_set_partition(f, i, 0);
 	ck_assert(fleet_run_until(f, views_agree, NULL, SEC, 120 * SEC));
 	fleet_destroy(f);
 }
@@ -311,10 +311,10 @@
 
 	fleet_settings_default(&s, 60);
 	f = start_fleet(&s, &hook_state);
-	fleet_loss(f, 0.01);
+	fleet_set_loss(f, 0.01);
 	fleet_run(f, 600 * SEC);
 	ck_assert_uint_eq(hook_state.deaths, 0);
-	fleet_loss(f, 0.10);
+	fleet_set_loss(f, 0.10);
 	fleet_run(f, 60 * SEC);
 	ck_assert_uint_eq(hook_state.deaths, 0);
 	fleet_destroy(f);
@@ -411,7 +411,7 @@
 	ck_assert(!member_is_live(members_find(fleet_members(f, 0), "n0006")));
 	fleet_run(f, 30 * SEC);
 	ck_assert_int_eq(fleet_view(f, 0, 6), MEMBER_LEAVING);
-	members_left(fleet_members(f, 6), fleet_now(f));
+	members_announce_exit(fleet_members(f, 6), fleet_now(f));
 	fleet_kill(f, 6);
 	fleet_run(f, 3 * SEC);
 	for (i = 0; i < s.n; i++) {
--- a/packages/core/tests/test_outcome.c
+++ b/packages/core/tests/test_outcome.c
@@ -258,15 +258,15 @@
 	struct position p;
 
 	g_string_append(results, "," ELEMENT("\"3:120\""));
-	ck_assert(outcome_cut_position(results, &p));
+	ck_assert(outcome_take_position(results, &p));
 	ck_assert_str_eq(results->str, list);
 	ck_assert_uint_eq(p.index, 120);
 	g_string_assign(results, ELEMENT("\"3:120\""));
-	ck_assert(outcome_cut_position(results, &p));
+	ck_assert(outcome_take_position(results, &p));
 	ck_assert_str_eq(results->str, "");
-	ck_assert(!outcome_cut_position(results, &p));
+	ck_assert(!outcome_take_position(results, &p));
 	g_string_assign(results, ELEMENT("\"x\""));
-	ck_assert(!outcome_cut_position(results, &p));
+	ck_assert(!outcome_take_position(results, &p));
 	ck_assert_str_eq(results->str, ELEMENT("\"x\""));
 	g_string_free(results, TRUE);
 }
@@ -308,7 +308,7 @@
 	ck_assert_uint_eq(g_bytes_get_size(returned), summary->len);
 	g_bytes_unref(returned);
 	g_string_free(summary, TRUE);
-	big = g_strnfill(OUTCOME_SUMMARY_MAX, 'x');
+	big = g_strnfill(MAX_OUTCOME_SUMMARY_BYTES, 'x');
 	g_string_printf(results,
 			"{\"columns\":[\"c\"],\"rows\":[[\"%s\"]],"
 			"\"rows_affected\":17}",
--- a/packages/core/tests/test_retry.c
+++ b/packages/core/tests/test_retry.c
@@ -16,7 +16,7 @@
 
 	retry_budget_init(&b, 0.1, 10);
 	for (i = 0; i < 10000; i++) {
-		retry_budget_first_try(&b);
+		retry_budget_on_first_try(&b);
 		retries += retry_budget_take(&b);
 	}
 	ck_assert_uint_le(retries, 1000 + 10);
@@ -31,7 +31,7 @@
 
 	retry_budget_init(&b, 0.5, 3);
 	for (i = 0; i < 1000; i++)
-		retry_budget_first_try(&b);
+		retry_budget_on_first_try(&b);
 	for (i = 0; i < 3; i++)
 		ck_assert(retry_budget_take(&b));
 	ck_assert(!retry_budget_take(&b));
--- a/packages/core/tests/test_route.c
+++ b/packages/core/tests/test_route.c
@@ -46,7 +46,7 @@
 	g_rand_free(rng);
 }
 
-static enum route_why route(uint64_t now_ms)
+static enum route_reason route(uint64_t now_ms)
 {
 	route_choose(f, servers, N_SERVERS, &req, now_ms * MS, rng, &choice);
 	return choice.why;
@@ -63,7 +63,7 @@
 	unsigned i;
 
 	for (i = 0; i < N_SERVERS; i++)
-		letters[i] = route_pass_letter(choice.passed[i]);
+		letters[i] = route_skip_letter(choice.passed[i]);
 	return letters;
 }
 
@@ -250,7 +250,7 @@
 	status(2, 140, replica_status(2, 100, 100, h));
 	ck_assert_int_eq(route(150), ROUTE_REPLICA_FRESH);
 	/* A deposed primary serves no reads: its log's end may be removed. */
-	ck_assert_int_eq(choice.passed[0], PASS_ROLE);
+	ck_assert_int_eq(choice.passed[0], ROUTE_SKIP_ROLE);
 	profile.access = ACCESS_WRITE;
 	ck_assert_int_eq(route(150), ROUTE_NONE_NO_PRIMARY);
 	profile.access = ACCESS_READ;
@@ -277,7 +277,7 @@
 	int why;
 
 	for (why = 0; why <= ROUTE_NONE_NO_SERVER; why++)
-		ck_assert_uint_gt(strlen(route_why_name(why)), 0);
+		ck_assert_uint_gt(strlen(route_reason_name(why)), 0);
 }
 END_TEST
 
--- a/packages/core/tests/test_session.c
+++ b/packages/core/tests/test_session.c
@@ -29,7 +29,7 @@
 	GString *text = g_string_new(NULL);
 
 	ck_assert(session_encode(keys, s, text, NULL));
-	ck_assert_uint_le(text->len, SESSION_MAX_TEXT);
+	ck_assert_uint_le(text->len, SESSION_MAX_TEXT_LEN);
 	return text;
 }
 
@@ -171,7 +171,7 @@
 					  digits[g_rand_int_range(rng, 0, 38)]);
 		ck_assert(!decodes(text));
 	}
-	g_string_set_size(text, SESSION_MAX_TEXT + 1);
+	g_string_set_size(text, SESSION_MAX_TEXT_LEN + 1);
 	ck_assert(!decodes(text));
 	g_string_free(text, TRUE);
 	g_rand_free(rng);
--- a/packages/daemon/src/databases.c
+++ b/packages/daemon/src/databases.c
@@ -81,7 +81,7 @@
 }
 
 /* Marks the homes as out of date; cheap, may be called often. */
-void databases_touch(struct databases *d)
+void databases_mark_stale(struct databases *d)
 {
 	d->candidates_stale = true;
 	d->items_stale = true;
--- a/packages/daemon/src/databases.h
+++ b/packages/daemon/src/databases.h
@@ -20,7 +20,7 @@
  * To be called when members or configuration have changed: the next ticks
  * compute the homes again, some databases per tick.
  */
-void databases_touch(struct databases *d);
+void databases_mark_stale(struct databases *d);
 void databases_tick(struct databases *d, uint64_t now_us);
 /* The homes of a database, best first; returns how many. */
 unsigned databases_homes(struct databases *d, const struct database_conf *conf,
--- a/packages/daemon/src/entry.c
+++ b/packages/daemon/src/entry.c
@@ -105,7 +105,7 @@
 	    !access_profile(node, r, caller, &x->profile, err) ||
 	    !session_decode(node->model, session, &x->session, err))
 		return false;
-	r->caller = request_keep(r, caller->name, strlen(caller->name));
+	r->caller = request_copy_bytes(r, caller->name, strlen(caller->name));
 	x->caller_share = caller->share;
 	r->seen = session_seen(&x->session, exchange_database(x));
 	if (!x->profile)
@@ -144,7 +144,7 @@
 		key = str_join(r->caller, '/', r->key);
 	else
 		key = make_unique_key(x);
-	r->key = request_keep(r, key, strlen(key));
+	r->key = request_copy_bytes(r, key, strlen(key));
 	g_free(key);
 }
 
@@ -225,7 +225,7 @@
 	if (!admit_request(x, token, session, &err))
 		goto err;
 	set_idempotency_key(x);
-	retry_budget_first_try(&e->budget);
+	retry_budget_on_first_try(&e->budget);
 	g_hash_table_insert(e->exchanges, &x->id, x);
 	front_set_user(fr, x);
 	exchange_dispatch(x, "first");
--- a/packages/daemon/src/node.c
+++ b/packages/daemon/src/node.c
@@ -88,11 +88,11 @@
 	LOG_INFO("member %s is now in state %d", member->name,
 		 (int)member->state);
 	if (node->databases)
-		databases_touch(node->databases);
+		databases_mark_stale(node->databases);
 	if (gone)
-		peer_forget(node->peer, member->name);
+		peer_close_link(node->peer, member->name);
 	else
-		peer_refresh(node->peer, member);
+		peer_update_link(node->peer, member);
 }
 
 static const struct member_ops member_ops = {
@@ -112,8 +112,8 @@
 	const struct member_conf *m = &item->u.member;
 
 	if (item->kind == ITEM_MEMBER && !item->removed && !m->leaving)
-		members_seed(node->members, m->host, m->peer_port,
-			     node_now_us());
+		members_add_seed(node->members, m->host, m->peer_port,
+				 node_now_us());
 }
 
 static void on_item_in_force(void *ctx, struct item *item)
@@ -126,7 +126,7 @@
 		     item->removed ? "removed" : "in force", NULL);
 	seed_from_item(node, item);
 	if (node->databases)
-		databases_touch(node->databases);
+		databases_mark_stale(node->databases);
 }
 
 static void on_item_rejected(void *ctx, const char *key, uint64_t revision,
@@ -204,8 +204,8 @@
 	node->confsync = confsync_create(&confsync, node->members, node->model,
 					 &confsync_ops, node, node->rng, now);
 	for (i = 0; i < node->settings->n_seeds; i++)
-		members_seed(node->members, node->settings->seeds[i].host,
-			     node->settings->seeds[i].port, now);
+		members_add_seed(node->members, node->settings->seeds[i].host,
+				 node->settings->seeds[i].port, now);
 }
 
 static struct front_listener make_listener(const struct listen_settings *s)
--- a/packages/daemon/src/node_settings.c
+++ b/packages/daemon/src/node_settings.c
@@ -84,7 +84,7 @@
 			      "set both or none");
 		goto err;
 	}
-	ok = settings_done(s, err);
+	ok = settings_reject_unknown(s, err);
 err:
 	settings_destroy(s);
 	return ok;
@@ -198,7 +198,7 @@
 	ok = read_address(s, "host", &out->peer_host, err) &&
 	     read_port(s, "port", &out->peer_port, err) &&
 	     read_announce(s, out, err) && read_curve(s, out, err) &&
-	     read_seeds(s, out, err) && settings_done(s, err);
+	     read_seeds(s, out, err) && settings_reject_unknown(s, err);
 	settings_destroy(s);
 	return ok;
 }
@@ -228,7 +228,8 @@
 	if (!settings_str_list(s, "urls", &out->store_urls, err) ||
 	    !read_ms(s, "timeout_ms", 60000, 1000, &out->store_timeout_us, err))
 		goto err;
-	ok = check_urls(s, out->store_urls, err) && settings_done(s, err);
+	ok = check_urls(s, out->store_urls, err) &&
+	     settings_reject_unknown(s, err);
 err:
 	settings_destroy(s);
 	return ok;
@@ -272,7 +273,7 @@
 			      "'%s' is not one of err, warn, info, dbg", level);
 		goto err;
 	}
-	ok = settings_done(s, err);
+	ok = settings_reject_unknown(s, err);
 err:
 	g_free(level);
 	settings_destroy(s);
@@ -306,7 +307,7 @@
 		     &out->header_timeout_us, err) &&
 	     read_ms(s, "idle_transaction_ms", 3600000, 10000,
 		     &out->idle_transaction_us, err) &&
-	     settings_done(s, err);
+	     settings_reject_unknown(s, err);
 	settings_destroy(s);
 	if (!ok)
 		return false;
@@ -332,7 +333,7 @@
 		     err) &&
 	     read_ms(s, "stop_limit_ms", 3600000, 30000, &out->stop_limit_us,
 		     err) &&
-	     settings_done(s, err);
+	     settings_reject_unknown(s, err);
 	settings_destroy(s);
 	return ok;
 }
@@ -414,7 +415,7 @@
 			    &s->upstream_password, err) &&
 	       read_log(top, s, err) && read_limits(top, s, err) &&
 	       read_timing(top, s, err) && check_ports(top, s, err) &&
-	       settings_done(top, err);
+	       settings_reject_unknown(top, err);
 }
 
 /*
--- a/packages/daemon/src/planned_move.c
+++ b/packages/daemon/src/planned_move.c
@@ -112,7 +112,7 @@
 	r->done = done;
 	r->user = user;
 	g_hash_table_insert(m->requests, &r->id, r);
-	remote_send_word(m->node->remote, home, r->id, msg);
+	remote_send_admin_message(m->node->remote, home, r->id, msg);
 	g_free(msg);
 }
 
@@ -146,7 +146,7 @@
 		err_set(&err, ERR_BAD_MESSAGE,
 			"the request lacks the database or the server");
 	reply = g_strdup_printf(MSG_MOVE_ANSWER "%d %s", err.code, err.message);
-	remote_send_word(m->node->remote, from, id, reply);
+	remote_send_admin_message(m->node->remote, from, id, reply);
 	g_free(reply);
 	g_strfreev(parts);
 }
@@ -180,9 +180,9 @@
 }
 
 /* Handles another proxy's request, or the answer to one of our own. */
-bool planned_move_on_word(struct planned_move *m,
-			  const struct member_info *from, uint64_t id,
-			  const char *msg)
+bool planned_move_on_message(struct planned_move *m,
+			     const struct member_info *from, uint64_t id,
+			     const char *msg)
 {
 	if (g_str_has_prefix(msg, MSG_MOVE_REQUEST))
 		on_request(m, from, id, msg + strlen(MSG_MOVE_REQUEST));
--- a/packages/daemon/src/planned_move.h
+++ b/packages/daemon/src/planned_move.h
@@ -26,9 +26,9 @@
  * Handles a text message from another proxy. False if it does not belong to a
  * planned move.
  */
-bool planned_move_on_word(struct planned_move *m,
-			  const struct member_info *from, uint64_t id,
-			  const char *msg);
+bool planned_move_on_message(struct planned_move *m,
+			     const struct member_info *from, uint64_t id,
+			     const char *msg);
 void planned_move_tick(struct planned_move *m, uint64_t now_us);
 
 #endif
--- a/packages/daemon/src/planned_stop.c
+++ b/packages/daemon/src/planned_stop.c
@@ -68,7 +68,7 @@
 	s->state = STOP_HEALTH_RED;
 	s->begun_at_us = node_now_us();
 	members_leave(s->node->members, s->begun_at_us);
-	databases_touch(s->node->databases);
+	databases_mark_stale(s->node->databases);
 	log_decision("stop", "step", "health red", "why", "signal", NULL);
 }
 
@@ -91,7 +91,7 @@
 {
 	s->state = STOP_DEPARTING;
 	s->departed_at_us = now_us;
-	members_left(s->node->members, now_us);
+	members_announce_exit(s->node->members, now_us);
 }
 
 static bool is_busy(const struct planned_stop *s)
--- a/packages/daemon/src/relay_node.c
+++ b/packages/daemon/src/relay_node.c
@@ -94,7 +94,7 @@
  * Re-arms the timer if the relay's next tick is due earlier than the armed one.
  * A driver calls it after each event.
  */
-void relay_node_wake(struct relay_node *n)
+void relay_node_schedule_tick(struct relay_node *n)
 {
 	uint64_t now_us, next_us;
 
@@ -132,7 +132,7 @@
 		uv_stop(&n->loop);
 		return;
 	}
-	relay_node_wake(n);
+	relay_node_schedule_tick(n);
 }
 
 static void log_signal(const char *event, int number)
@@ -274,7 +274,8 @@
 	n->settings.name = n->name;
 	n->settings.zone = n->zone;
 	return read_times(s, &n->settings, err) &&
-	       check_times(s, &n->settings, err) && settings_done(s, err);
+	       check_times(s, &n->settings, err) &&
+	       settings_reject_unknown(s, err);
 }
 
 static const struct relay_driver *find_driver(const char *name)
@@ -343,7 +344,7 @@
 	watch_signal(n, &n->on_int, on_stop_signal, SIGINT);
 	watch_signal(n, &n->on_hup, on_reload_signal, SIGHUP);
 	log_lifecycle("started", n);
-	relay_node_wake(n);
+	relay_node_schedule_tick(n);
 	return true;
 }
 
@@ -416,7 +417,7 @@
 	    !check_names(n, relay, &level, err))
 		goto out;
 	driver = settings_child(file, "driver", err);
-	if (!driver || !settings_done(file, err))
+	if (!driver || !settings_reject_unknown(file, err))
 		goto out;
 	log_init(n->name, level, n->log_decisions);
 	if (!check_only)
--- a/packages/daemon/src/relay_node.h
+++ b/packages/daemon/src/relay_node.h
@@ -46,7 +46,7 @@
 /* The boot-time clock, in us; all times passed to the relay are its. */
 uint64_t relay_node_now_us(void);
 /* Re-arms the tick; call it after each event passed to the relay. */
-void relay_node_wake(struct relay_node *n);
+void relay_node_schedule_tick(struct relay_node *n);
 
 /* Whether the settings file has a "relay" section. */
 bool relay_node_is_configured(const char *settings_path);
--- a/packages/daemon/src/remote.c
+++ b/packages/daemon/src/remote.c
@@ -97,8 +97,8 @@
 }
 
 /* Sends an admin message; it may be lost. */
-void remote_send_word(struct remote *r, const struct member_info *to,
-		      uint64_t correlation, const char *word)
+void remote_send_admin_message(struct remote *r, const struct member_info *to,
+			       uint64_t correlation, const char *word)
 {
 	GBytes *body = g_bytes_new(word, strlen(word));
 
@@ -112,7 +112,7 @@
 	if (now_us < contact->pinged_at_us + PING_AFTER_US)
 		return;
 	contact->pinged_at_us = now_us;
-	remote_send_word(r, m, 0, WORD_PING);
+	remote_send_admin_message(r, m, 0, WORD_PING);
 }
 
 /*
@@ -333,12 +333,13 @@
 		return;
 	word = str_dup(body);
 	if (!strcmp(word, WORD_PING))
-		remote_send_word(r, m, r->node->incarnation, WORD_PONG);
+		remote_send_admin_message(r, m, r->node->incarnation,
+					  WORD_PONG);
 	else if (!strcmp(word, WORD_PONG))
 		on_pong(r, from, correlation);
-	else if (!survey_on_word(r->node->survey, m, correlation, word) &&
-		 !planned_move_on_word(r->node->planned_move, m, correlation,
-				       word))
+	else if (!survey_on_message(r->node->survey, m, correlation, word) &&
+		 !planned_move_on_message(r->node->planned_move, m, correlation,
+					  word))
 		LOG_WARN("proxy %s sent an unknown admin message '%s', ignored",
 			 from, word);
 	g_free(word);
--- a/packages/daemon/src/remote.h
+++ b/packages/daemon/src/remote.h
@@ -30,7 +30,7 @@
 void remote_tick(struct remote *r, uint64_t now_us);
 bool remote_idle(const struct remote *r);
 /* Sends an admin message to another proxy; it may be lost. */
-void remote_send_word(struct remote *r, const struct member_info *to,
-		      uint64_t correlation, const char *word);
+void remote_send_admin_message(struct remote *r, const struct member_info *to,
+			       uint64_t correlation, const char *word);
 
 #endif
--- a/packages/daemon/src/survey.c
+++ b/packages/daemon/src/survey.c
@@ -128,8 +128,8 @@
 			continue;
 		q->n_expected++;
 		if (!node_is_self(s->node, m))
-			remote_send_word(s->node->remote, m, q->id,
-					 MSG_REVISION_QUERY);
+			remote_send_admin_message(s->node->remote, m, q->id,
+						  MSG_REVISION_QUERY);
 	}
 	return q;
 }
@@ -146,15 +146,15 @@
 }
 
 /* Handles another proxy's query, or the answer to one of our own. */
-bool survey_on_word(struct survey *s, const struct member_info *from,
-		    uint64_t id, const char *msg)
+bool survey_on_message(struct survey *s, const struct member_info *from,
+		       uint64_t id, const char *msg)
 {
 	char reply[64];
 
 	if (!strcmp(msg, MSG_REVISION_QUERY)) {
 		g_snprintf(reply, sizeof(reply), MSG_REVISION_ANSWER "%" PRIu64,
 			   confsync_revision(s->node->confsync));
-		remote_send_word(s->node->remote, from, id, reply);
+		remote_send_admin_message(s->node->remote, from, id, reply);
 		return true;
 	}
 	if (!g_str_has_prefix(msg, MSG_REVISION_ANSWER))
--- a/packages/daemon/src/survey.h
+++ b/packages/daemon/src/survey.h
@@ -27,8 +27,8 @@
  * Handles a text message from another proxy. False if it does not belong to a
  * survey.
  */
-bool survey_on_word(struct survey *s, const struct member_info *from,
-		    uint64_t id, const char *msg);
+bool survey_on_message(struct survey *s, const struct member_info *from,
+		       uint64_t id, const char *msg);
 void survey_tick(struct survey *s, uint64_t now_us);
 
 #endif
--- a/packages/harness/src/child.c
+++ b/packages/harness/src/child.c
@@ -190,8 +190,8 @@
 }
 
 /* Starts a program without waiting for a ready line. */
-struct child *child_launch(const char *program, const char *const *args,
-			   struct err *err)
+struct child *child_start_no_wait(const char *program, const char *const *args,
+				  struct err *err)
 {
 	return start(program, args, false, err);
 }
@@ -220,7 +220,7 @@
 }
 
 /* Pauses or resumes reading the child's standard output. */
-void child_hold_log(struct child *c, bool paused)
+void child_set_log_paused(struct child *c, bool paused)
 {
 	g_mutex_lock(&c->lock);
 	c->log_paused = paused;
@@ -259,7 +259,7 @@
 		return;
 	if (c->pid > 0)
 		stop(c);
-	child_hold_log(c, false);
+	child_set_log_paused(c, false);
 	/* The reader ends at end of file: the child's end closes the pipe. */
 	if (c->reader)
 		g_thread_join(c->reader);
--- a/packages/harness/src/child.h
+++ b/packages/harness/src/child.h
@@ -20,8 +20,8 @@
  */
 struct child *child_start(const char *program, const char *const *args,
 			  struct err *err);
-struct child *child_launch(const char *program, const char *const *args,
-			   struct err *err);
+struct child *child_start_no_wait(const char *program, const char *const *args,
+				  struct err *err);
 /*
  * Stops the process with SIGTERM, and with SIGKILL if it still runs after 15 s;
  * frees `c`.
@@ -31,7 +31,7 @@
 /* Waits for the end; the exit status, or minus the signal's number. */
 int child_wait(struct child *c);
 /* Pauses or resumes reading its standard output; initially it is read. */
-void child_hold_log(struct child *c, bool paused);
+void child_set_log_paused(struct child *c, bool paused);
 pid_t child_pid(const struct child *c);
 int64_t child_ready_int(const struct child *c, const char *key);
 JsonObject *child_ready(const struct child *c);
--- a/packages/harness/src/cluster.c
+++ b/packages/harness/src/cluster.c
@@ -53,7 +53,7 @@
 static const struct cluster_database *database_of(const struct cluster *c,
 						  unsigned server)
 {
-	return &c->spec.databases[server / CLUSTER_SERVERS];
+	return &c->spec.databases[server / CLUSTER_SERVERS_PER_DATABASE];
 }
 
 static void add_role_args(struct cluster *c, GPtrArray *args, unsigned i,
@@ -109,12 +109,12 @@
 /* Sends a server the addresses of all servers of its database. */
 static bool send_peer_addresses(struct cluster *c, unsigned i)
 {
-	unsigned first = i - i % CLUSTER_SERVERS;
+	unsigned first = i - i % CLUSTER_SERVERS_PER_DATABASE;
 	GString *body = g_string_new("{");
 	unsigned j;
 	bool ok;
 
-	for (j = first; j < first + CLUSTER_SERVERS; j++)
+	for (j = first; j < first + CLUSTER_SERVERS_PER_DATABASE; j++)
 		g_string_append_printf(body, "%s\"%s\":\"127.0.0.1:%d\"",
 				       j > first ? "," : "", c->servers[j].name,
 				       c->servers[j].port);
@@ -158,10 +158,12 @@
 
 		g_snprintf(s->name, sizeof(s->name), "%s-%c",
 			   database_of(c, i)->name,
-			   'a' + (int)(i % CLUSTER_SERVERS));
-		s->database = c->database_names[i / CLUSTER_SERVERS];
-		if (!cluster_start_server(c, i, i % CLUSTER_SERVERS ? 0 : 1,
-					  err))
+			   'a' + (int)(i % CLUSTER_SERVERS_PER_DATABASE));
+		s->database =
+			c->database_names[i / CLUSTER_SERVERS_PER_DATABASE];
+		if (!cluster_start_server(
+			    c, i, i % CLUSTER_SERVERS_PER_DATABASE ? 0 : 1,
+			    err))
 			return false;
 		s->route_port = s->port;
 	}
@@ -241,7 +243,7 @@
 		c->database_names[i] =
 			g_strdup_printf("%s/%s", c->spec.databases[i].service,
 					c->spec.databases[i].name);
-	c->n_servers = c->spec.n_databases * CLUSTER_SERVERS;
+	c->n_servers = c->spec.n_databases * CLUSTER_SERVERS_PER_DATABASE;
 }
 
 static bool start_proxies(struct cluster *c, struct err *err)
--- a/packages/harness/src/cluster.h
+++ b/packages/harness/src/cluster.h
@@ -11,7 +11,7 @@
 #include <celeryquay/client/http.h>
 
 #define CLUSTER_MAX_DATABASES 4
-#define CLUSTER_SERVERS 3
+#define CLUSTER_SERVERS_PER_DATABASE 3
 #define CLUSTER_MAX_PROXIES 40
 
 struct cluster_database {
@@ -75,7 +75,8 @@
 	struct child *faults; /* the fault proxy; NULL: none */
 	int faults_control; /* port */
 	unsigned n_servers;
-	struct cluster_server servers[CLUSTER_MAX_DATABASES * CLUSTER_SERVERS];
+	struct cluster_server
+		servers[CLUSTER_MAX_DATABASES * CLUSTER_SERVERS_PER_DATABASE];
 	char *database_names[CLUSTER_MAX_DATABASES];
 	struct cluster_proxy proxies[CLUSTER_MAX_PROXIES];
 	struct http *http;
--- a/packages/harness/src/cluster_conf.c
+++ b/packages/harness/src/cluster_conf.c
@@ -8,9 +8,9 @@
 	const struct cluster_database *conf = &c->spec.databases[db];
 	unsigned i;
 
-	for (i = 0; i < CLUSTER_SERVERS; i++) {
+	for (i = 0; i < CLUSTER_SERVERS_PER_DATABASE; i++) {
 		const struct cluster_server *s =
-			&c->servers[db * CLUSTER_SERVERS + i];
+			&c->servers[db * CLUSTER_SERVERS_PER_DATABASE + i];
 
 		g_string_append_printf(
 			out,
--- a/packages/relay/include/celeryquay/relay/catalog.h
+++ b/packages/relay/include/celeryquay/relay/catalog.h
@@ -21,7 +21,7 @@
 	char *service;
 	enum relay_kind kind;
 	uint64_t timeout_us; /* of a statement */
-	uint64_t aim_us; /* latency target of a whole operation */
+	uint64_t target_latency_us; /* latency target of a whole operation */
 	uint64_t max_age_us; /* staleness bound of reads; see `kind` */
 	unsigned priority; /* 0 is the highest */
 	bool is_public; /* callers need no key */
--- a/packages/relay/include/celeryquay/relay/feed_source.h
+++ b/packages/relay/include/celeryquay/relay/feed_source.h
@@ -34,7 +34,7 @@
 	/* The call is sent again after this long unanswered; 0: never. */
 	unsigned repeat_ms;
 	uint64_t timeout_us; /* longest time without a byte of the answer */
-	uint64_t most_us; /* longest time of the whole call */
+	uint64_t total_timeout_us; /* longest time of the whole call */
 };
 
 /* reads_all: the call reads everything, not only changes. */
--- a/packages/relay/include/celeryquay/relay/relay.h
+++ b/packages/relay/include/celeryquay/relay/relay.h
@@ -32,7 +32,7 @@
 	 * Start of its process in Unix ms, 0: unknown. A process that starts
 	 * under the id of an earlier one has a later start.
 	 */
-	uint64_t born_ms;
+	uint64_t started_at_ms;
 	/* Its entry became unreadable: it gets no new work. */
 	bool unusable;
 	/*
--- a/packages/relay/src/conn.c
+++ b/packages/relay/src/conn.c
@@ -546,7 +546,8 @@
 		profile = relay_catalog_profile(c->relay->catalog,
 						c->session->database);
 	if (profile)
-		inflight_on_answer(s, took_us, profile->aim_us, code, now_us);
+		inflight_on_answer(s, took_us, profile->target_latency_us, code,
+				   now_us);
 }
 
 /* Handles the answer to a connection's request in flight. */
--- a/packages/relay/src/feed_source.c
+++ b/packages/relay/src/feed_source.c
@@ -465,7 +465,7 @@
 {
 	struct feed_plan p = make_plan(f, reads_all, now_us);
 
-	p.most_us = p.proxy ? FOLLOW_CALL_MAX_US : STORE_CALL_MAX_US;
+	p.total_timeout_us = p.proxy ? FOLLOW_CALL_MAX_US : STORE_CALL_MAX_US;
 	return p;
 }
 
--- a/packages/relay/src/inflight_limit.c
+++ b/packages/relay/src/inflight_limit.c
@@ -76,13 +76,14 @@
  * Notes how long the server took for a statement of the given latency target,
  * or that it shed it, and adapts the limit.
  */
-void inflight_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
-			enum relay_code code, uint64_t now_us)
+void inflight_on_answer(struct rserver *s, uint64_t took_us,
+			uint64_t target_latency_us, enum relay_code code,
+			uint64_t now_us)
 {
 	struct inflight_limit *l = &s->limit;
 
 	l->n++;
-	if (code == RELAY_BUSY || took_us * SLOW_DIVISOR > aim_us)
+	if (code == RELAY_BUSY || took_us * SLOW_DIVISOR > target_latency_us)
 		l->n_slow++;
 	if (l->n < MIN_ANSWERS || now_us < l->evaluated_at_us + MIN_INTERVAL_US)
 		return;
--- a/packages/relay/src/limit.c
+++ b/packages/relay/src/limit.c
@@ -336,7 +336,7 @@
 		return;
 	l->ask = NULL;
 	if (answer->code != RELAY_OK ||
-	    !str_to_u64(str_take_word(&rest), &given) ||
+	    !str_to_u64(str_split_first_word(&rest), &given) ||
 	    !str_to_u64(rest, &wait_us))
 		wait_us = FAILED_GRANTOR_BACKOFF_US;
 	if (wait_us)
--- a/packages/relay/src/pick.c
+++ b/packages/relay/src/pick.c
@@ -292,7 +292,7 @@
 		blocker = "at-limit";
 	if (!blocker && !can_provide_conn(s, session, now_us))
 		blocker = "no-connection";
-	log_object(l, NULL);
+	log_object_begin(l, NULL);
 	log_cstr(l, "server", s->info.id);
 	log_cstr(l, "passed_over", blocker ? blocker : "");
 	if (s->heard_us)
@@ -323,7 +323,7 @@
 {
 	unsigned i;
 
-	log_list(l, "homes");
+	log_list_begin(l, "homes");
 	for (i = 0; i < via->servers->len; i++) {
 		struct rserver *s = rservice_server(via, i);
 		const char *blocker = !s->listed	? "not-listed" :
@@ -364,7 +364,7 @@
 		log_homes(via, s, l, now_us);
 	if (!v->is_home && !s->peer)
 		return;
-	log_list(l, "servers");
+	log_list_begin(l, "servers");
 	for (i = 0; i < v->servers->len; i++) {
 		struct rserver *server = rservice_server(v, i);
 
--- a/packages/relay/src/rank.c
+++ b/packages/relay/src/rank.c
@@ -20,7 +20,7 @@
 
 static bool is_before_self(const struct rservice *v, const char *name)
 {
-	return is_before(homes_draw(v->rank.seed, name), name, v->rank.draw,
+	return is_before(homes_score(v->rank.seed, name), name, v->rank.draw,
 			 v->relay->name);
 }
 
@@ -32,7 +32,7 @@
 	gpointer name;
 
 	v->rank.seed = homes_seed(&conf);
-	v->rank.draw = homes_draw(v->rank.seed, v->relay->name);
+	v->rank.draw = homes_score(v->rank.seed, v->relay->name);
 	v->rank.n_ranked_before = 0;
 	g_hash_table_iter_init(&iter, v->relay->peers);
 	while (g_hash_table_iter_next(&iter, &name, NULL))
@@ -94,7 +94,7 @@
 	g_hash_table_iter_init(&iter, v->relay->peers);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
 		p.name = name;
-		p.draw = homes_draw(v->rank.seed, name);
+		p.draw = homes_score(v->rank.seed, name);
 		n = insert_best(best, n, max, p);
 	}
 	for (i = 0; i < n; i++)
--- a/packages/relay/src/relay_internal.h
+++ b/packages/relay/src/relay_internal.h
@@ -687,8 +687,9 @@
 /* inflight_limit.c */
 bool inflight_is_full(const struct rserver *s);
 void inflight_on_sent(struct rserver *s);
-void inflight_on_answer(struct rserver *s, uint64_t took_us, uint64_t aim_us,
-			enum relay_code code, uint64_t now_us);
+void inflight_on_answer(struct rserver *s, uint64_t took_us,
+			uint64_t target_latency_us, enum relay_code code,
+			uint64_t now_us);
 
 /* trust.c */
 bool rtrust_is_in_doubt(const struct rserver *s, uint64_t now_us);
--- a/packages/relay/src/rlog.c
+++ b/packages/relay/src/rlog.c
@@ -106,11 +106,11 @@
 {
 	unsigned i;
 
-	log_list(l, "tries");
+	log_list_begin(l, "tries");
 	for (i = 0; i < run->tries; i++) {
 		const struct rtry *t = &run->failed[i];
 
-		log_object(l, NULL);
+		log_object_begin(l, NULL);
 		log_cstr(l, "server", t->server);
 		log_cstr(l, "code", relay_code_info(t->code)->name);
 		log_u64(l, "after_ms", ms(t->after_us));
@@ -125,7 +125,7 @@
 {
 	const struct rserver *p = v->primary;
 
-	log_object(l, "primary");
+	log_object_begin(l, "primary");
 	log_cstr(l, "server", p ? p->info.id : "");
 	log_u64(l, "term", v->term);
 	log_u64(l, "lease_left_ms",
--- a/packages/relay/src/run.c
+++ b/packages/relay/src/run.c
@@ -308,10 +308,10 @@
 static uint64_t queue_timeout_us(const struct relay_profile *profile,
 				 bool for_peer)
 {
-	uint64_t us = profile->aim_us / QUEUE_TIMEOUT_DIVISOR;
+	uint64_t us = profile->target_latency_us / QUEUE_TIMEOUT_DIVISOR;
 
-	if (us + MIN_RETRY_AFTER_US >= profile->aim_us)
-		us = profile->aim_us;
+	if (us + MIN_RETRY_AFTER_US >= profile->target_latency_us)
+		us = profile->target_latency_us;
 	/* The other proxy may have queued it before, too. */
 	if (for_peer)
 		us = us * PEER_WAIT_NUM / PEER_WAIT_DEN;
@@ -355,12 +355,13 @@
 	run->priority = profile->priority;
 	run->account_priority = raccount_priority(s);
 	run->deadline_us = now_us + profile->timeout_us;
-	run->due_us = now_us + profile->aim_us;
+	run->due_us = now_us + profile->target_latency_us;
 	run->queue_deadline_us = now_us + queue_timeout_us(profile, s->peer);
 	if (statement->wait_us)
 		run->queue_deadline_us =
 			now_us + MIN(statement->wait_us, profile->timeout_us);
-	run->token_deadline_us = now_us + profile->aim_us / TOKEN_WAIT_DIVISOR;
+	run->token_deadline_us =
+		now_us + profile->target_latency_us / TOKEN_WAIT_DIVISOR;
 	run->again_us = 0;
 	run->code = RELAY_BUSY;
 	run->after = (struct position){ 0 };
@@ -370,7 +371,7 @@
 		rstep_next(s->conn, now_us);
 		return;
 	}
-	retry_budget_first_try(&s->relay->retries);
+	retry_budget_on_first_try(&s->relay->retries);
 	if (rlimit_applies(s))
 		rlimit_queue(s, now_us);
 	else
--- a/packages/relay/src/server.c
+++ b/packages/relay/src/server.c
@@ -155,9 +155,9 @@
 	 * Failure: an outdated entry of the id's earlier process arrives late,
 	 * and its successor is believed to be leaving.
 	 */
-	if (info->born_ms && info->born_ms < old->born_ms)
+	if (info->started_at_ms && info->started_at_ms < old->started_at_ms)
 		return;
-	if (old->born_ms && info->born_ms > old->born_ms &&
+	if (old->started_at_ms && info->started_at_ms > old->started_at_ms &&
 	    s->relay->guards.distrust_restarted)
 		on_restarted(s, now_us);
 	if (info->leaving && !old->leaving)
--- a/packages/relay/src/server_list.c
+++ b/packages/relay/src/server_list.c
@@ -43,7 +43,7 @@
 	       !g_strcmp0(a->service, b->service) &&
 	       !g_strcmp0(a->zone, b->zone) && a->port == b->port &&
 	       a->leaving == b->leaving && a->role == b->role &&
-	       a->slots == b->slots && a->born_ms == b->born_ms &&
+	       a->slots == b->slots && a->started_at_ms == b->started_at_ms &&
 	       a->unusable == b->unusable && a->feed_port == b->feed_port &&
 	       a->mbps == b->mbps;
 }
--- a/packages/relay/tests/support_group.h
+++ b/packages/relay/tests/support_group.h
@@ -51,7 +51,7 @@
 	bool listed; /* in the list of servers */
 	bool replaced; /* ended for good; a new id may have its log */
 	bool was_primary; /* of its term; kept after a step-down */
-	uint64_t born_ms; /* start time of its process, as listed */
+	uint64_t started_at_ms; /* start time of its process, as listed */
 	enum server_role role;
 	uint64_t term;
 	uint64_t held; /* paused: follows no primary of a lower term, 0: not */
--- a/packages/relay/tests/support_platform.c
+++ b/packages/relay/tests/support_platform.c
@@ -425,7 +425,7 @@
 			.leaving = s->leaving,
 			.role = s->role,
 			.slots = FAKE_SLOTS,
-			.born_ms = s->born_ms,
+			.started_at_ms = s->started_at_ms,
 		};
 	}
 	r->n_lists_in_flight++;
@@ -503,7 +503,7 @@
 {
 	struct fake_server *s = data;
 
-	s->born_ms++;
+	s->started_at_ms++;
 	if (s->was_primary)
 		s->role = ROLE_PRIMARY;
 	fake_restart(f, s->index);
@@ -590,7 +590,7 @@
 				.service = name,
 				.kind = kind,
 				.timeout_us = FAKE_STATEMENT_TIMEOUT_US,
-				.aim_us = FAKE_LATENCY_TARGET_US,
+				.target_latency_us = FAKE_LATENCY_TARGET_US,
 				.max_age_us = FAKE_MAX_AGE_US
 			};
 
@@ -722,7 +722,7 @@
 	s->listed = true;
 	s->role = role;
 	s->was_primary = role == ROLE_PRIMARY;
-	s->born_ms = 1;
+	s->started_at_ms = 1;
 	s->term = 1;
 	s->lag_us = 5 * MS;
 	s->log = g_array_new(FALSE, FALSE, sizeof(unsigned));
--- a/packages/relay/tests/test_late_news.c
+++ b/packages/relay/tests/test_late_news.c
@@ -108,7 +108,7 @@
 					  .zone = "a",
 					  .role = s->role,
 					  .slots = FAKE_SLOTS,
-					  .born_ms = s->born_ms };
+					  .started_at_ms = s->started_at_ms };
 
 	relay_on_servers(f->relays[relay].relay, &info, 1, f->now_us);
 }
--- a/packages/relay/tests/test_routing.c
+++ b/packages/relay/tests/test_routing.c
@@ -386,7 +386,7 @@
 				   .service = "group0",
 				   .kind = RELAY_KIND_PRIMARY,
 				   .timeout_us = FAKE_STATEMENT_TIMEOUT_US,
-				   .aim_us = target_us };
+				   .target_latency_us = target_us };
 
 	relay_catalog_add_service(c, &conf);
 	relay_catalog_add_profile(c, &p);
--- a/packages/relay/tests/test_sessions.c
+++ b/packages/relay/tests/test_sessions.c
@@ -218,7 +218,7 @@
 		.service = "group0",
 		.kind = RELAY_KIND_PRIMARY,
 		.timeout_us = FAKE_STATEMENT_TIMEOUT_US,
-		.aim_us = FAKE_STATEMENT_TIMEOUT_US,
+		.target_latency_us = FAKE_STATEMENT_TIMEOUT_US,
 	};
 
 	relay_catalog_add_profile(c, &profile);
--- a/packages/transport/include/celeryquay/transport/http.h
+++ b/packages/transport/include/celeryquay/transport/http.h
@@ -55,6 +55,6 @@
 			     const struct http_events *events, void *ctx);
 void http_cancel(struct http_call *call);
 /* Whether any part of the response body has been received. */
-bool http_has_begun(const struct http_call *call);
+bool http_response_body_has_begun(const struct http_call *call);
 
 #endif
--- a/packages/transport/include/celeryquay/transport/kv_feed.h
+++ b/packages/transport/include/celeryquay/transport/kv_feed.h
@@ -18,30 +18,31 @@
 void kv_feed_destroy(struct kv_feed *f);
 
 /* Values of up to value_max bytes are sent; larger ones are named only. */
-void kv_feed_limit(struct kv_feed *f, size_t value_max);
+void kv_feed_set_value_max(struct kv_feed *f, size_t value_max);
 
 /* To be called from the follower's events of the same meaning. */
 void kv_feed_set(struct kv_feed *f, const char *key, uint64_t revision,
 		 struct str value);
-void kv_feed_gone(struct kv_feed *f, const char *key, uint64_t revision);
+void kv_feed_delete(struct kv_feed *f, const char *key, uint64_t revision);
 /*
  * The changes reported so far form one consistent state; at: its revision of
  * the store.
  */
-void kv_feed_settled(struct kv_feed *f, uint64_t at);
+void kv_feed_commit(struct kv_feed *f, uint64_t at);
 /* The store answered age_us ago. */
-void kv_feed_heard(struct kv_feed *f, uint64_t age_us);
+void kv_feed_store_answered(struct kv_feed *f, uint64_t age_us);
 /*
  * Everything that the store had at known_at_us, by the boot clock, has been
  * reported.
  */
-void kv_feed_known(struct kv_feed *f, uint64_t known_at_us);
+void kv_feed_known_as_of(struct kv_feed *f, uint64_t known_at_us);
 
 /*
  * Answers a request of another proxy: "since=R" for every key, where a value
  * not newer than R is left out, or "after=C&waitMs=N" for what changed since
  * cursor C, with up to N ms of waiting.
  */
-void kv_feed_ask(struct kv_feed *f, struct str query, struct ready_wait *wait);
+void kv_feed_handle_request(struct kv_feed *f, struct str query,
+			    struct ready_request *wait);
 
 #endif
--- a/packages/transport/include/celeryquay/transport/kv_follow.h
+++ b/packages/transport/include/celeryquay/transport/kv_follow.h
@@ -61,13 +61,14 @@
 	/* Writes an answer in the format that read() parses. */
 	void (*write)(GString *out, const struct kv_answer *answer,
 		      const struct kv_item *items, unsigned n);
-	long too_old; /* HTTP status for an `at` whose history is gone */
+	long history_gone_status; /* HTTP status for an `at` whose history is
+				     gone */
 	long not_found; /* HTTP status for a key that doesn't exist */
 	/*
 	 * Keys under this prefix expire unless refreshed. If one is missing
 	 * after an outage, its deletion is held back for a while.
 	 */
-	const char *held_prefix;
+	const char *expiring_prefix;
 };
 
 /* Where the next range or watch is sent, and its time limits. */
@@ -82,7 +83,7 @@
 	 * than wait_ms.
 	 */
 	uint64_t timeout_us;
-	uint64_t most_us; /* limit of the whole call */
+	uint64_t total_timeout_us; /* limit of the whole call */
 };
 
 struct kv_events {
@@ -109,7 +110,7 @@
 	 * A call to the store was answered or failed. took_us: its duration if
 	 * it was no watch, otherwise 0.
 	 */
-	void (*heard)(void *ctx, bool answers, uint64_t took_us);
+	void (*store_call_ended)(void *ctx, bool answers, uint64_t took_us);
 	/* An answer of len bytes is malformed; the call will be repeated. */
 	void (*refused)(void *ctx, long status, size_t len);
 	/*
--- a/packages/transport/include/celeryquay/transport/kv_table.h
+++ b/packages/transport/include/celeryquay/transport/kv_table.h
@@ -32,9 +32,9 @@
  * began.
  */
 void kv_table_range_end(struct kv_table *t, const char *prefix, uint64_t at,
-			const char *held_prefix, GPtrArray *gone);
+			const char *expiring_prefix, GPtrArray *gone);
 /* Stops holding deletions back: adds the keys that have not reappeared. */
-void kv_table_release(struct kv_table *t, GPtrArray *gone);
+void kv_table_release_held(struct kv_table *t, GPtrArray *gone);
 /* The last revision taken of a key; 0: none. */
 uint64_t kv_table_revision(const struct kv_table *t, const char *key);
 
--- a/packages/transport/include/celeryquay/transport/peer.h
+++ b/packages/transport/include/celeryquay/transport/peer.h
@@ -63,9 +63,9 @@
  * A member may have another address or key: its waiting messages are moved to a
  * new link.
  */
-void peer_refresh(struct peer *p, const struct member_info *member);
+void peer_update_link(struct peer *p, const struct member_info *member);
 /* A member has left or restarted as a new incarnation: closes the link. */
-void peer_forget(struct peer *p, const char *name);
+void peer_close_link(struct peer *p, const char *name);
 bool peer_set_allowed(struct peer *p, const char *const *allowed);
 uint64_t peer_bytes_sent(const struct peer *p, enum peer_kind kind);
 uint64_t peer_bytes_received(const struct peer *p, enum peer_kind kind);
--- a/packages/transport/include/celeryquay/transport/ready.h
+++ b/packages/transport/include/celeryquay/transport/ready.h
@@ -15,7 +15,7 @@
 struct ready;
 
 /* A request without an answer so far. */
-struct ready_wait;
+struct ready_request;
 
 struct ready_page {
 	const char *path;
@@ -25,17 +25,17 @@
 	 * that is answered with ready_answer(), at once or later.
 	 */
 	void (*write)(void *ctx, GString *out);
-	void (*ask)(void *ctx, struct str query, struct ready_wait *wait);
+	void (*ask)(void *ctx, struct str query, struct ready_request *wait);
 };
 
 /* Answers the request, once; the wait is invalid afterwards. */
-void ready_answer(struct ready_wait *w, int status, struct str body);
+void ready_answer(struct ready_request *w, int status, struct str body);
 /*
  * Sets the callback for a client that disconnects before its answer; NULL:
  * none.
  */
-void ready_on_gone(struct ready_wait *w, void (*on_disconnect)(void *ctx),
-		   void *ctx);
+void ready_on_disconnect(struct ready_request *w,
+			 void (*on_disconnect)(void *ctx), void *ctx);
 
 struct ready_settings {
 	const char *address; /* "IP:PORT" */
--- a/packages/transport/include/celeryquay/transport/session.h
+++ b/packages/transport/include/celeryquay/transport/session.h
@@ -41,7 +41,7 @@
 };
 
 /* The start of the struct that the ctx of the relay's ops points to. */
-struct session_ends {
+struct session_endpoints {
 	struct session_front *front;
 	struct session_upstream *upstream;
 };
--- a/packages/transport/include/celeryquay/transport/session_codec.h
+++ b/packages/transport/include/celeryquay/transport/session_codec.h
@@ -9,7 +9,7 @@
 
 #include <celeryquay/relay/statement.h>
 
-enum session_feed { SESSION_MORE, SESSION_ANSWER, SESSION_BAD };
+enum session_read_result { SESSION_MORE, SESSION_ANSWER, SESSION_MALFORMED };
 
 struct session_codec {
 	size_t max_bytes; /* a longer message closes its connection */
@@ -48,8 +48,8 @@
 	 * the end of a complete answer. The views in the answer are valid until
 	 * the next call, and only as long as the input.
 	 */
-	enum session_feed (*reader_feed)(void *reader, struct str *input,
-					 struct relay_answer *answer);
+	enum session_read_result (*reader_feed)(void *reader, struct str *input,
+						struct relay_answer *answer);
 };
 
 #endif
--- a/packages/transport/include/celeryquay/transport/session_gather.h
+++ b/packages/transport/include/celeryquay/transport/session_gather.h
@@ -21,17 +21,17 @@
 };
 
 /* Handles one message without its terminator; base: start of the answer. */
-typedef enum session_feed (*session_message_fn)(void *ctx, const char *base,
-						struct str message,
-						struct relay_answer *answer);
+typedef enum session_read_result (*session_message_fn)(
+	void *ctx, const char *base, struct str message,
+	struct relay_answer *answer);
 
 void session_gather_init(struct session_gather *g);
 void session_gather_clear(struct session_gather *g);
 /* Works as a codec's reader_feed. */
-enum session_feed session_gather_feed(struct session_gather *g,
-				      const struct session_codec *codec,
-				      session_message_fn take, void *ctx,
-				      struct str *input,
-				      struct relay_answer *answer);
+enum session_read_result session_gather_feed(struct session_gather *g,
+					     const struct session_codec *codec,
+					     session_message_fn take, void *ctx,
+					     struct str *input,
+					     struct relay_answer *answer);
 
 #endif
--- a/packages/transport/src/front_body.c
+++ b/packages/transport/src/front_body.c
@@ -59,7 +59,7 @@
 		return bad_field(err, path, "not base64");
 	data = g_base64_decode(text, &len);
 	value->type = VALUE_BYTES;
-	value->u.s = request_keep(r, (const char *)data, len);
+	value->u.s = request_copy_bytes(r, (const char *)data, len);
 	g_free(data);
 	return true;
 }
--- a/packages/transport/src/front_digest.c
+++ b/packages/transport/src/front_digest.c
@@ -66,7 +66,7 @@
  * is preceded by its length, so that two different requests can't give the
  * same bytes.
  */
-void front_digest(struct request *request)
+void front_set_digest(struct request *request)
 {
 	GString *out = g_string_sized_new(1024);
 	char hex[SHA256_HEX_LEN + 1];
@@ -80,6 +80,6 @@
 	for (i = 0; i < request->n_statements; i++)
 		add_statement(out, &request->statements[i]);
 	sha256_hex(str_from_gstring(out), hex);
-	request->digest = request_keep(request, hex, SHA256_HEX_LEN);
+	request->digest = request_copy_bytes(request, hex, SHA256_HEX_LEN);
 	g_string_free(out, TRUE);
 }
--- a/packages/transport/src/front_exchange.c
+++ b/packages/transport/src/front_exchange.c
@@ -114,7 +114,7 @@
 			goto bad;
 	}
 	r->key_given = true;
-	r->key = request_keep(r, key.data, key.len);
+	r->key = request_copy_bytes(r, key.data, key.len);
 	return true;
 bad:
 	err_set(err, ERR_BAD_KEY,
@@ -154,15 +154,16 @@
 	r = front_parse(path.kind, to_str(req->entity), err);
 	if (!r)
 		return NULL;
-	r->service = request_keep(r, path.service.data, path.service.len);
-	r->database = request_keep(r, path.database.data, path.database.len);
-	r->transaction =
-		request_keep(r, path.transaction.data, path.transaction.len);
+	r->service = request_copy_bytes(r, path.service.data, path.service.len);
+	r->database =
+		request_copy_bytes(r, path.database.data, path.database.len);
+	r->transaction = request_copy_bytes(r, path.transaction.data,
+					    path.transaction.len);
 	if (!read_idempotency_key(req, r, err)) {
 		request_unref(r);
 		return NULL;
 	}
-	front_digest(r);
+	front_set_digest(r);
 	return r;
 }
 
--- a/packages/transport/src/front_private.h
+++ b/packages/transport/src/front_private.h
@@ -131,7 +131,7 @@
 				 struct err *err);
 struct request *front_parse(enum request_kind kind, struct str body,
 			    struct err *err);
-void front_digest(struct request *request);
+void front_set_digest(struct request *request);
 
 /* front_path.c */
 struct front_path {
--- a/packages/transport/src/http.c
+++ b/packages/transport/src/http.c
@@ -470,7 +470,7 @@
 }
 
 /* Whether any part of the response body has been received. */
-bool http_has_begun(const struct http_call *call)
+bool http_response_body_has_begun(const struct http_call *call)
 {
 	return call->body_begun;
 }
--- a/packages/transport/src/kv_feed.c
+++ b/packages/transport/src/kv_feed.c
@@ -60,7 +60,7 @@
 
 struct waiter {
 	struct kv_feed *feed;
-	struct ready_wait *wait;
+	struct ready_request *wait;
 	bool reads_all; /* requested before this proxy had read everything */
 	/*
 	 * The cursor from which changes are requested; with reads_all: the
@@ -79,7 +79,7 @@
 	GPtrArray *changes; /* struct change, oldest first */
 	uint64_t oldest_change; /* number of the oldest change that is kept */
 	uint64_t epoch;
-	uint64_t store_revision; /* of the store, at the last kv_feed_settled()
+	uint64_t store_revision; /* of the store, at the last kv_feed_commit()
 				  */
 	uint64_t heard_at_us; /* when the store last answered, by uv_now() */
 	/*
@@ -160,7 +160,7 @@
  * value_max: the largest value that this proxy's link can carry to all of its
  * followers, in bytes.
  */
-void kv_feed_limit(struct kv_feed *f, size_t value_max)
+void kv_feed_set_value_max(struct kv_feed *f, size_t value_max)
 {
 	f->value_max = MAX(value_max, VALUE_LIMIT_MIN_BYTES);
 }
@@ -178,7 +178,7 @@
 }
 
 /* Records that a key was deleted. */
-void kv_feed_gone(struct kv_feed *f, const char *key, uint64_t revision)
+void kv_feed_delete(struct kv_feed *f, const char *key, uint64_t revision)
 {
 	if (g_hash_table_remove(f->entries, key))
 		add_change(f, key, revision, true);
@@ -269,7 +269,7 @@
 		       INT64_MIN;
 }
 
-static void answer(const struct kv_feed *f, struct ready_wait *wait,
+static void answer(const struct kv_feed *f, struct ready_request *wait,
 		   uint64_t received_at_us, GArray *items, bool partial)
 {
 	GString *body = g_string_new(NULL);
@@ -291,7 +291,7 @@
  * Sends the changes newer than `since` if all of them are kept, otherwise every
  * key.
  */
-static void answer_since(const struct kv_feed *f, struct ready_wait *wait,
+static void answer_since(const struct kv_feed *f, struct ready_request *wait,
 			 uint64_t since)
 {
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct kv_item));
@@ -305,7 +305,7 @@
 	g_array_free(items, TRUE);
 }
 
-static void answer_changes(const struct kv_feed *f, struct ready_wait *wait,
+static void answer_changes(const struct kv_feed *f, struct ready_request *wait,
 			   uint64_t received_at_us, uint64_t after)
 {
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct kv_item));
@@ -328,12 +328,12 @@
 
 static void answer_waiter(struct waiter *w)
 {
-	struct ready_wait *wait = w->wait;
+	struct ready_request *wait = w->wait;
 	struct kv_feed *f = w->feed;
 	uint64_t after = w->after, received_at_us = w->received_at_us;
 	bool reads_all = w->reads_all;
 
-	ready_on_gone(wait, NULL, NULL);
+	ready_on_disconnect(wait, NULL, NULL);
 	remove_waiter(w);
 	if (!f->has_everything)
 		ready_answer(wait, HTTP_UNAVAILABLE, STR(""));
@@ -353,7 +353,7 @@
 	remove_waiter(ctx);
 }
 
-static void add_waiter(struct kv_feed *f, struct ready_wait *wait,
+static void add_waiter(struct kv_feed *f, struct ready_request *wait,
 		       bool reads_all, uint64_t after, uint64_t wait_ms)
 {
 	struct waiter *w = g_new0(struct waiter, 1);
@@ -368,7 +368,7 @@
 	w->timer.data = w;
 	uv_timer_start(&w->timer, on_timer, MIN(wait_ms, WAIT_MAX_MS), 0);
 	g_queue_push_tail_link(&f->waiters, &w->link);
-	ready_on_gone(wait, on_disconnect, w);
+	ready_on_disconnect(wait, on_disconnect, w);
 }
 
 /* Answers the waiting requests that have changes to receive; all: every one. */
@@ -391,7 +391,7 @@
  * The store answered age_us ago. After a silence of the store every waiting
  * follower is answered at once, so that it learns that the store is back.
  */
-void kv_feed_heard(struct kv_feed *f, uint64_t age_us)
+void kv_feed_store_answered(struct kv_feed *f, uint64_t age_us)
 {
 	uint64_t now = now_us(f), previous_at_us = f->heard_at_us;
 
@@ -401,7 +401,7 @@
 }
 
 /* Called after everything known by then has been reported here. */
-void kv_feed_known(struct kv_feed *f, uint64_t known_at_us)
+void kv_feed_known_as_of(struct kv_feed *f, uint64_t known_at_us)
 {
 	f->known_at_us = MAX(f->known_at_us, known_at_us);
 }
@@ -410,7 +410,7 @@
  * The changes reported so far form one consistent state at this revision of the
  * store; waiting followers receive them.
  */
-void kv_feed_settled(struct kv_feed *f, uint64_t at)
+void kv_feed_commit(struct kv_feed *f, uint64_t at)
 {
 	if (!f->has_everything)
 		f->log_start = at;
@@ -449,7 +449,7 @@
  * If this proxy has just started too, the request waits until everything has
  * been read here.
  */
-static void answer_range(struct kv_feed *f, struct ready_wait *wait,
+static void answer_range(struct kv_feed *f, struct ready_request *wait,
 			 uint64_t since)
 {
 	if (f->has_everything)
@@ -459,7 +459,8 @@
 }
 
 /* Answers a request of another proxy, at once or when there are changes. */
-void kv_feed_ask(struct kv_feed *f, struct str query, struct ready_wait *wait)
+void kv_feed_handle_request(struct kv_feed *f, struct str query,
+			    struct ready_request *wait)
 {
 	uint64_t after, since, wait_ms;
 
@@ -488,9 +489,9 @@
 		return;
 	while (f->waiters.head) {
 		struct waiter *w = f->waiters.head->data;
-		struct ready_wait *wait = w->wait;
+		struct ready_request *wait = w->wait;
 
-		ready_on_gone(wait, NULL, NULL);
+		ready_on_disconnect(wait, NULL, NULL);
 		remove_waiter(w);
 		ready_answer(wait, HTTP_UNAVAILABLE, STR(""));
 	}
--- a/packages/transport/src/kv_follow.c
+++ b/packages/transport/src/kv_follow.c
@@ -91,7 +91,7 @@
 		return;
 	f->holds_deletions = false;
 	gone = g_ptr_array_new_with_free_func(g_free);
-	kv_table_release(f->table, gone);
+	kv_table_release_held(f->table, gone);
 	report_deleted(f, gone);
 	f->events->settled(f->ctx, f->known_revision);
 }
@@ -113,7 +113,7 @@
 				uint64_t took_us)
 {
 	set_store_state(f, works);
-	f->events->heard(f->ctx, works, f->cursor ? 0 : took_us);
+	f->events->store_call_ended(f->ctx, works, f->cursor ? 0 : took_us);
 }
 
 static void on_retry(uv_timer_t *timer)
@@ -128,7 +128,7 @@
 	for (l = f->pending_calls.head; l; l = l->next) {
 		const struct pending_call *a = l->data;
 
-		if (http_has_begun(a->call))
+		if (http_response_body_has_begun(a->call))
 			return true;
 	}
 	return false;
@@ -191,7 +191,7 @@
 {
 	struct kv_follow *f = ctx;
 	bool hold = f->holds_deletions &&
-		    g_str_has_prefix(item->key, f->codec->held_prefix);
+		    g_str_has_prefix(item->key, f->codec->expiring_prefix);
 
 	g_free(f->last_key);
 	f->last_key = g_strdup(item->key);
@@ -245,10 +245,10 @@
 	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
 
 	if (!f->partial)
-		kv_table_range_end(f->table, "", f->range_revision,
-				   f->holds_deletions ? f->codec->held_prefix :
-							NULL,
-				   gone);
+		kv_table_range_end(
+			f->table, "", f->range_revision,
+			f->holds_deletions ? f->codec->expiring_prefix : NULL,
+			gone);
 	f->value_missing = f->value_missing && f->feed;
 	f->known_revision = MAX(f->known_revision, f->range_revision);
 	report_deleted(f, gone);
@@ -440,7 +440,8 @@
 		}
 		f->events->refused(f->ctx, status, body.len);
 	}
-	if (!err->code && status == f->codec->too_old && f->cursor) {
+	if (!err->code && status == f->codec->history_gone_status &&
+	    f->cursor) {
 		reset_watch(f);
 		retry_later(f);
 		return;
@@ -526,7 +527,7 @@
 		       !f->page;
 	url = next_url(f, &f->source);
 	request.url = url;
-	request.timeout_us = f->source.most_us;
+	request.timeout_us = f->source.total_timeout_us;
 	request.silence_us = f->source.timeout_us;
 	request.connect_timeout_us =
 		MIN(f->source.timeout_us, CONNECT_TIMEOUT_US);
--- a/packages/transport/src/kv_table.c
+++ b/packages/transport/src/kv_table.c
@@ -88,11 +88,11 @@
 
 /*
  * A key under the prefix that was not in the range was deleted, unless it was
- * written after the range began. Deletions under held_prefix (NULL: none) are
- * held back.
+ * written after the range began. Deletions under expiring_prefix (NULL: none)
+ * are held back.
  */
 void kv_table_range_end(struct kv_table *t, const char *prefix, uint64_t at,
-			const char *held_prefix, GPtrArray *gone)
+			const char *expiring_prefix, GPtrArray *gone)
 {
 	GHashTableIter iter;
 	gpointer key, value;
@@ -104,7 +104,7 @@
 		if (e->seen || e->revision > at ||
 		    !g_str_has_prefix(key, prefix))
 			continue;
-		if (held_prefix && g_str_has_prefix(key, held_prefix)) {
+		if (expiring_prefix && g_str_has_prefix(key, expiring_prefix)) {
 			e->held = true;
 			continue;
 		}
@@ -114,7 +114,7 @@
 }
 
 /* The array must own its elements. */
-void kv_table_release(struct kv_table *t, GPtrArray *gone)
+void kv_table_release_held(struct kv_table *t, GPtrArray *gone)
 {
 	GHashTableIter iter;
 	gpointer key, value;
--- a/packages/transport/src/peer_link.c
+++ b/packages/transport/src/peer_link.c
@@ -506,7 +506,7 @@
  * A member may have changed: if its link has an outdated address or key,
  * replaces the link and moves the waiting messages to the new one at once.
  */
-void peer_refresh(struct peer *p, const struct member_info *member)
+void peer_update_link(struct peer *p, const struct member_info *member)
 {
 	struct link *l = g_hash_table_lookup(p->links->table, member->name);
 
@@ -515,7 +515,7 @@
 }
 
 /* Closes the link to a member; the next message opens a new one. */
-void peer_forget(struct peer *p, const char *name)
+void peer_close_link(struct peer *p, const char *name)
 {
 	g_hash_table_remove(p->links->table, name);
 }
--- a/packages/transport/src/pg_run.c
+++ b/packages/transport/src/pg_run.c
@@ -36,7 +36,8 @@
 struct pg_run {
 	struct upstream_result result;
 	struct pg_rows rows;
-	GByteArray *last_row; /* buffer of pg_row_copy() for result.last_row */
+	GByteArray *last_step_row; /* buffer of pg_row_copy() for
+				      result.last_step_row */
 	GByteArray *kept_steps; /* keep_rows of each step, one byte each */
 	unsigned n_steps;
 	unsigned step; /* index of the step whose results arrive now */
@@ -62,7 +63,7 @@
 	struct pg_run *run = g_new0(struct pg_run, 1);
 
 	pg_rows_init(&run->rows);
-	run->last_row = g_byte_array_new();
+	run->last_step_row = g_byte_array_new();
 	run->kept_steps = g_byte_array_new();
 	return run;
 }
@@ -73,7 +74,7 @@
 	if (!run)
 		return;
 	pg_rows_clear(&run->rows);
-	g_byte_array_unref(run->last_row);
+	g_byte_array_unref(run->last_step_row);
 	g_byte_array_unref(run->kept_steps);
 	PQclear(run->buffered_rows);
 	g_free(run);
@@ -253,7 +254,7 @@
 	pg_rows_undo(&run->rows);
 	run->result.n_kept = run->rows.n_objects;
 	if (run->result.err.code)
-		run->result.last_row = NULL;
+		run->result.last_step_row = NULL;
 	return run->result.conn_usable ? PG_RUN_DONE : PG_RUN_BROKEN;
 }
 
@@ -270,8 +271,9 @@
 
 static void take_row(struct pg_run *run, const PGresult *res, int row)
 {
-	if (is_last(run) && !run->result.last_row)
-		run->result.last_row = pg_row_copy(run->last_row, res, row);
+	if (is_last(run) && !run->result.last_step_row)
+		run->result.last_step_row =
+			pg_row_copy(run->last_step_row, res, row);
 	if (keeps_rows(run))
 		pg_rows_add(&run->rows, res, row);
 }
