--- a/packages/transport/src/ready.c
+++ b/packages/transport/src/ready.c
@@ -38,7 +38,7 @@
 };
 
 /* Allocated from its request's pool and freed with it. */
-struct ready_wait {
+struct ready_request {
 	h2o_req_t *req;
 	void (*on_disconnect)(void *ctx);
 	void *ctx;
@@ -144,13 +144,13 @@
 /* Called when the request ends, answered or not. */
 static void on_request_end(void *data)
 {
-	struct ready_wait *w = data;
+	struct ready_request *w = data;
 
 	if (!w->answered && w->on_disconnect)
 		w->on_disconnect(w->ctx);
 }
 
-void ready_answer(struct ready_wait *w, int status, struct str body)
+void ready_answer(struct ready_request *w, int status, struct str body)
 {
 	h2o_req_t *req = w->req;
 
@@ -161,8 +161,8 @@
 }
 
 /* Sets the callback for a client that disconnects before its answer. */
-void ready_on_gone(struct ready_wait *w, void (*on_disconnect)(void *ctx),
-		   void *ctx)
+void ready_on_disconnect(struct ready_request *w,
+			 void (*on_disconnect)(void *ctx), void *ctx)
 {
 	w->on_disconnect = on_disconnect;
 	w->ctx = ctx;
@@ -171,11 +171,11 @@
 static void handle_page(h2o_req_t *req, const struct ready *r,
 			const struct ready_page *page)
 {
-	struct ready_wait *w =
+	struct ready_request *w =
 		h2o_mem_alloc_shared(&req->pool, sizeof(*w), on_request_end);
 	struct str query = STR("");
 
-	*w = (struct ready_wait){ .req = req };
+	*w = (struct ready_request){ .req = req };
 	if (req->query_at != SIZE_MAX)
 		query = (struct str){ req->path.base + req->query_at + 1,
 				      req->path.len - req->query_at - 1 };
--- a/packages/transport/src/session_front.c
+++ b/packages/transport/src/session_front.c
@@ -50,7 +50,7 @@
 
 static struct caller *find(void *ctx, uint64_t number)
 {
-	struct session_front *f = ((struct session_ends *)ctx)->front;
+	struct session_front *f = ((struct session_endpoints *)ctx)->front;
 
 	return (struct caller *)session_group_find(&f->group, number);
 }
--- a/packages/transport/src/session_gather.c
+++ b/packages/transport/src/session_gather.c
@@ -12,12 +12,13 @@
 }
 
 /* Continues to parse the answer at the start of the bytes. */
-static enum session_feed scan(struct session_gather *g,
-			      const struct session_codec *codec,
-			      session_message_fn take, void *ctx,
-			      struct str bytes, struct relay_answer *answer)
+static enum session_read_result scan(struct session_gather *g,
+				     const struct session_codec *codec,
+				     session_message_fn take, void *ctx,
+				     struct str bytes,
+				     struct relay_answer *answer)
 {
-	enum session_feed result = SESSION_MORE;
+	enum session_read_result result = SESSION_MORE;
 
 	while (result == SESSION_MORE) {
 		struct str rest = { bytes.data + g->message_at,
@@ -26,7 +27,7 @@
 
 		if (len > codec->max_bytes ||
 		    (!len && rest.len >= codec->max_bytes))
-			return SESSION_BAD;
+			return SESSION_MALFORMED;
 		g->searched = len ? 0 : rest.len;
 		if (!len)
 			return SESSION_MORE;
@@ -38,14 +39,14 @@
 }
 
 /* Consumes all of the input unless an answer ends within it. */
-enum session_feed session_gather_feed(struct session_gather *g,
-				      const struct session_codec *codec,
-				      session_message_fn take, void *ctx,
-				      struct str *input,
-				      struct relay_answer *answer)
+enum session_read_result session_gather_feed(struct session_gather *g,
+					     const struct session_codec *codec,
+					     session_message_fn take, void *ctx,
+					     struct str *input,
+					     struct relay_answer *answer)
 {
 	struct str bytes = *input;
-	enum session_feed result;
+	enum session_read_result result;
 	size_t n_left = 0;
 
 	if (g->returned)
--- a/packages/transport/src/session_upstream.c
+++ b/packages/transport/src/session_upstream.c
@@ -25,7 +25,8 @@
 
 static struct session_link *find(void *ctx, uint64_t number)
 {
-	struct session_upstream *u = ((struct session_ends *)ctx)->upstream;
+	struct session_upstream *u =
+		((struct session_endpoints *)ctx)->upstream;
 
 	return session_group_find(&u->group, number);
 }
@@ -89,7 +90,7 @@
 {
 	struct server_conn *conn = (struct server_conn *)link;
 	const struct session_codec *codec = link->group->setup.codec;
-	enum session_feed result = SESSION_MORE;
+	enum session_read_result result = SESSION_MORE;
 	struct relay_answer answer;
 
 	if (!in.len)
@@ -100,7 +101,7 @@
 			break;
 		take_answer(conn, &answer);
 	}
-	if (result == SESSION_BAD) {
+	if (result == SESSION_MALFORMED) {
 		LOG_WARN("a server's answer is malformed");
 		drop(link);
 	}
@@ -200,7 +201,8 @@
 			   const struct relay_server_info *server,
 			   const char *account)
 {
-	struct session_upstream *u = ((struct session_ends *)ctx)->upstream;
+	struct session_upstream *u =
+		((struct session_endpoints *)ctx)->upstream;
 	const struct session_codec *codec = u->group.setup.codec;
 	struct server_conn *conn = g_new0(struct server_conn, 1);
 	int status = init_conn(u, conn);
--- a/packages/transport/tests/support_kv.c
+++ b/packages/transport/tests/support_kv.c
@@ -126,13 +126,13 @@
 	.feed_watch_url = feed_watch_url,
 	.read = read_lines,
 	.write = write_lines,
-	.too_old = 410,
+	.history_gone_status = 410,
 	.not_found = 404,
-	.held_prefix = "servers/",
+	.expiring_prefix = "servers/",
 };
 
 struct late {
-	struct ready_wait *wait;
+	struct ready_request *wait;
 	char *answer;
 	uv_timer_t timer;
 };
@@ -149,7 +149,7 @@
 {
 	struct late *l = timer->data;
 
-	ready_on_gone(l->wait, NULL, NULL);
+	ready_on_disconnect(l->wait, NULL, NULL);
 	ready_answer(l->wait, 200, str_from_c(l->answer));
 	uv_close((uv_handle_t *)timer, on_late_closed);
 }
@@ -161,7 +161,7 @@
 	uv_close((uv_handle_t *)&l->timer, on_late_closed);
 }
 
-static void answer_late(struct ready_wait *wait, const char *text)
+static void answer_late(struct ready_request *wait, const char *text)
 {
 	struct late *l = g_new0(struct late, 1);
 
@@ -170,7 +170,7 @@
 	uv_timer_init(&rig.loop, &l->timer);
 	l->timer.data = l;
 	uv_timer_start(&l->timer, on_late, KV_RIG_LATE_MS, 0);
-	ready_on_gone(wait, on_late_disconnect, l);
+	ready_on_disconnect(wait, on_late_disconnect, l);
 }
 
 /*
@@ -207,10 +207,10 @@
 	g_queue_remove(&rig.ignored_calls, wait);
 }
 
-static void ignore_call(struct ready_wait *wait)
+static void ignore_call(struct ready_request *wait)
 {
 	g_queue_push_tail(&rig.ignored_calls, wait);
-	ready_on_gone(wait, on_ignored_disconnect, wait);
+	ready_on_disconnect(wait, on_ignored_disconnect, wait);
 }
 
 static bool is_ignored(const struct proxy *p)
@@ -221,7 +221,7 @@
 
 /* A watch is answered at once, also if nothing has changed. */
 static void ask_store(struct proxy *p, struct str query,
-		      struct ready_wait *wait)
+		      struct ready_request *wait)
 {
 	char *text = str_dup(query);
 	const char *key =
@@ -259,27 +259,27 @@
 }
 
 static void ask_store_by_watcher(void *ctx, struct str query,
-				 struct ready_wait *wait)
+				 struct ready_request *wait)
 {
 	(void)ctx;
 	ask_store(&rig.watcher, query, wait);
 }
 
 static void ask_store_by_follower(void *ctx, struct str query,
-				  struct ready_wait *wait)
+				  struct ready_request *wait)
 {
 	(void)ctx;
 	ask_store(&rig.follower, query, wait);
 }
 
-static void ask_feed(void *ctx, struct str query, struct ready_wait *wait)
+static void ask_feed(void *ctx, struct str query, struct ready_request *wait)
 {
 	struct proxy *p = ctx;
 
 	if (p->ignores_requests)
 		g_queue_push_tail(&p->ignored_requests, wait);
 	else
-		kv_feed_ask(p->feed, query, wait);
+		kv_feed_handle_request(p->feed, query, wait);
 }
 
 static bool never_ready(void *ctx)
@@ -304,7 +304,7 @@
 
 	g_hash_table_remove(p->values, key);
 	if (p->feed != rig.stale_feed)
-		kv_feed_gone(p->feed, key, revision);
+		kv_feed_delete(p->feed, key, revision);
 }
 
 static void on_settled(void *ctx, uint64_t at)
@@ -313,7 +313,7 @@
 
 	p->n_settled++;
 	if (p->feed != rig.stale_feed)
-		kv_feed_settled(p->feed, at);
+		kv_feed_commit(p->feed, at);
 }
 
 static uint64_t now_us(void)
@@ -330,7 +330,8 @@
 		plan = feed_source_plan(p->source_choice, reads_all, now_us());
 		*out = (struct kv_source){ plan.proxy ? rig.watcher.url : NULL,
 					   plan.wait_ms, plan.repeat_ms,
-					   plan.timeout_us, plan.most_us };
+					   plan.timeout_us,
+					   plan.total_timeout_us };
 		return;
 	}
 	*out = (struct kv_source){ p->ask_store_once ? NULL : p->source_url,
@@ -348,7 +349,7 @@
 	if (p->source_choice)
 		feed_source_on_store(p->source_choice, answers, now_us());
 	if (p->feed != rig.stale_feed && answers)
-		kv_feed_heard(p->feed, 0);
+		kv_feed_store_answered(p->feed, 0);
 }
 
 static bool on_fed(void *ctx, bool answered, uint64_t age_us)
@@ -381,7 +382,7 @@
 
 	ck_assert_uint_le(known_at_us, clock_boot_us());
 	p->known_at_us = MAX(p->known_at_us, known_at_us);
-	kv_feed_known(p->feed, known_at_us);
+	kv_feed_known_as_of(p->feed, known_at_us);
 }
 
 static void on_missing(void *ctx)
@@ -409,7 +410,7 @@
 	.settled = on_settled,
 	.first_page = on_first_page,
 	.source = on_source,
-	.heard = on_heard,
+	.store_call_ended = on_heard,
 	.fed = on_fed,
 	.refused = on_refused,
 	.missing = on_missing,
@@ -533,10 +534,10 @@
 
 static void refuse_all(GQueue *waits)
 {
-	struct ready_wait *wait;
+	struct ready_request *wait;
 
 	while ((wait = g_queue_pop_head(waits))) {
-		ready_on_gone(wait, NULL, NULL);
+		ready_on_disconnect(wait, NULL, NULL);
 		ready_answer(wait, 503, STR(""));
 	}
 }
--- a/packages/transport/tests/support_kv.h
+++ b/packages/transport/tests/support_kv.h
@@ -48,7 +48,7 @@
 	/* switches to the watcher after the first page of its range */
 	bool learns_watcher;
 	bool ignores_requests; /* of other proxies */
-	GQueue ignored_requests; /* struct ready_wait */
+	GQueue ignored_requests; /* struct ready_request */
 	unsigned n_settled, n_store_results, n_store_failed, n_feed_answered,
 		n_feed_failed, n_missing;
 	unsigned n_malformed;
@@ -72,7 +72,7 @@
 	 * future.
 	 */
 	bool claims_future;
-	GQueue ignored_calls; /* to the store; struct ready_wait */
+	GQueue ignored_calls; /* to the store; struct ready_request */
 	struct proxy watcher, follower;
 	struct kv_feed *stale_feed; /* gets no updates; NULL: none */
 };
--- a/packages/transport/tests/support_pg.c
+++ b/packages/transport/tests/support_pg.c
@@ -32,7 +32,7 @@
 	event->steps_done = result->steps_done;
 	event->n_kept = result->n_kept;
 	event->results = g_strdup(result->results->str);
-	event->last_row = g_strdupv(result->last_row);
+	event->last_step_row = g_strdupv(result->last_step_row);
 	event->conn_usable = result->conn_usable;
 	if (pg_rig.run_again) {
 		pg_rig.run_again = false;
@@ -57,7 +57,7 @@
 	struct pg_event *event = data;
 
 	g_free(event->results);
-	g_strfreev(event->last_row);
+	g_strfreev(event->last_step_row);
 	g_free(event);
 }
 
--- a/packages/transport/tests/support_pg.h
+++ b/packages/transport/tests/support_pg.h
@@ -25,7 +25,7 @@
 	unsigned steps_done;
 	unsigned n_kept;
 	char *results;
-	char **last_row;
+	char **last_step_row;
 	bool conn_usable;
 };
 
--- a/packages/transport/tests/test_front_body.c
+++ b/packages/transport/tests/test_front_body.c
@@ -264,8 +264,8 @@
 
 static bool same_meaning(struct request *a, struct request *b)
 {
-	front_digest(a);
-	front_digest(b);
+	front_set_digest(a);
+	front_set_digest(b);
 	return str_eq(a->digest, b->digest);
 }
 
--- a/packages/transport/tests/test_kv_feed.c
+++ b/packages/transport/tests/test_kv_feed.c
@@ -103,7 +103,7 @@
 	char *large = g_strnfill(20000, 'x');
 
 	kv_rig_start();
-	kv_feed_limit(rig.watcher.feed, 30000);
+	kv_feed_set_value_max(rig.watcher.feed, 30000);
 	kv_rig_expect("op/config", "one");
 	rig.follower.store = KV_RIG_SILENT;
 	kv_rig_put("op/config", large);
@@ -214,7 +214,7 @@
 	kv_rig_put("op/config", "two");
 	kv_feed_set(rig.watcher.feed, "servers/a", 2, STR("up"));
 	kv_feed_set(rig.watcher.feed, "servers/b", 3, STR("up"));
-	kv_feed_heard(rig.watcher.feed, 0);
+	kv_feed_store_answered(rig.watcher.feed, 0);
 	kv_rig_expect("op/config", "two");
 	kv_rig_expect("servers/a", "up");
 	kv_rig_end();
@@ -242,7 +242,7 @@
 		kv_feed_create(&rig.loop, &kv_rig_codec);
 	kv_feed_set(rig.stale_feed, "op/config", 1, STR("one"));
 	kv_feed_set(rig.stale_feed, "servers/a", 2, STR("up"));
-	kv_feed_settled(rig.stale_feed, 3);
+	kv_feed_commit(rig.stale_feed, 3);
 	rig.follower.source_url = rig.watcher.url;
 	loop_until(&rig.loop, fed_20_times, NULL);
 	kv_feed_destroy(current);
--- a/packages/transport/tests/test_peer.c
+++ b/packages/transport/tests/test_peer.c
@@ -211,7 +211,7 @@
 	port = peer_port(entry.peer);
 	peer_destroy(entry.peer);
 	node_open(&entry, "entry", 1001, port, NULL, NULL);
-	peer_forget(home.peer, "entry");
+	peer_close_link(home.peer, "entry");
 	ck_assert(send_text(&home, &entry, PEER_ANSWER, asked, "rows"));
 	run_until(&entry.messages, 1);
 	ck_assert_uint_ne(entry.correlation, 1);
--- a/packages/transport/tests/test_pg.c
+++ b/packages/transport/tests/test_pg.c
@@ -42,8 +42,8 @@
 			 "{\"columns\":[\"id\",\"name\"],"
 			 "\"rows\":[[7,\"hall \\\"a\\\"\"]],"
 			 "\"rows_affected\":0}");
-	ck_assert_str_eq(event->last_row[0], "1:2");
-	ck_assert_ptr_null(event->last_row[1]);
+	ck_assert_str_eq(event->last_step_row[0], "1:2");
+	ck_assert_ptr_null(event->last_step_row[1]);
 }
 END_TEST
 
@@ -106,7 +106,7 @@
 	event = pg_rig_query(1, "SELECT 1 AS one WHERE 0");
 	ck_assert_str_eq(event->results, "{\"columns\":[\"one\"],\"rows\":[],"
 					 "\"rows_affected\":0}");
-	ck_assert_ptr_null(event->last_row);
+	ck_assert_ptr_null(event->last_step_row);
 }
 END_TEST
 
@@ -129,8 +129,8 @@
 	single = pg_rig_wait_next();
 	ck_assert_int_eq(buffered->err.code, 0);
 	ck_assert_str_eq(buffered->results, single->results);
-	ck_assert_str_eq(buffered->last_row[1], "x1");
-	ck_assert_str_eq(single->last_row[1], "x1");
+	ck_assert_str_eq(buffered->last_step_row[1], "x1");
+	ck_assert_str_eq(single->last_step_row[1], "x1");
 }
 END_TEST
 
--- a/packages/transport/tests/test_session.c
+++ b/packages/transport/tests/test_session.c
@@ -15,7 +15,8 @@
 
 /* A front and an upstream on one loop, and the events that their relay got. */
 static struct {
-	struct session_ends ends; /* first member, since &rig is the ops' ctx */
+	struct session_endpoints
+		ends; /* first member, since &rig is the ops' ctx */
 	uv_loop_t loop;
 	uint64_t session;
 	unsigned opened, statements, closed, lost;
@@ -86,9 +87,9 @@
 	g_free(reader);
 }
 
-static enum session_feed take_message(void *ctx, const char *base,
-				      struct str message,
-				      struct relay_answer *answer)
+static enum session_read_result take_message(void *ctx, const char *base,
+					     struct str message,
+					     struct relay_answer *answer)
 {
 	(void)ctx;
 	(void)base;
@@ -96,8 +97,8 @@
 	return SESSION_ANSWER;
 }
 
-static enum session_feed reader_feed(void *reader, struct str *input,
-				     struct relay_answer *answer);
+static enum session_read_result reader_feed(void *reader, struct str *input,
+					    struct relay_answer *answer);
 
 static const struct session_codec codec = {
 	.max_bytes = LONG_BYTES + 1,
@@ -115,8 +116,8 @@
 	.reader_feed = reader_feed,
 };
 
-static enum session_feed reader_feed(void *reader, struct str *input,
-				     struct relay_answer *answer)
+static enum session_read_result reader_feed(void *reader, struct str *input,
+					    struct relay_answer *answer)
 {
 	return session_gather_feed(reader, &codec, take_message, NULL, input,
 				   answer);
--- a/tests/fuzz/fuzz_body.c
+++ b/tests/fuzz/fuzz_body.c
@@ -15,7 +15,7 @@
 
 	r->service = STR("s");
 	r->database = STR("d");
-	front_digest(r);
+	front_set_digest(r);
 	bytes = wire_pack_request(r);
 	copy = wire_unpack_request(str_from_bytes(bytes), &err);
 	/*
@@ -44,8 +44,8 @@
 	full = front_parse_json(REQUEST_RUN, body, &err);
 	if (!full)
 		abort();
-	front_digest(plain);
-	front_digest(full);
+	front_set_digest(plain);
+	front_set_digest(full);
 	if (!str_eq(plain->digest, full->digest))
 		abort();
 	request_unref(plain);
--- a/tests/fuzz/fuzz_line.c
+++ b/tests/fuzz/fuzz_line.c
@@ -36,12 +36,12 @@
 
 	while (rest.len) {
 		size_t before = rest.len;
-		enum session_feed fed =
+		enum session_read_result fed =
 			line_answer_reader_feed(reader, &rest, &answer);
 
 		if (fed == SESSION_ANSWER && answer.rows.len > bytes.len)
 			abort();
-		if (fed == SESSION_BAD || rest.len == before)
+		if (fed == SESSION_MALFORMED || rest.len == before)
 			break;
 	}
 	line_answer_reader_destroy(reader);
--- a/tests/fuzz/fuzz_settings.c
+++ b/tests/fuzz/fuzz_settings.c
@@ -24,7 +24,7 @@
 	if (settings_str_list(s, "d", &list, &err))
 		g_strfreev(list);
 	settings_list_length(s, "e");
-	settings_done(s, &err);
+	settings_reject_unknown(s, &err);
 	settings_destroy(s);
 	return 0;
 }
--- a/tests/soak/caller.c
+++ b/tests/soak/caller.c
@@ -221,7 +221,7 @@
 static void on_line(void *ctx, struct str line)
 {
 	struct caller *c = ctx;
-	struct str rest = line, word = str_take_word(&rest);
+	struct str rest = line, word = str_split_first_word(&rest);
 
 	if (str_eq(word, STR("ERROR")) && !c->ask) {
 		hang_up(c); /* not taken, or the session's end */
@@ -241,7 +241,7 @@
 		c->code = RELAY_OK;
 		c->ready_due = true;
 	} else if (str_eq(word, STR("ERROR"))) {
-		c->code = code_of(str_take_word(&rest));
+		c->code = code_of(str_split_first_word(&rest));
 		c->ready_due = true;
 	} else if (str_eq(word, STR("READY")) && c->ready_due) {
 		c->state = rest.data[0];
--- a/tests/soak/fleet.c
+++ b/tests/soak/fleet.c
@@ -57,7 +57,7 @@
 	const char *args[] = { "--settings", p->settings, NULL };
 	struct err err = { 0 };
 
-	p->child = child_launch("celeryquayd", args, &err);
+	p->child = child_start_no_wait("celeryquayd", args, &err);
 	p->end_expected = false;
 	p->stopped_us = 0;
 	p->disturbed_us = later_now_us();
--- a/tests/soak/server.c
+++ b/tests/soak/server.c
@@ -117,10 +117,10 @@
 	struct str service, id;
 	GString *out;
 
-	str_take_word(&line);
-	service = str_take_word(&line);
-	str_take_word(&line);
-	id = str_take_word(&line);
+	str_split_first_word(&line);
+	service = str_split_first_word(&line);
+	str_split_first_word(&line);
+	id = str_split_first_word(&line);
 	if (service.len != strlen("group0") ||
 	    service.data[service.len - 1] != (char)('0' + s->group) ||
 	    (id.len && !str_eq(id, str_from_c(s->id)))) {
@@ -154,7 +154,7 @@
 static bool run_order(struct conn *c, struct str text)
 {
 	struct server *s = c->server;
-	struct str word = str_take_word(&text);
+	struct str word = str_split_first_word(&text);
 	uint64_t term = 0;
 	GString *out;
 
@@ -494,8 +494,8 @@
 		start(c, line);
 		return;
 	}
-	str_take_word(&rest);
-	str_take_word(&rest);
+	str_split_first_word(&rest);
+	str_split_first_word(&rest);
 	if (run_order(c, rest))
 		return;
 	if (line_parse_peer_query(line, &st)) {
--- a/tests/system/test_homes.c
+++ b/tests/system/test_homes.c
@@ -29,7 +29,8 @@
 	for (i = 0; i < c->n_servers; i++) {
 		int control = c->servers[i].control;
 		unsigned limit =
-			c->spec.databases[i / CLUSTER_SERVERS].connections;
+			c->spec.databases[i / CLUSTER_SERVERS_PER_DATABASE]
+				.connections;
 		int64_t most =
 			standin_number(c, control, "counts/connections_max");
 
--- a/tests/system/test_log.c
+++ b/tests/system/test_log.c
@@ -98,12 +98,12 @@
 	unsigned i;
 	char *log;
 
-	child_hold_log(c->proxies[0].child, true);
+	child_set_log_paused(c->proxies[0].child, true);
 	for (i = 0; i < REQUESTS; i++)
 		ck_assert_msg(caller_run(caller, 0, MILES, "read-any", NULL,
 					 "SELECT 1", NULL) == 200,
 			      "%s", caller_msg(caller));
-	child_hold_log(c->proxies[0].child, false);
+	child_set_log_paused(c->proxies[0].child, false);
 	do {
 		caller_run(caller, 0, MILES, "read-any", NULL, "SELECT 1",
 			   NULL);
--- a/tests/system/test_sessions.c
+++ b/tests/system/test_sessions.c
@@ -55,7 +55,7 @@
 {
 	unsigned i;
 
-	for (i = 0; i < CLUSTER_SERVERS; i++) {
+	for (i = 0; i < CLUSTER_SERVERS_PER_DATABASE; i++) {
 		int64_t applied = standin_number(c, c->servers[i].control,
 						 "status/applied");
 		char *body = g_strdup_printf("{\"position\":%" G_GINT64_FORMAT
